--- a/tests/world/checker.cpp
+++ b/tests/world/checker.cpp
@@ -61,6 +61,7 @@
 }
 
 void Checker::started(const Machine& m, const std::string& job, std::uint32_t index, Ms givenAt) {
+  trace_.taskStarted(clock_.now(), m.id, job, index);
   auto it = jobs_.find(job);
   if (it == jobs_.end() || !it->second.spec) return breaks("invented", job + " runs and was never submitted");
   auto& j = it->second;
@@ -96,6 +97,7 @@
 }
 
 void Checker::left(const std::string& machine, const std::string& job, std::uint32_t index, bool done) {
+  trace_.taskLeft(clock_.now(), machine, job, index, done);
   auto& j = jobs_[job];
   auto it = j.on.find(index);
   if (it != j.on.end() && it->second.id == machine) j.on.erase(it);
--- a/tests/world/checker.h
+++ b/tests/world/checker.h
@@ -10,6 +10,7 @@
 #include "base/job.h"
 #include "config/settings.h"
 #include "world/clock.h"
+#include "world/trace.h"
 
 namespace world {
 
@@ -45,7 +46,8 @@
 
 class Checker {
  public:
-  Checker(Clock& clock, const cherryloft::Settings& settings) : clock_(clock), settings_(settings) {}
+  Checker(Clock& clock, const cherryloft::Settings& settings, Trace& trace)
+      : clock_(clock), settings_(settings), trace_(trace) {}
 
   // The true state of the world, for what can be judged by it only.
   void watch(std::vector<TypeSize> types, std::function<std::vector<Room>()> rooms) {
@@ -131,6 +133,7 @@
 
   Clock& clock_;
   const cherryloft::Settings& settings_;
+  Trace& trace_;
   std::map<std::string, Job> jobs_;
   Ms troublesEnd_ = 0;
   unsigned leasesEnded_ = 0, reportsLost_ = 0, startsAfterCancel_ = 0, commandsOutdated_ = 0;
--- a/tests/world/net.cpp
+++ b/tests/world/net.cpp
@@ -57,6 +57,7 @@
 
 void Net::deliverCopy(const std::string& from, const std::string& to, const HttpRequest& r) {
   sentAt_ = clock_.now();
+  trace_.request(clock_.now(), from, to, r);
   if (auto h = handlers_.find(to); h != handlers_.end()) h->second(from, r, [](HttpResponse) {});
 }
 
@@ -93,6 +94,7 @@
     if (!std::exchange(*settled, true)) done(std::move(result));
   };
   clock_.after(deadline, [settle, sent] { settle({*sent ? Outcome::Unknown : Outcome::NotSent, {}}); });
+  trace_.request(clock_.now(), from, to, r);
   if (!copies_.empty()) copy(from, r);
   if (heard_) heard_(from, r);
   bool lost = losing_.erase({from, to}) > 0;
@@ -107,6 +109,7 @@
     auto path = r.target;
     sentAt_ = at;
     handler(from, std::move(r), [this, from, to, settle, lost, path](HttpResponse response) {
+      trace_.response(clock_.now(), to, from, response);
       auto back = arrival(to, from);
       if (lost || !back) return;
       auto slow = delayOf(from, to, path, true);
--- a/tests/world/net.h
+++ b/tests/world/net.h
@@ -8,6 +8,7 @@
 
 #include "net/client.h"
 #include "world/clock.h"
+#include "world/trace.h"
 
 namespace world {
 
@@ -20,7 +21,7 @@
 
 class Net {
  public:
-  explicit Net(Clock& clock) : clock_(clock) {}
+  Net(Clock& clock, Trace& trace) : clock_(clock), trace_(trace) {}
 
   // A party serves under its name; without a handler connections are refused.
   void serve(const std::string& name, Handler h) { handlers_[name] = std::move(h); }
@@ -82,6 +83,7 @@
   std::optional<Ms> arrival(const std::string& from, const std::string& to, bool opening = false);
 
   Clock& clock_;
+  Trace& trace_;
   std::map<std::string, Handler> handlers_;
   std::vector<Cut> cuts_;
   std::vector<Copies> copies_;
--- a/tests/world/scenario.cpp
+++ b/tests/world/scenario.cpp
@@ -21,12 +21,12 @@
 class Scenario {
  public:
   void read(std::istream& in);
-  // What went against expectations.
-  std::vector<std::string> run();
+  // Its seed and value are left for the caller to fill in.
+  Play run(const TraceOptions& trace);
 
  private:
   void readLine(const Line& line);
-  void prepareWorld();
+  void prepareWorld(const TraceOptions& trace);
   void judgeRules();
 
   ScenarioSetup setup_;
@@ -63,17 +63,24 @@
     applySetup(line, setup_);
 }
 
-std::vector<std::string> Scenario::run() {
-  prepareWorld();
+Play Scenario::run(const TraceOptions& trace) {
+  prepareWorld(trace);
   world_->run(setup_.until);
+  world_->eventTrace.finish();
   world_->checker.judgeService();
   judgeRules();
   for (const auto& line : expectations_) checkExpectation(*world_, line, complaints_);
-  return complaints_;
+  Play play;
+  play.complaints = std::move(complaints_);
+  play.traceDigest = world_->eventTrace.digest();
+  play.traceEvents = world_->eventTrace.events();
+  return play;
 }
 
-void Scenario::prepareWorld() {
+void Scenario::prepareWorld(const TraceOptions& trace) {
   world_ = std::make_unique<World>(setup_.deployment);
+  if (trace.enabled) world_->eventTrace.enable();
+  world_->eventTrace.writeEventsTo(trace.events);
   for (const auto& line : machinesUp_)
     for (int i = 0; i < line.number(3); ++i) world_->cloud.addRunning(line.word(1), line.word(2));
   for (const auto& line : actions_) {
@@ -122,30 +129,31 @@
   return text;
 }
 
-std::vector<std::string> runOnce(const std::string& text, const std::string& seed) {
+Play playOnce(const std::string& text, const std::string& seed, const TraceOptions& trace) {
   Scenario scenario;
   std::istringstream in(text + (seed.empty() ? "" : "\nseed " + seed + "\n"));
   scenario.read(in);
-  return scenario.run();
+  return scenario.run(trace);
 }
 
 }  // namespace
 
-std::vector<std::string> runScenario(std::istream& in) {
+std::vector<Play> runScenario(std::istream& in, const TraceOptions& trace) {
   std::stringstream buffer;
   buffer << in.rdbuf();
   auto text = buffer.str();
   auto variations = readVariations(text);
-  std::vector<std::string> complaints;
+  std::vector<Play> plays;
   for (const auto& value : variations.values) {
     auto varied = substitute(text, value);
     for (const auto& seed : variations.seeds) {
-      auto prefix =
-          (seed.empty() ? "" : "seed " + seed + ": ") + (value.empty() ? "" : "with " + value + ": ");
-      for (const auto& complaint : runOnce(varied, seed)) complaints.push_back(prefix + complaint);
+      auto play = playOnce(varied, seed, trace);
+      play.seed = seed;
+      play.value = value;
+      plays.push_back(std::move(play));
     }
   }
-  return complaints;
+  return plays;
 }
 
 }  // namespace world
--- a/tests/world/world.cpp
+++ b/tests/world/world.cpp
@@ -201,15 +201,17 @@
 World::World(const Deployment& d)
     : deployment(d),
       clock(d.seed),
-      net(clock),
+      net(clock, eventTrace),
       settings(cherryloft::parseSettings(d.settingsOf(0), {})),
-      checker(clock, settings),
+      checker(clock, settings, eventTrace),
       store(clock, net, static_cast<unsigned>(d.txnOps), static_cast<std::size_t>(d.valueKb * 1024), d.rps,
             d.writeRps),
       cloud(clock, net, checker, natures, settings, d.types, d.controllers) {
   for (unsigned n = 0; n < d.controllers; ++n) {
     controllers.push_back(std::make_unique<Controller>(
         clock, net, deployment, n, [this](std::uint32_t to, const Frame& f, unsigned from) {
+          if (eventTrace.enabled())
+            eventTrace.frame(clock.now(), nodeName(from), nodeName(to), cherryloft::mesh::encode(f));
           net.tell(nodeName(from), nodeName(to), [this, to, f] { controllers[to]->frame(f); });
         }));
   }
--- a/tests/world/world.h
+++ b/tests/world/world.h
@@ -114,6 +114,7 @@
 
   Deployment deployment;
   Clock clock;
+  Trace eventTrace;
   Net net;
   cherryloft::Settings settings;
   Checker checker;
