--- a/src/actors/fleet.cpp
+++ b/src/autoscaler/autoscaler.cpp
@@ -1,8 +1,8 @@
-#include "actors/fleet.h"
+#include "autoscaler/autoscaler.h"
 
 #include <utility>
 
-#include "actors/share_fleet.h"
+#include "autoscaler/shard_fleet.h"
 
 namespace cherryloft {
 namespace {
--- a/src/actors/fleet.h
+++ b/src/autoscaler/autoscaler.h
@@ -2,14 +2,14 @@
 // return them. Machines that are to move or go are asked of their owners.
 #pragma once
 
-#include "actors/cloud_catalog.h"
-#include "actors/machine_adoption.h"
-#include "actors/machine_list.h"
-#include "actors/machine_records.h"
-#include "actors/machine_returns.h"
-#include "actors/rentals.h"
+#include "autoscaler/cloud_catalog.h"
+#include "autoscaler/machine_adoption.h"
+#include "autoscaler/machine_inventory.h"
+#include "autoscaler/machine_records.h"
+#include "autoscaler/scale_in.h"
+#include "autoscaler/scale_out.h"
 #include "mesh/messages.h"
-#include "policy/fleet.h"
+#include "policy/autoscaling.h"
 #include "wire/workers.h"
 
 namespace cherryloft {
--- a/src/actors/fleet_context.h
+++ b/src/autoscaler/autoscaler_context.h
@@ -5,11 +5,11 @@
 #include <compare>
 #include <utility>
 
-#include "actors/directory.h"
-#include "actors/io.h"
-#include "actors/store.h"
+#include "cluster/cluster_view.h"
 #include "config/settings.h"
+#include "kvstore/key_value_store.h"
 #include "log/log.h"
+#include "runtime/runtime.h"
 
 namespace cherryloft {
 
--- a/src/actors/cloud_catalog.cpp
+++ b/src/autoscaler/cloud_catalog.cpp
@@ -1,4 +1,4 @@
-#include "actors/cloud_catalog.h"
+#include "autoscaler/cloud_catalog.h"
 
 namespace cherryloft {
 namespace {
--- a/src/actors/cloud_catalog.h
+++ b/src/autoscaler/cloud_catalog.h
@@ -1,7 +1,7 @@
 // CloudCatalog: the machine types that the cloud offers, with their prices of now.
 #pragma once
 
-#include "actors/fleet_context.h"
+#include "autoscaler/autoscaler_context.h"
 #include "wire/cloud.h"
 
 namespace cherryloft {
--- a/src/actors/machine_adoption.cpp
+++ b/src/autoscaler/machine_adoption.cpp
@@ -1,4 +1,4 @@
-#include "actors/machine_adoption.h"
+#include "autoscaler/machine_adoption.h"
 
 #include <algorithm>
 #include <tuple>
--- a/src/actors/machine_adoption.h
+++ b/src/autoscaler/machine_adoption.h
@@ -7,9 +7,9 @@
 #include <set>
 #include <string>
 
-#include "actors/cloud_catalog.h"
-#include "actors/machine_records.h"
-#include "actors/machine_returns.h"
+#include "autoscaler/cloud_catalog.h"
+#include "autoscaler/machine_records.h"
+#include "autoscaler/scale_in.h"
 #include "wire/workers.h"
 
 namespace cherryloft {
--- a/src/actors/machine_list.cpp
+++ b/src/autoscaler/machine_inventory.cpp
@@ -1,4 +1,4 @@
-#include "actors/machine_list.h"
+#include "autoscaler/machine_inventory.h"
 
 #include <algorithm>
 #include <iterator>
--- a/src/actors/machine_list.h
+++ b/src/autoscaler/machine_inventory.h
@@ -5,7 +5,7 @@
 #include <memory>
 #include <vector>
 
-#include "actors/machine_adoption.h"
+#include "autoscaler/machine_adoption.h"
 #include "wire/cloud.h"
 
 namespace cherryloft {
--- a/src/actors/machine_records.cpp
+++ b/src/autoscaler/machine_records.cpp
@@ -1,4 +1,4 @@
-#include "actors/machine_records.h"
+#include "autoscaler/machine_records.h"
 
 #include <algorithm>
 
--- a/src/actors/machine_records.h
+++ b/src/autoscaler/machine_records.h
@@ -5,7 +5,7 @@
 #include <functional>
 #include <set>
 
-#include "actors/fleet_context.h"
+#include "autoscaler/autoscaler_context.h"
 
 namespace cherryloft {
 
--- a/src/actors/fleet_planning.cpp
+++ b/src/autoscaler/planning.cpp
@@ -1,7 +1,7 @@
 // What the fleet should become: which shares rent, which machines move between shares, and which go.
 #include <algorithm>
 
-#include "actors/fleet.h"
+#include "autoscaler/autoscaler.h"
 
 namespace cherryloft {
 namespace {
--- a/src/actors/machine_returns.cpp
+++ b/src/autoscaler/scale_in.cpp
@@ -1,4 +1,4 @@
-#include "actors/machine_returns.h"
+#include "autoscaler/scale_in.h"
 
 #include <map>
 
--- a/src/actors/machine_returns.h
+++ b/src/autoscaler/scale_in.h
@@ -6,9 +6,9 @@
 #include <set>
 #include <vector>
 
-#include "actors/fleet_context.h"
-#include "actors/group_rewrite.h"
-#include "policy/fleet.h"
+#include "autoscaler/autoscaler_context.h"
+#include "cluster/machine_group_rewrite.h"
+#include "policy/autoscaling.h"
 
 namespace cherryloft {
 
--- a/src/actors/rentals.cpp
+++ b/src/autoscaler/scale_out.cpp
@@ -1,4 +1,4 @@
-#include "actors/rentals.h"
+#include "autoscaler/scale_out.h"
 
 #include <algorithm>
 
--- a/src/actors/rentals.h
+++ b/src/autoscaler/scale_out.h
@@ -9,8 +9,8 @@
 #include <set>
 #include <vector>
 
-#include "actors/machine_records.h"
-#include "policy/fleet.h"
+#include "autoscaler/machine_records.h"
+#include "policy/autoscaling.h"
 #include "wire/cloud.h"
 
 namespace cherryloft {
--- a/src/actors/share_fleet.cpp
+++ b/src/autoscaler/shard_fleet.cpp
@@ -1,4 +1,4 @@
-#include "actors/share_fleet.h"
+#include "autoscaler/shard_fleet.h"
 
 #include <map>
 #include <string>
--- a/src/actors/share_fleet.h
+++ b/src/autoscaler/shard_fleet.h
@@ -1,9 +1,9 @@
 // The machines of one share and its work as the leader knows them, from records and from the owner's reports.
 #pragma once
 
-#include "actors/directory.h"
+#include "cluster/cluster_view.h"
 #include "mesh/messages.h"
-#include "policy/fleet.h"
+#include "policy/autoscaling.h"
 
 namespace cherryloft {
 
--- a/src/actors/directory.cpp
+++ b/src/cluster/cluster_view.cpp
@@ -1,4 +1,4 @@
-#include "actors/directory.h"
+#include "cluster/cluster_view.h"
 
 #include <charconv>
 #include <set>
--- a/src/actors/directory.h
+++ b/src/cluster/cluster_view.h
@@ -9,7 +9,7 @@
 
 #include "config/settings.h"
 #include "log/log.h"
-#include "wire/store.h"
+#include "wire/kvstore.h"
 #include "wire/workers.h"
 
 namespace cherryloft {
--- a/src/actors/deputy.cpp
+++ b/src/cluster/keep_alive_proxy.cpp
@@ -1,4 +1,4 @@
-#include "actors/deputy.h"
+#include "cluster/keep_alive_proxy.h"
 
 #include <algorithm>
 
--- a/src/actors/group_rewrite.cpp
+++ b/src/cluster/machine_group_rewrite.cpp
@@ -1,9 +1,9 @@
-#include "actors/group_rewrite.h"
+#include "cluster/machine_group_rewrite.h"
 
 #include <algorithm>
 #include <utility>
 
-#include "actors/directory.h"
+#include "cluster/cluster_view.h"
 
 namespace cherryloft {
 namespace {
--- a/src/actors/group_rewrite.h
+++ b/src/cluster/machine_group_rewrite.h
@@ -11,8 +11,8 @@
 #include <string>
 #include <vector>
 
-#include "actors/transaction_draft.h"
-#include "wire/store.h"
+#include "kvstore/transaction_builder.h"
+#include "wire/kvstore.h"
 
 namespace cherryloft {
 
--- a/src/actors/membership.cpp
+++ b/src/cluster/membership.cpp
@@ -1,4 +1,4 @@
-#include "actors/membership.h"
+#include "cluster/membership.h"
 
 #include <algorithm>
 
--- a/src/actors/membership.h
+++ b/src/cluster/membership.h
@@ -3,8 +3,8 @@
 
 #include <set>
 
-#include "actors/directory.h"
-#include "actors/store.h"
+#include "cluster/cluster_view.h"
+#include "kvstore/key_value_store.h"
 
 namespace cherryloft {
 
--- a/src/actors/peers.cpp
+++ b/src/cluster/peers.cpp
@@ -1,4 +1,4 @@
-#include "actors/peers.h"
+#include "cluster/peers.h"
 
 #include <algorithm>
 
--- a/src/actors/peers.h
+++ b/src/cluster/peers.h
@@ -4,9 +4,9 @@
 #include <map>
 #include <vector>
 
-#include "actors/deputy.h"
-#include "actors/io.h"
+#include "cluster/keep_alive_proxy.h"
 #include "config/settings.h"
+#include "runtime/runtime.h"
 
 namespace cherryloft {
 
--- a/src/actors/node.cpp
+++ b/src/controller/controller.cpp
@@ -1,4 +1,4 @@
-#include "actors/node.h"
+#include "controller/controller.h"
 
 #include "wire/users.h"
 
--- a/src/actors/node.h
+++ b/src/controller/controller.h
@@ -4,11 +4,11 @@
 #include <map>
 #include <memory>
 
-#include "actors/api.h"
-#include "actors/fleet.h"
-#include "actors/membership.h"
-#include "actors/peers.h"
-#include "actors/scheduler.h"
+#include "autoscaler/autoscaler.h"
+#include "cluster/membership.h"
+#include "cluster/peers.h"
+#include "controller/user_api.h"
+#include "scheduler/shard_scheduler.h"
 
 namespace cherryloft {
 
--- a/src/actors/api.cpp
+++ b/src/controller/user_api.cpp
@@ -1,4 +1,4 @@
-#include "actors/api.h"
+#include "controller/user_api.h"
 
 #include <algorithm>
 
--- a/src/actors/api.h
+++ b/src/controller/user_api.h
@@ -1,10 +1,10 @@
 // Api: answers users. Any controller answers for any job (invariant 9).
 #pragma once
 
-#include "actors/directory.h"
-#include "actors/peers.h"
-#include "actors/scheduler.h"
-#include "actors/store.h"
+#include "cluster/cluster_view.h"
+#include "cluster/peers.h"
+#include "kvstore/key_value_store.h"
+#include "scheduler/shard_scheduler.h"
 
 namespace cherryloft {
 
--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -4,7 +4,7 @@
 #include <cstring>
 #include <thread>
 
-#include "actors/node.h"
+#include "controller/controller.h"
 #include "mesh/transport.h"
 #include "net/server.h"
 
--- a/src/actors/group_commit.cpp
+++ b/src/kvstore/group_commit.cpp
@@ -1,4 +1,4 @@
-#include "actors/group_commit.h"
+#include "kvstore/group_commit.h"
 
 #include <algorithm>
 #include <iterator>
--- a/src/actors/group_commit.h
+++ b/src/kvstore/group_commit.h
@@ -6,7 +6,7 @@
 #include <memory>
 #include <vector>
 
-#include "actors/store_client.h"
+#include "kvstore/key_value_client.h"
 
 namespace cherryloft {
 
--- a/src/actors/store_client.cpp
+++ b/src/kvstore/key_value_client.cpp
@@ -1,4 +1,4 @@
-#include "actors/store_client.h"
+#include "kvstore/key_value_client.h"
 
 #include <algorithm>
 #include <iterator>
--- a/src/actors/store_client.h
+++ b/src/kvstore/key_value_client.h
@@ -7,8 +7,8 @@
 #include <string>
 #include <vector>
 
-#include "actors/request_queue.h"
-#include "wire/store.h"
+#include "kvstore/request_queue.h"
+#include "wire/kvstore.h"
 
 namespace cherryloft {
 
--- a/src/actors/store.cpp
+++ b/src/kvstore/key_value_store.cpp
@@ -1,4 +1,4 @@
-#include "actors/store.h"
+#include "kvstore/key_value_store.h"
 
 #include <algorithm>
 #include <cmath>
--- a/src/actors/store.h
+++ b/src/kvstore/key_value_store.h
@@ -7,14 +7,14 @@
 #include <utility>
 #include <vector>
 
-#include "actors/group_commit.h"
-#include "actors/io.h"
-#include "actors/mirror.h"
-#include "actors/request_budget.h"
-#include "actors/request_queue.h"
-#include "actors/store_client.h"
 #include "config/settings.h"
+#include "kvstore/group_commit.h"
+#include "kvstore/key_value_client.h"
+#include "kvstore/rate_limiter.h"
+#include "kvstore/request_queue.h"
+#include "kvstore/watch_cache.h"
 #include "log/log.h"
+#include "runtime/runtime.h"
 
 namespace cherryloft {
 
--- a/src/actors/request_budget.cpp
+++ b/src/kvstore/rate_limiter.cpp
@@ -1,4 +1,4 @@
-#include "actors/request_budget.h"
+#include "kvstore/rate_limiter.h"
 
 #include <algorithm>
 
--- a/src/actors/request_queue.cpp
+++ b/src/kvstore/request_queue.cpp
@@ -1,4 +1,4 @@
-#include "actors/request_queue.h"
+#include "kvstore/request_queue.h"
 
 #include <algorithm>
 #include <utility>
--- a/src/actors/request_queue.h
+++ b/src/kvstore/request_queue.h
@@ -7,8 +7,8 @@
 #include <random>
 #include <string>
 
-#include "actors/io.h"
-#include "actors/request_budget.h"
+#include "kvstore/rate_limiter.h"
+#include "runtime/runtime.h"
 
 namespace cherryloft {
 
--- a/src/actors/transaction_draft.cpp
+++ b/src/kvstore/transaction_builder.cpp
@@ -1,4 +1,4 @@
-#include "actors/transaction_draft.h"
+#include "kvstore/transaction_builder.h"
 
 namespace cherryloft {
 
--- a/src/actors/transaction_draft.h
+++ b/src/kvstore/transaction_builder.h
@@ -3,7 +3,7 @@
 
 #include <vector>
 
-#include "wire/store.h"
+#include "wire/kvstore.h"
 
 namespace cherryloft {
 
--- a/src/actors/mirror.cpp
+++ b/src/kvstore/watch_cache.cpp
@@ -1,4 +1,4 @@
-#include "actors/mirror.h"
+#include "kvstore/watch_cache.h"
 
 #include <algorithm>
 #include <set>
--- a/src/actors/mirror.h
+++ b/src/kvstore/watch_cache.h
@@ -6,7 +6,7 @@
 #include <random>
 #include <string>
 
-#include "actors/store_client.h"
+#include "kvstore/key_value_client.h"
 
 namespace cherryloft {
 
--- a/src/policy/fleet.cpp
+++ b/src/policy/autoscaling.cpp
@@ -1,4 +1,4 @@
-#include "policy/fleet.h"
+#include "policy/autoscaling.h"
 
 #include <algorithm>
 #include <cmath>
--- a/src/actors/scheduler_commands.cpp
+++ b/src/scheduler/commands.cpp
@@ -2,7 +2,7 @@
 #include <algorithm>
 #include <utility>
 
-#include "actors/scheduler.h"
+#include "scheduler/shard_scheduler.h"
 
 namespace cherryloft {
 namespace {
--- a/src/actors/scheduler_commits.cpp
+++ b/src/scheduler/commits.cpp
@@ -1,7 +1,7 @@
 // The scheduler's commits: one in flight, and what comes meanwhile forms the next.
 #include <algorithm>
 
-#include "actors/scheduler.h"
+#include "scheduler/shard_scheduler.h"
 
 namespace cherryloft {
 namespace {
--- a/src/actors/failures.cpp
+++ b/src/scheduler/failure_attribution.cpp
@@ -1,4 +1,4 @@
-#include "actors/failures.h"
+#include "scheduler/failure_attribution.h"
 
 #include <algorithm>
 
--- a/src/actors/scheduler_gangs.cpp
+++ b/src/scheduler/gangs.cpp
@@ -5,8 +5,8 @@
 // anew once nothing of the old attempt is left anywhere. What is done is done by all.
 #include <algorithm>
 
-#include "actors/scheduler.h"
 #include "policy/gang.h"
+#include "scheduler/shard_scheduler.h"
 
 namespace cherryloft {
 
--- a/src/actors/scheduler_transfers.cpp
+++ b/src/scheduler/job_migration.cpp
@@ -8,7 +8,7 @@
 #include <algorithm>
 #include <cmath>
 
-#include "actors/scheduler.h"
+#include "scheduler/shard_scheduler.h"
 
 namespace cherryloft {
 namespace {
--- a/src/actors/scheduler_silence.cpp
+++ b/src/scheduler/liveness.cpp
@@ -1,7 +1,7 @@
 // The scheduler's judgement of machines that are not heard, or do not hear: leases that ran out, and doubt.
 #include <algorithm>
 
-#include "actors/scheduler.h"
+#include "scheduler/shard_scheduler.h"
 
 namespace cherryloft {
 namespace {
--- a/src/actors/scheduler_load.cpp
+++ b/src/scheduler/load_reports.cpp
@@ -3,7 +3,7 @@
 #include <array>
 #include <utility>
 
-#include "actors/scheduler.h"
+#include "scheduler/shard_scheduler.h"
 
 namespace cherryloft {
 namespace {
--- a/src/actors/scheduler_moves.cpp
+++ b/src/scheduler/machine_drain.cpp
@@ -1,7 +1,7 @@
 // What becomes of the scheduler's machines: the leader's wishes, and emptying.
 #include <algorithm>
 
-#include "actors/scheduler.h"
+#include "scheduler/shard_scheduler.h"
 
 namespace cherryloft {
 
--- a/src/actors/scheduler_records.cpp
+++ b/src/scheduler/machine_records_writer.cpp
@@ -2,8 +2,8 @@
 #include <algorithm>
 #include <utility>
 
-#include "actors/group_rewrite.h"
-#include "actors/scheduler.h"
+#include "cluster/machine_group_rewrite.h"
+#include "scheduler/shard_scheduler.h"
 
 namespace cherryloft {
 namespace {
--- a/src/actors/pages.cpp
+++ b/src/scheduler/placement_pages.cpp
@@ -1,4 +1,4 @@
-#include "actors/pages.h"
+#include "scheduler/placement_pages.h"
 
 namespace cherryloft {
 
--- a/src/actors/scheduler_rounds.cpp
+++ b/src/scheduler/placement_rounds.cpp
@@ -2,9 +2,9 @@
 #include <algorithm>
 #include <utility>
 
-#include "actors/scheduler.h"
 #include "policy/coupling.h"
 #include "policy/preempt.h"
+#include "scheduler/shard_scheduler.h"
 
 namespace cherryloft {
 namespace {
--- a/src/actors/scheduler_preemption.cpp
+++ b/src/scheduler/preemption.cpp
@@ -2,8 +2,8 @@
 #include <algorithm>
 #include <utility>
 
-#include "actors/scheduler.h"
 #include "policy/preempt.h"
+#include "scheduler/shard_scheduler.h"
 
 namespace cherryloft {
 namespace {
--- a/src/actors/scheduler.cpp
+++ b/src/scheduler/shard_scheduler.cpp
@@ -1,4 +1,4 @@
-#include "actors/scheduler.h"
+#include "scheduler/shard_scheduler.h"
 
 #include <algorithm>
 #include <charconv>
--- a/src/actors/scheduler.h
+++ b/src/scheduler/shard_scheduler.h
@@ -4,18 +4,18 @@
 #include <random>
 #include <set>
 
-#include "actors/books.h"
-#include "actors/failures.h"
-#include "actors/group_rewrite.h"
-#include "actors/membership.h"
-#include "actors/spans.h"
-#include "actors/store.h"
-#include "actors/transaction_draft.h"
+#include "cluster/machine_group_rewrite.h"
+#include "cluster/membership.h"
+#include "kvstore/key_value_store.h"
+#include "kvstore/transaction_builder.h"
 #include "mesh/messages.h"
 #include "policy/coupling.h"
 #include "policy/gang.h"
 #include "policy/order.h"
 #include "policy/preempt.h"
+#include "scheduler/failure_attribution.h"
+#include "scheduler/shard_state.h"
+#include "scheduler/start_latencies.h"
 #include "wire/users.h"
 
 namespace cherryloft {
--- a/src/actors/books.cpp
+++ b/src/scheduler/shard_state.cpp
@@ -1,4 +1,4 @@
-#include "actors/books.h"
+#include "scheduler/shard_state.h"
 
 #include <algorithm>
 #include <utility>
--- a/src/actors/books.h
+++ b/src/scheduler/shard_state.h
@@ -10,9 +10,9 @@
 #include <set>
 #include <unordered_map>
 
-#include "actors/directory.h"
-#include "actors/pages.h"
+#include "cluster/cluster_view.h"
 #include "net/server.h"
+#include "scheduler/placement_pages.h"
 #include "wire/workers.h"
 
 namespace cherryloft {
--- a/src/actors/spans.cpp
+++ b/src/scheduler/start_latencies.cpp
@@ -1,4 +1,4 @@
-#include "actors/spans.h"
+#include "scheduler/start_latencies.h"
 
 #include <algorithm>
 
--- a/src/actors/scheduler_failures.cpp
+++ b/src/scheduler/task_failures.cpp
@@ -1,7 +1,7 @@
 // Tasks that ended, and what failed ones say of their machine and of their job.
 #include <algorithm>
 
-#include "actors/scheduler.h"
+#include "scheduler/shard_scheduler.h"
 
 namespace cherryloft {
 namespace {
--- a/src/wire/store.cpp
+++ b/src/wire/kvstore.cpp
@@ -1,4 +1,4 @@
-#include "wire/store.h"
+#include "wire/kvstore.h"
 
 #include <algorithm>
 #include <numeric>
--- a/tests/unit/fleet_test.cpp
+++ b/tests/unit/autoscaling_test.cpp
@@ -3,8 +3,8 @@
 
 #include <nlohmann/json.hpp>
 
-#include "actors/fleet.h"
-#include "unit/clock_io.h"
+#include "autoscaler/autoscaler.h"
+#include "unit/clock_runtime.h"
 #include "world/world.h"
 
 using namespace cherryloft;
--- a/tests/unit/clock_io.h
+++ b/tests/unit/clock_runtime.h
@@ -1,7 +1,7 @@
 // An Io in virtual time for tests of single actors: who answers calls, and how, is the test's.
 #pragma once
 
-#include "actors/io.h"
+#include "runtime/runtime.h"
 #include "world/clock.h"
 
 namespace cherryloft {
--- a/tests/unit/failures_test.cpp
+++ b/tests/unit/failure_attribution_test.cpp
@@ -1,7 +1,7 @@
 // Who is to blame for failed tasks: their machine or their job.
 #include <gtest/gtest.h>
 
-#include "actors/failures.h"
+#include "scheduler/failure_attribution.h"
 
 namespace cherryloft {
 namespace {
--- a/tests/unit/group_commit_test.cpp
+++ b/tests/unit/group_commit_test.cpp
@@ -1,11 +1,11 @@
 // How creations of keys share transactions.
-#include "actors/group_commit.h"
+#include "kvstore/group_commit.h"
 
 #include <gtest/gtest.h>
 
 #include <nlohmann/json.hpp>
 
-#include "unit/store_queue_fixture.h"
+#include "unit/request_queue_fixture.h"
 
 using namespace cherryloft;
 
--- a/tests/unit/held_calls_io.h
+++ b/tests/unit/held_calls_runtime.h
@@ -5,7 +5,7 @@
 #include <string>
 #include <vector>
 
-#include "unit/clock_io.h"
+#include "unit/clock_runtime.h"
 
 namespace cherryloft {
 
--- a/tests/unit/deputy_test.cpp
+++ b/tests/unit/keep_alive_proxy_test.cpp
@@ -1,7 +1,7 @@
 // Answering in a sibling's name: who may, for how long, and what the owner must assume (invariant 15).
 #include <gtest/gtest.h>
 
-#include "actors/deputy.h"
+#include "cluster/keep_alive_proxy.h"
 
 using namespace cherryloft;
 
--- a/tests/unit/store_test.cpp
+++ b/tests/unit/key_value_store_test.cpp
@@ -1,7 +1,7 @@
 // The way to the state service under more questions than its budget can bear.
 #include <gtest/gtest.h>
 
-#include "actors/store.h"
+#include "kvstore/key_value_store.h"
 #include "world/world.h"
 
 using namespace cherryloft;
--- a/tests/unit/machine_adoption_test.cpp
+++ b/tests/unit/machine_adoption_test.cpp
@@ -1,5 +1,5 @@
 // To which shares machines are dealt that have no record.
-#include "actors/machine_adoption.h"
+#include "autoscaler/machine_adoption.h"
 
 #include <gtest/gtest.h>
 
--- a/tests/unit/group_rewrite_test.cpp
+++ b/tests/unit/machine_group_rewrite_test.cpp
@@ -1,6 +1,6 @@
 // Machine groups that have outgrown a value: every machine must stay in one group, and no write may be larger
 // than the state service takes.
-#include "actors/group_rewrite.h"
+#include "cluster/machine_group_rewrite.h"
 
 #include <gtest/gtest.h>
 
--- a/tests/unit/membership_test.cpp
+++ b/tests/unit/membership_test.cpp
@@ -1,8 +1,8 @@
 // A controller's hold at the state service.
 #include <gtest/gtest.h>
 
-#include "actors/membership.h"
-#include "unit/clock_io.h"
+#include "cluster/membership.h"
+#include "unit/clock_runtime.h"
 #include "world/world.h"
 
 using namespace cherryloft;
--- a/tests/unit/pages_test.cpp
+++ b/tests/unit/placement_pages_test.cpp
@@ -1,7 +1,7 @@
 // Which page of a share is written next.
 #include <gtest/gtest.h>
 
-#include "actors/pages.h"
+#include "scheduler/placement_pages.h"
 
 using namespace cherryloft;
 
--- a/tests/unit/policy_test.cpp
+++ b/tests/unit/policy_test.cpp
@@ -4,8 +4,8 @@
 
 #include "config/settings.h"
 #include "policy/admission.h"
+#include "policy/autoscaling.h"
 #include "policy/coupling.h"
-#include "policy/fleet.h"
 #include "policy/order.h"
 #include "policy/preempt.h"
 #include "world/world.h"
--- a/tests/unit/request_budget_test.cpp
+++ b/tests/unit/rate_limiter_test.cpp
@@ -1,5 +1,5 @@
 // How the budget of requests and changes fills and empties.
-#include "actors/request_budget.h"
+#include "kvstore/rate_limiter.h"
 
 #include <gtest/gtest.h>
 
--- a/tests/unit/recorded_examples_test.cpp
+++ b/tests/unit/recorded_examples_test.cpp
@@ -7,7 +7,7 @@
 #include <sstream>
 
 #include "mesh/messages.h"
-#include "wire/store.h"
+#include "wire/kvstore.h"
 
 namespace cherryloft {
 namespace {
--- a/tests/unit/store_queue_fixture.h
+++ b/tests/unit/request_queue_fixture.h
@@ -5,8 +5,8 @@
 
 #include <random>
 
-#include "actors/request_queue.h"
-#include "unit/held_calls_io.h"
+#include "kvstore/request_queue.h"
+#include "unit/held_calls_runtime.h"
 #include "world/world.h"
 
 namespace cherryloft {
--- a/tests/unit/request_queue_test.cpp
+++ b/tests/unit/request_queue_test.cpp
@@ -1,9 +1,9 @@
 // In which order requests to the state service are sent, and how many.
-#include "actors/request_queue.h"
+#include "kvstore/request_queue.h"
 
 #include <gtest/gtest.h>
 
-#include "unit/store_queue_fixture.h"
+#include "unit/request_queue_fixture.h"
 
 using namespace cherryloft;
 
--- a/tests/unit/rentals_test.cpp
+++ b/tests/unit/scale_out_test.cpp
@@ -1,11 +1,11 @@
 // How machines are ordered from the cloud, and what becomes of the orders.
-#include "actors/rentals.h"
+#include "autoscaler/scale_out.h"
 
 #include <gtest/gtest.h>
 
 #include <nlohmann/json.hpp>
 
-#include "unit/held_calls_io.h"
+#include "unit/held_calls_runtime.h"
 #include "world/world.h"
 
 using namespace cherryloft;
--- a/tests/unit/books_test.cpp
+++ b/tests/unit/shard_state_test.cpp
@@ -1,5 +1,5 @@
 // What a share's pages say, as the limits of the state service become smaller.
-#include "actors/books.h"
+#include "scheduler/shard_state.h"
 
 #include <gtest/gtest.h>
 
--- a/tests/unit/transaction_draft_test.cpp
+++ b/tests/unit/transaction_builder_test.cpp
@@ -1,5 +1,5 @@
 // The limits of a transaction: a write too many, or too large a body, would be refused by the state service.
-#include "actors/transaction_draft.h"
+#include "kvstore/transaction_builder.h"
 
 #include <gtest/gtest.h>
 
--- a/tests/unit/mirror_test.cpp
+++ b/tests/unit/watch_cache_test.cpp
@@ -1,7 +1,7 @@
 // What a mirror of the state service shows when answers come late and out of order.
 #include <gtest/gtest.h>
 
-#include "actors/store.h"
+#include "kvstore/key_value_store.h"
 #include "world/world.h"
 
 using namespace cherryloft;
--- a/tests/unit/wire_test.cpp
+++ b/tests/unit/wire_test.cpp
@@ -4,7 +4,7 @@
 
 #include "mesh/messages.h"
 #include "wire/json.h"
-#include "wire/store.h"
+#include "wire/kvstore.h"
 #include "wire/users.h"
 #include "wire/workers.h"
 #include "world/world.h"
--- a/tests/world/cloud.cpp
+++ b/tests/world/cloud.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <cstdio>
 
-#include "world/store.h"
+#include "world/key_value_store.h"
 
 namespace world {
 namespace {
--- a/tests/world/store.cpp
+++ b/tests/world/key_value_store.cpp
@@ -1,4 +1,4 @@
-#include "world/store.h"
+#include "world/key_value_store.h"
 
 #include <algorithm>
 #include <memory>
--- a/tests/world/world.h
+++ b/tests/world/world.h
@@ -4,9 +4,9 @@
 #include <array>
 #include <memory>
 
-#include "actors/node.h"
+#include "controller/controller.h"
 #include "world/cloud.h"
-#include "world/store.h"
+#include "world/key_value_store.h"
 
 namespace world {
 
