--- a/apps/cherryloft/main.cpp
+++ b/apps/cherryloft/main.cpp
@@ -37,7 +37,7 @@
       ->envname("CHERRYLOFT_SAMPLE")
       ->check(CLI::Range(1, 100000))
       ->capture_default_str();
-  app.add_option("--spare-share", tuning.spareShare, "room kept above what is asked for, as a share of it")
+  app.add_option("--spare-share", tuning.spareFraction, "room kept above what is asked for, as a share of it")
       ->envname("CHERRYLOFT_SPARE_SHARE")
       ->check(CLI::Range(0.0, 10.0))
       ->capture_default_str();
--- a/src/autoscaler/autoscaler.cpp
+++ b/src/autoscaler/autoscaler.cpp
@@ -22,10 +22,10 @@
       calls_(settings.cloudRps, io.now()),
       catalog_(context_),
       prices_(catalog_.prices()),
-      records_(context_, [this](const HostId& id) { return returns_.returned(id); }),
+      records_(context_, [this](const MachineId& id) { return returns_.returned(id); }),
       returns_(context_, [this](const policy::Offer& offer) { rentals_.available(offer); }),
       rentals_(context_, records_, seed),
-      adoption_(context_, catalog_, records_, returns_, [this] { return shareGaps(); }),
+      adoption_(context_, catalog_, records_, returns_, [this] { return shardGaps(); }),
       list_(context_, catalog_, adoption_, returns_) {}
 
 void Fleet::start() { tick(); }
@@ -42,8 +42,8 @@
   records_.restart();
 }
 
-void Fleet::load(const mesh::ShareLoad& l) {
-  auto& s = loads_[ShareNo{l.share}];
+void Fleet::load(const mesh::ShardLoad& l) {
+  auto& s = loads_[ShardId{l.shard}];
   if (s.load.epoch > l.epoch) return;
   s = {l, io_.now()};
 }
@@ -62,29 +62,29 @@
   if (!prices_.empty() && io_.now() - leadership_.since >= kSettle) plan();
 }
 
-policy::ShareFleet Fleet::fleetOf(ShareNo k) const {
+policy::ShardFleet Fleet::fleetOf(ShardId k) const {
   auto state = loads_.find(k);
   const auto* load = state == loads_.end() ? nullptr : &state->second.load;
-  auto fleet = describeShareFleet(k, load, dir_, prices_, io_.wall());
+  auto fleet = describeShardFleet(k, load, dir_, prices_, io_.wall());
   rentals_.addOrdered(k, fleet);
   return fleet;
 }
 
-ShareGaps Fleet::shareGaps() const {
-  ShareGaps gaps;
+ShardGaps Fleet::shardGaps() const {
+  ShardGaps gaps;
   for (std::uint32_t k = 0; k < settings_.size(); ++k) {
-    auto fleet = fleetOf(ShareNo{k});
-    auto& gap = gaps[ShareNo{k}];
+    auto fleet = fleetOf(ShardId{k});
+    auto& gap = gaps[ShardId{k}];
     gap.cores = fleet.firm.used + fleet.firm.waiting + fleet.lendable.used + fleet.lendable.waiting;
-    for (const auto& host : fleet.hosts) {
-      gap.cores -= host.cores;
-      ++gap.machinesOfType[host.type];
+    for (const auto& machine : fleet.machines) {
+      gap.cores -= machine.cores;
+      ++gap.machinesOfType[machine.type];
     }
   }
   return gaps;
 }
 
-void Fleet::startRental(ShareNo k, const policy::Wish& wish) {
+void Fleet::startRental(ShardId k, const policy::Wish& wish) {
   calls_.take();
   rentals_.start(k, wish);
 }
--- a/src/autoscaler/autoscaler.h
+++ b/src/autoscaler/autoscaler.h
@@ -1,4 +1,4 @@
-// Fleet: acts on the leader only. Plans the machines of all shares, and has its parts rent, adopt, record and
+// Fleet: acts on the leader only. Plans the machines of all shards, and has its parts rent, adopt, record and
 // return them. Machines that are to move or go are asked of their owners.
 #pragma once
 
@@ -17,7 +17,7 @@
 class Fleet {
  public:
   struct Outlet {
-    std::function<void(const mesh::HostWish&)> wish;  // to the owner of the share
+    std::function<void(const mesh::MachineDirective&)> wish;  // to the owner of the shard
     // Whether our hold is good this very moment: leadership was judged by a clock read before.
     std::function<bool()> entitled;
   };
@@ -25,32 +25,32 @@
         std::uint64_t seed, Outlet out);
   void start();
   void leading(bool yes);
-  void load(const mesh::ShareLoad& l);
+  void load(const mesh::ShardLoad& l);
   // A machine without a record has reported.
-  void hostSeen(const wire::Report& r) { adoption_.reported(r); }
+  void unrecordedMachineSeen(const wire::Report& r) { adoption_.reported(r); }
 
  private:
-  struct ShareState {
-    mesh::ShareLoad load;
+  struct ReportedLoad {
+    mesh::ShardLoad load;
     Time at;
   };
 
   void tick();
   void plan();
-  void planShare(ShareNo k, const policy::ShareFleet& f, const policy::Targets& t, double spareSpot);
-  void cede(const std::map<ShareNo, policy::ShareFleet>& fleets);
-  void rentInTurn(const std::map<ShareNo, policy::ShareFleet>& fleets,
-                  const std::map<ShareNo, policy::Targets>& targets);
-  static std::vector<ShareNo> byPressure(const std::map<ShareNo, policy::ShareFleet>& fleets,
-                                         const std::map<ShareNo, policy::Targets>& targets);
-  void emptySome(ShareNo k, const policy::ShareFleet& f, const policy::Targets& t);
-  double comingTo(ShareNo to);
-  void move(const std::map<ShareNo, policy::ShareFleet>& fleets,
-            const std::map<ShareNo, policy::Targets>& targets, bool beat);
-  void startRental(ShareNo k, const policy::Wish& wish);
-  policy::ShareFleet fleetOf(ShareNo k) const;
+  void planShard(ShardId k, const policy::ShardFleet& f, const policy::Targets& t, double spareSpot);
+  void cede(const std::map<ShardId, policy::ShardFleet>& fleets);
+  void rentInTurn(const std::map<ShardId, policy::ShardFleet>& fleets,
+                  const std::map<ShardId, policy::Targets>& targets);
+  static std::vector<ShardId> byPressure(const std::map<ShardId, policy::ShardFleet>& fleets,
+                                         const std::map<ShardId, policy::Targets>& targets);
+  void emptySome(ShardId k, const policy::ShardFleet& f, const policy::Targets& t);
+  double comingTo(ShardId to);
+  void move(const std::map<ShardId, policy::ShardFleet>& fleets,
+            const std::map<ShardId, policy::Targets>& targets, bool beat);
+  void startRental(ShardId k, const policy::Wish& wish);
+  policy::ShardFleet fleetOf(ShardId k) const;
   std::set<policy::Offer> unavailable() const { return rentals_.refused(); }
-  ShareGaps shareGaps() const;
+  ShardGaps shardGaps() const;
 
   const Settings& settings_;
   Io& io_;
@@ -67,16 +67,16 @@
   Rentals rentals_;
   MachineAdoption adoption_;
   MachineList list_;
-  std::map<ShareNo, ShareState> loads_;
+  std::map<ShardId, ReportedLoad> loads_;
   Time moveAt_{};
   struct Moving {
-    ShareNo to;
+    ShardId to;
     Time at;
     double cores;
   };
-  std::map<HostId, Moving> moving_;
-  std::map<ShareNo, Time> cededAt_;
-  std::map<HostId, Time> asked_;  // machines whose owner was told to give them up
+  std::map<MachineId, Moving> moving_;
+  std::map<ShardId, Time> cededAt_;
+  std::map<MachineId, Time> asked_;  // machines whose owner was told to give them up
 };
 
 }  // namespace cherryloft
--- a/src/autoscaler/machine_adoption.cpp
+++ b/src/autoscaler/machine_adoption.cpp
@@ -12,14 +12,14 @@
 constexpr Duration kAskAgain{1'000};
 constexpr std::size_t kMostAsking = 16;  // machines that turned up, asked at a time
 
-long machinesOfType(const ShareGap& gap, const std::string& type) {
+long machinesOfType(const ShardGap& gap, const std::string& type) {
   auto it = gap.machinesOfType.find(type);
   return it == gap.machinesOfType.end() ? 0 : it->second;
 }
 
 }  // namespace
 
-ShareNo neediestShare(const ShareGaps& gaps, const std::string& type) {
+ShardId neediestShard(const ShardGaps& gaps, const std::string& type) {
   auto needier = [&](const auto& a, const auto& b) {
     long ofA = machinesOfType(a.second, type);
     long ofB = machinesOfType(b.second, type);
@@ -41,21 +41,21 @@
   waiting_.clear();
 }
 
-void MachineAdoption::adopt(const HostId& id, wire::HostRecord record) {
+void MachineAdoption::adopt(const MachineId& id, wire::MachineRecord record) {
   if (records_.pending(id)) return;
   if (waiting_.empty()) dealAt_ = context_.io.now() + kDealTogether;
   waiting_.emplace(id, std::move(record));
 }
 
-bool MachineAdoption::unknown(const HostId& id) const {
-  return context_.directory.hosts.count(id) == 0 && !returns_.returned(id);
+bool MachineAdoption::unknown(const MachineId& id) const {
+  return context_.directory.machines.count(id) == 0 && !returns_.returned(id);
 }
 
 // Its report may be a late copy, and the machine gone: it is asked.
 void MachineAdoption::reported(const wire::Report& report) {
-  if (!context_.leadership.active || !unknown(report.host) || report.address.empty()) return;
-  if (records_.pending(report.host) || asking_.size() >= kMostAsking) return;
-  if (!asking_.insert(report.host).second) return;
+  if (!context_.leadership.active || !unknown(report.machine) || report.address.empty()) return;
+  if (records_.pending(report.machine) || asking_.size() >= kMostAsking) return;
+  if (!asking_.insert(report.machine).second) return;
   Address address;
   try {
     address = parseAddress(report.address);
@@ -63,26 +63,26 @@
     return;
   }
   context_.io.call(address, {"GET", "/show", "", false}, kAskDeadline,
-                   [this, id = report.host](const HttpResult& result) { asked(id, result); });
+                   [this, id = report.machine](const HttpResult& result) { asked(id, result); });
 }
 
-void MachineAdoption::asked(const HostId& id, const HttpResult& result) {
+void MachineAdoption::asked(const MachineId& id, const HttpResult& result) {
   auto report = result.answered(200) ? wire::parseReport(result.response.body) : std::nullopt;
   context_.io.after(kAskAgain, [this, id] { asking_.erase(id); });
-  if (!context_.leadership.active || !report || report->host != id || !unknown(id)) return;
-  adopt(id, {ShareNo{}, Epoch{}, wire::HostPhase::InUse, report->type, report->zone, report->spot,
+  if (!context_.leadership.active || !report || report->machine != id || !unknown(id)) return;
+  adopt(id, {ShardId{}, Epoch{}, wire::MachinePhase::InUse, report->type, report->zone, report->spot,
              report->address, context_.io.wall()});
 }
 
-// The small ones first, so that each share has some of each size: services settle on the smallest.
-std::vector<HostId> MachineAdoption::smallestFirst() const {
-  std::vector<std::pair<double, HostId>> bySize;
+// The small ones first, so that each shard has some of each size: services settle on the smallest.
+std::vector<MachineId> MachineAdoption::smallestFirst() const {
+  std::vector<std::pair<double, MachineId>> bySize;
   for (const auto& [id, record] : waiting_) {
     const auto* type = findType(catalog_.prices(), record.type);
     bySize.emplace_back(type ? type->size.cores : 1, id);
   }
   std::sort(bySize.begin(), bySize.end());
-  std::vector<HostId> ids;
+  std::vector<MachineId> ids;
   ids.reserve(bySize.size());
   for (const auto& [_, id] : bySize) ids.push_back(id);
   return ids;
@@ -93,22 +93,22 @@
   auto order = smallestFirst();
   auto waiting = std::exchange(waiting_, {});
   auto gaps = findGaps_();
-  std::map<std::tuple<ShareNo, std::string, Zone, bool>, wire::GroupRecord> groups;
+  std::map<std::tuple<ShardId, std::string, Zone, bool>, wire::GroupRecord> groups;
   for (const auto& id : order) {
     const auto& record = waiting.at(id);
-    auto share = neediestShare(gaps, record.type);
-    auto& gap = gaps[share];
+    auto shard = neediestShard(gaps, record.type);
+    auto& gap = gaps[shard];
     const auto* type = findType(catalog_.prices(), record.type);
     gap.cores -= type ? type->size.cores : 1;
     ++gap.machinesOfType[record.type];
     records_.markPending(id);
-    wire::GroupRecord fresh{share, Epoch{}, record.type, record.zone, record.spot, context_.io.wall(), {}};
-    auto& group = groups.try_emplace({share, record.type, record.zone, record.spot}, fresh).first->second;
-    group.members.push_back({id, wire::HostPhase::InUse, record.address});
+    wire::GroupRecord fresh{shard, Epoch{}, record.type, record.zone, record.spot, context_.io.wall(), {}};
+    auto& group = groups.try_emplace({shard, record.type, record.zone, record.spot}, fresh).first->second;
+    group.members.push_back({id, wire::MachinePhase::InUse, record.address});
   }
   for (const auto& [_, group] : groups) {
     context_.log->info("adopting {} {} in {} for share {}", group.members.size(), group.type,
-                       group.zone.value, group.share.value);
+                       group.zone.value, group.shard.value);
     records_.create(group);
   }
 }
--- a/src/autoscaler/machine_inventory.cpp
+++ b/src/autoscaler/machine_inventory.cpp
@@ -16,55 +16,56 @@
 
 void MachineList::refresh(CallBudget& calls) {
   bool due = askedAt_ == Time{} || context_.io.now() - askedAt_ >= kRefreshEvery;
-  if (!fetching_ && due && calls.tryTake()) fetchFrom("", std::make_shared<Hosts>());
+  if (!fetching_ && due && calls.tryTake()) fetchFrom("", std::make_shared<Machines>());
 }
 
-void MachineList::fetchFrom(const std::string& since, const std::shared_ptr<Hosts>& hosts) {
+void MachineList::fetchFrom(const std::string& since, const std::shared_ptr<Machines>& machines) {
   fetching_ = true;
   askedAt_ = context_.io.now();
   std::string path = "/hosts?limit=500";
   if (!since.empty()) path += "&since=" + since;
-  context_.callCloud({"GET", path, "", false}, [this, hosts](const HttpResult& result) {
-    auto page = result.answered(200) ? wire::parseHosts(result.response.body) : std::nullopt;
+  context_.callCloud({"GET", path, "", false}, [this, machines](const HttpResult& result) {
+    auto page = result.answered(200) ? wire::parseMachines(result.response.body) : std::nullopt;
     if (!page) {
       fetching_ = false;
       return;
     }
-    bool more = page->truncated && !page->hosts.empty();
-    std::move(page->hosts.begin(), page->hosts.end(), std::back_inserter(*hosts));
-    if (more) return fetchFrom(hosts->back().id.value, hosts);
+    bool more = page->truncated && !page->machines.empty();
+    std::move(page->machines.begin(), page->machines.end(), std::back_inserter(*machines));
+    if (more) return fetchFrom(machines->back().id.value, machines);
     fetching_ = false;
-    if (context_.leadership.active) fetched(*hosts);
+    if (context_.leadership.active) fetched(*machines);
   });
 }
 
-void MachineList::fetched(const Hosts& hosts) {
+void MachineList::fetched(const Machines& machines) {
   listedAt_ = askedAt_;
-  for (const auto& host : hosts) {
-    seen_.try_emplace(host.id, Seen{askedAt_, askedAt_}).first->second.last = askedAt_;
-    if (context_.directory.hosts.count(host.id) == 0)
-      reviewUnrecorded(host);
+  for (const auto& machine : machines) {
+    seen_.try_emplace(machine.id, Seen{askedAt_, askedAt_}).first->second.last = askedAt_;
+    if (context_.directory.machines.count(machine.id) == 0)
+      reviewUnrecorded(machine);
     else
-      reviewRecorded(host);
+      reviewRecorded(machine);
   }
 }
 
 // Rented by a leader that did not live to note it, or there from the start.
-void MachineList::reviewUnrecorded(const wire::ListedHost& host) {
+void MachineList::reviewUnrecorded(const wire::ListedMachine& machine) {
   bool settled = context_.io.now() - context_.leadership.since >= kSettle;
-  if (host.state == wire::ListedHost::State::Failed || returns_.returned(host.id) || !settled) return;
-  adoption_.adopt(host.id, {ShareNo{}, Epoch{}, wire::HostPhase::InUse, host.type, host.zone, host.spot,
-                            host.address, context_.io.wall()});
+  if (machine.state == wire::ListedMachine::State::Failed || returns_.returned(machine.id) || !settled)
+    return;
+  adoption_.adopt(machine.id, {ShardId{}, Epoch{}, wire::MachinePhase::InUse, machine.type, machine.zone,
+                               machine.spot, machine.address, context_.io.wall()});
 }
 
-void MachineList::reviewRecorded(const wire::ListedHost& host) {
-  const auto& record = context_.directory.hosts.at(host.id).record;
-  if (record.phase == wire::HostPhase::Returning) return;
-  if (host.state == wire::ListedHost::State::Failed) returns_.request(host.id, "failed");
-  const auto* type = findType(catalog_.prices(), host.type);
-  bool starting = host.state == wire::ListedHost::State::Starting;
-  if (starting && type && host.heldS > kNeverUp * type->bootS + kNeverUpPlusS)
-    returns_.request(host.id, "never came up");
+void MachineList::reviewRecorded(const wire::ListedMachine& machine) {
+  const auto& record = context_.directory.machines.at(machine.id).record;
+  if (record.phase == wire::MachinePhase::Returning) return;
+  if (machine.state == wire::ListedMachine::State::Failed) returns_.request(machine.id, "failed");
+  const auto* type = findType(catalog_.prices(), machine.type);
+  bool starting = machine.state == wire::ListedMachine::State::Starting;
+  if (starting && type && machine.heldS > kNeverUp * type->bootS + kNeverUpPlusS)
+    returns_.request(machine.id, "never came up");
 }
 
 void MachineList::reviewRecords() {
@@ -78,16 +79,16 @@
 void MachineList::reviewNoLongerListed() {
   auto now = context_.io.now();
   double lagS = context_.settings.listLagS;
-  const auto& hosts = context_.directory.hosts;
+  const auto& machines = context_.directory.machines;
   for (auto it = seen_.begin(); it != seen_.end();) {
     const auto& [id, seen] = *it;
-    auto known = hosts.find(id);
-    if (known == hosts.end() && now - seen.last > seconds(4 * lagS)) {
+    auto known = machines.find(id);
+    if (known == machines.end() && now - seen.last > seconds(4 * lagS)) {
       it = seen_.erase(it);
       continue;
     }
     bool gone = seen.last < listedAt_ && listedAt_ - seen.first > seconds(2 * lagS + 2);
-    if (known != hosts.end() && gone && known->second.record.phase != wire::HostPhase::Returning)
+    if (known != machines.end() && gone && known->second.record.phase != wire::MachinePhase::Returning)
       returns_.request(id, "not listed any more");
     ++it;
   }
@@ -96,9 +97,9 @@
 // Records of machines that were gone before any list named them.
 void MachineList::reviewNeverListed() {
   auto listAgeS = inSeconds(context_.io.now() - listedAt_);
-  for (const auto& [id, host] : context_.directory.hosts) {
-    if (host.record.phase != wire::HostPhase::InUse || seen_.count(id) > 0) continue;
-    auto ageMs = context_.io.wall().value - host.record.since.value;
+  for (const auto& [id, machine] : context_.directory.machines) {
+    if (machine.record.phase != wire::MachinePhase::InUse || seen_.count(id) > 0) continue;
+    auto ageMs = context_.io.wall().value - machine.record.since.value;
     double ageAtListS = static_cast<double>(ageMs) / kMsPerSecond - listAgeS;
     if (ageAtListS > 4 * context_.settings.listLagS + kNeverListedPlusS)
       returns_.request(id, "was never listed");
--- a/src/autoscaler/machine_inventory.h
+++ b/src/autoscaler/machine_inventory.h
@@ -23,14 +23,14 @@
   void reviewRecords();
 
  private:
-  using Hosts = std::vector<wire::ListedHost>;
+  using Machines = std::vector<wire::ListedMachine>;
   struct Seen {
     Time first{}, last{};  // lists that named it
   };
-  void fetchFrom(const std::string& since, const std::shared_ptr<Hosts>& hosts);
-  void fetched(const Hosts& hosts);
-  void reviewUnrecorded(const wire::ListedHost& host);
-  void reviewRecorded(const wire::ListedHost& host);
+  void fetchFrom(const std::string& since, const std::shared_ptr<Machines>& machines);
+  void fetched(const Machines& machines);
+  void reviewUnrecorded(const wire::ListedMachine& machine);
+  void reviewRecorded(const wire::ListedMachine& machine);
   void reviewNoLongerListed();
   void reviewNeverListed();
 
@@ -41,7 +41,7 @@
   Time askedAt_{};
   Time listedAt_{};  // when the last list that came was asked for
   bool fetching_ = false;
-  std::map<HostId, Seen> seen_;
+  std::map<MachineId, Seen> seen_;
 };
 
 }  // namespace cherryloft
--- a/src/autoscaler/machine_records.cpp
+++ b/src/autoscaler/machine_records.cpp
@@ -25,9 +25,9 @@
   auto seen = [this, since = context_.leadership.since](bool ok) {
     if (context_.leadership.continues(since)) caughtUp(ok);
   };
-  context_.store.catchUp(keys::kShares, [this, seen](bool ok) {
+  context_.store.catchUp(keys::kShards, [this, seen](bool ok) {
     if (!ok) return seen(false);
-    context_.store.catchUp(keys::kHosts, seen);
+    context_.store.catchUp(keys::kMachines, seen);
   });
 }
 
@@ -88,7 +88,7 @@
 // Leaves the machines that have no record yet, and notes them as sent.
 void MachineRecords::dropKnown(wire::GroupRecord& group) {
   std::erase_if(group.members, [&](const auto& member) {
-    bool known = context_.directory.hosts.count(member.id) > 0 || wasReturned_(member.id);
+    bool known = context_.directory.machines.count(member.id) > 0 || wasReturned_(member.id);
     if (known) pending_.erase(member.id);
     return known || !sent_.insert(member.id).second;
   });
--- a/src/autoscaler/machine_records.h
+++ b/src/autoscaler/machine_records.h
@@ -13,7 +13,7 @@
 class MachineRecords {
  public:
   // Whether a machine was returned already, and must not be recorded again.
-  using WasReturned = std::function<bool(const HostId&)>;
+  using WasReturned = std::function<bool(const MachineId&)>;
 
   MachineRecords(const FleetContext& context, WasReturned wasReturned)
       : context_(context), wasReturned_(std::move(wasReturned)) {}
@@ -22,8 +22,8 @@
   // Whether all that former leaders recorded, and we did, is in view.
   bool current() const { return current_; }
   // Whether a record of the machine is on its way.
-  bool pending(const HostId& id) const { return pending_.count(id) > 0; }
-  void markPending(const HostId& id) { pending_.insert(id); }
+  bool pending(const MachineId& id) const { return pending_.count(id) > 0; }
+  void markPending(const MachineId& id) { pending_.insert(id); }
   // Creates records of all members, in as many groups as they need.
   void create(const wire::GroupRecord& machines);
 
@@ -39,8 +39,8 @@
   WasReturned wasReturned_;
   bool current_ = false;
   std::deque<wire::GroupRecord> waiting_;
-  std::set<HostId> sent_;     // machines of groups on their way, until what became of them is in view
-  std::set<HostId> pending_;  // these, and those that wait for their turn
+  std::set<MachineId> sent_;     // machines of groups on their way, until what became of them is in view
+  std::set<MachineId> pending_;  // these, and those that wait for their turn
 };
 
 }  // namespace cherryloft
--- a/src/autoscaler/planning.cpp
+++ b/src/autoscaler/planning.cpp
@@ -1,4 +1,4 @@
-// What the fleet should become: which shares rent, which machines move between shares, and which go.
+// What the fleet should become: which shards rent, which machines move between shards, and which go.
 #include <algorithm>
 
 #include "autoscaler/autoscaler.h"
@@ -12,26 +12,26 @@
 constexpr Duration kMoveTakes{20'000};  // after which a machine asked to move is taken to stay
 constexpr double kMinIdleS = 10;
 constexpr double kMinAgeS = 60;          // what the cloud charges at least
-constexpr unsigned kMostLetGo = 20;      // idle machines of a share in a turn
+constexpr unsigned kMostLetGo = 20;      // idle machines of a shard in a turn
 constexpr std::size_t kMostEmptied = 8;  // busy ones
 
 }  // namespace
 
 void Fleet::plan() {
   auto now = io_.now();
-  std::map<ShareNo, policy::ShareFleet> fleets;
-  std::map<ShareNo, policy::Targets> targets;
+  std::map<ShardId, policy::ShardFleet> fleets;
+  std::map<ShardId, policy::Targets> targets;
   for (std::uint32_t k = 0; k < settings_.size(); ++k) {
-    auto s = loads_.find(ShareNo{k});
+    auto s = loads_.find(ShardId{k});
     if (s == loads_.end() || now - s->second.at > kLoadStale) continue;
-    fleets[ShareNo{k}] = fleetOf(ShareNo{k});
-    targets[ShareNo{k}] =
-        policy::targets(fleets[ShareNo{k}], prices_, settings_.tuning.spareShare, settings_.patienceS());
+    fleets[ShardId{k}] = fleetOf(ShardId{k});
+    targets[ShardId{k}] =
+        policy::targets(fleets[ShardId{k}], prices_, settings_.tuning.spareFraction, settings_.patienceS());
   }
   bool beat = now - moveAt_ >= settings_.tuning.moveEvery;
   if (beat) moveAt_ = now;
   move(fleets, targets, beat);
-  // Spare room is common to all shares, as idle machines are moved on request.
+  // Spare room is common to all shards, as idle machines are moved on request.
   double spare = 0, burst = 0;
   for (const auto& [k, f] : fleets) {
     spare += policy::coresOf(f) - targets[k].ample;
@@ -39,96 +39,98 @@
   }
   rentInTurn(fleets, targets);
   cede(fleets);
-  for (const auto& [k, f] : fleets) planShare(k, f, targets[k], spare - burst);
+  for (const auto& [k, f] : fleets) planShard(k, f, targets[k], spare - burst);
 }
 
-// A share with work and no machine at all, while the cloud has none to give: the largest share cedes one, so
+// A shard with work and no machine at all, while the cloud has none to give: the largest shard cedes one, so
 // that none of its teams starves.
-void Fleet::cede(const std::map<ShareNo, policy::ShareFleet>& fleets) {
+void Fleet::cede(const std::map<ShardId, policy::ShardFleet>& fleets) {
   auto now = io_.now();
   for (const auto& [to, need] : fleets) {
-    bool has = std::any_of(need.hosts.begin(), need.hosts.end(), [](const auto& h) { return h.cores > 0; });
+    bool has =
+        std::any_of(need.machines.begin(), need.machines.end(), [](const auto& h) { return h.cores > 0; });
     if (has || need.firm.waiting + need.lendable.waiting <= 0 || now - cededAt_[to] < kCedeAgain) continue;
     auto rich = std::max_element(fleets.begin(), fleets.end(), [](const auto& a, const auto& b) {
-      return a.second.hosts.size() < b.second.hosts.size();
+      return a.second.machines.size() < b.second.machines.size();
     });
-    if (rich->second.hosts.size() < 2) continue;
-    for (const auto& h : loads_[rich->first].load.hosts) {
+    if (rich->second.machines.size() < 2) continue;
+    for (const auto& h : loads_[rich->first].load.machines) {
       if (!h.usable || (h.spot && need.lendable.waiting <= 0)) continue;
       cededAt_[to] = now;
-      log_->info("share {} cedes {} to share {}", rich->first.value, h.host, to.value);
-      out_.wish({rich->first.value, h.host, mesh::HostWish::Cede, to.value});
+      log_->info("share {} cedes {} to share {}", rich->first.value, h.machine, to.value);
+      out_.wish({rich->first.value, h.machine, mesh::MachineDirective::Cede, to.value});
       break;
     }
   }
 }
 
-// One rental for each share in turn, the most pressed first, so that the first in line does not take all
+// One rental for each shard in turn, the most pressed first, so that the first in line does not take all
 // there is.
-void Fleet::rentInTurn(const std::map<ShareNo, policy::ShareFleet>& fleets,
-                       const std::map<ShareNo, policy::Targets>& targets) {
+void Fleet::rentInTurn(const std::map<ShardId, policy::ShardFleet>& fleets,
+                       const std::map<ShardId, policy::Targets>& targets) {
   auto planned = fleets;
   auto offers = unavailable();
   for (bool any = true; any && calls_ >= 1;) {
     any = false;
     for (auto k : byPressure(planned, targets)) {
       auto& f = planned[k];
-      bool keeps = std::any_of(f.hosts.begin(), f.hosts.end(), [](const auto& h) { return h.emptying; });
+      bool keeps =
+          std::any_of(f.machines.begin(), f.machines.end(), [](const auto& h) { return h.emptying; });
       if (calls_ < 1 || (keeps && policy::isShort(f, targets.at(k)))) continue;  // planShare keeps that one
       auto wish = policy::rent(f, targets.at(k), prices_, offers);
       if (!wish) continue;
       startRental(k, *wish);
-      f.hosts.push_back({wish->offer.type,
-                         wish->offer.zone,
-                         wish->offer.spot,
-                         wish->cores,
-                         true,
-                         -1,
-                         0,
-                         0,
-                         false,
-                         false,
-                         {}});
+      f.machines.push_back({wish->offer.type,
+                            wish->offer.zone,
+                            wish->offer.spot,
+                            wish->cores,
+                            true,
+                            -1,
+                            0,
+                            0,
+                            false,
+                            false,
+                            {}});
       any = true;
     }
   }
 }
 
-std::vector<ShareNo> Fleet::byPressure(const std::map<ShareNo, policy::ShareFleet>& fleets,
-                                       const std::map<ShareNo, policy::Targets>& targets) {
-  std::vector<ShareNo> out;
+std::vector<ShardId> Fleet::byPressure(const std::map<ShardId, policy::ShardFleet>& fleets,
+                                       const std::map<ShardId, policy::Targets>& targets) {
+  std::vector<ShardId> out;
   out.reserve(fleets.size());
   for (const auto& [k, _] : fleets) out.push_back(k);
-  std::stable_sort(out.begin(), out.end(), [&](ShareNo a, ShareNo b) {
+  std::stable_sort(out.begin(), out.end(), [&](ShardId a, ShardId b) {
     return policy::pressure(fleets.at(a), targets.at(a)) > policy::pressure(fleets.at(b), targets.at(b));
   });
   return out;
 }
 
-void Fleet::planShare(ShareNo k, const policy::ShareFleet& f, const policy::Targets& t, double spareSpot) {
+void Fleet::planShard(ShardId k, const policy::ShardFleet& f, const policy::Targets& t, double spareSpot) {
   auto now = io_.now();
   if (log_->should_log(spdlog::level::debug)) {
     double ordinary = 0, spot = 0;
-    for (const auto& h : f.hosts)
+    for (const auto& h : f.machines)
       if (h.counts) (h.spot ? spot : ordinary) += h.cores;
     log_->debug("share {}: firm {}+{} lendable {}+{} wants {} of {}, has {}+{} spot", k.value, f.firm.used,
                 f.firm.waiting, f.lendable.used, f.lendable.waiting, t.ordinary, t.total, ordinary, spot);
   }
-  for (auto& h : loads_[k].load.hosts) {
+  for (auto& h : loads_[k].load.machines) {
     if (!h.emptying || h.idleS <= 0) continue;
-    auto& asked = asked_[HostId{h.host}];
+    auto& asked = asked_[MachineId{h.machine}];
     if (asked != Time{} && now - asked < kAskAgain) continue;
     asked = now;
-    out_.wish({k.value, h.host, mesh::HostWish::Return, 0});
+    out_.wish({k.value, h.machine, mesh::MachineDirective::Return, 0});
   }
   if (policy::isShort(f, t)) {
     // A machine that was to empty itself is back at once, and paid for already.
-    auto& hosts = loads_[k].load.hosts;
-    auto kept =
-        std::find_if(hosts.begin(), hosts.end(), [](const auto& h) { return h.emptying && h.idleS <= 0; });
-    if (kept != hosts.end()) {
+    auto& machines = loads_[k].load.machines;
+    auto kept = std::find_if(machines.begin(), machines.end(),
+                             [](const auto& h) { return h.emptying && h.idleS <= 0; });
+    if (kept != machines.end()) {
       kept->emptying = false;
-      out_.wish({k.value, kept->host, mesh::HostWish::Keep, 0});
+      out_.wish({k.value, kept->machine, mesh::MachineDirective::Keep, 0});
     }
     return;
   }
@@ -139,7 +141,7 @@
   while (gone < kMostLetGo) {
     auto go = policy::letGo(left, t, prices_, kMinIdleS, spareSpot);
     if (!go) break;
-    auto& want = left.hosts[*go];
+    auto& want = left.machines[*go];
     want.counts = false;
     if (want.spot) spareSpot -= want.cores;
     ++gone;
@@ -147,31 +149,31 @@
     if (asked != Time{} && now - asked < kAskAgain) continue;
     asked = now;
     log_->info("letting go of idle {}", want.id.value);
-    out_.wish({k.value, want.id.value, mesh::HostWish::Return, 0});
+    out_.wish({k.value, want.id.value, mesh::MachineDirective::Return, 0});
   }
   emptySome(k, f, t);
 }
 
 // Consolidates: machines that the others can do without take no more work.
-void Fleet::emptySome(ShareNo k, const policy::ShareFleet& f, const policy::Targets& t) {
+void Fleet::emptySome(ShardId k, const policy::ShardFleet& f, const policy::Targets& t) {
   std::set<std::string> chosen;
   for (auto index : policy::toEmpty(f, t, prices_, kMinAgeS, kMostEmptied))
-    chosen.insert(f.hosts[index].id.value);
-  for (auto& h : loads_[k].load.hosts) {
-    if (chosen.count(h.host) == 0) continue;
+    chosen.insert(f.machines[index].id.value);
+  for (auto& h : loads_[k].load.machines) {
+    if (chosen.count(h.machine) == 0) continue;
     h.emptying = true;
-    log_->info("share {} empties {}", k.value, h.host);
-    out_.wish({k.value, h.host, mesh::HostWish::Empty, 0});
+    log_->info("share {} empties {}", k.value, h.machine);
+    out_.wish({k.value, h.machine, mesh::MachineDirective::Empty, 0});
   }
 }
 
-// Cores of machines that were asked to move to a share and are not recorded there yet: a record may take its
-// time, and a share that waits for it must not be sent ever more machines.
-double Fleet::comingTo(ShareNo to) {
+// Cores of machines that were asked to move to a shard and are not recorded there yet: a record may take its
+// time, and a shard that waits for it must not be sent ever more machines.
+double Fleet::comingTo(ShardId to) {
   double cores = 0;
   std::erase_if(moving_, [&](const auto& m) {
-    auto h = dir_.hosts.find(m.first);
-    return h == dir_.hosts.end() || h->second.record.share == m.second.to ||
+    auto h = dir_.machines.find(m.first);
+    return h == dir_.machines.end() || h->second.record.shard == m.second.to ||
            io_.now() - m.second.at > kMoveTakes;
   });
   for (const auto& [_, m] : moving_)
@@ -179,10 +181,10 @@
   return cores;
 }
 
-// The design's rebalancing: idle machines of shares that can spare them go to waiting work. Between two beats
-// the same is done for one machine a share and turn, on request (DESIGN.md, exceptions).
-void Fleet::move(const std::map<ShareNo, policy::ShareFleet>& fleets,
-                 const std::map<ShareNo, policy::Targets>& targets, bool beat) {
+// The design's rebalancing: idle machines of shards that can spare them go to waiting work. Between two beats
+// the same is done for one machine a shard and turn, on request (DESIGN.md, exceptions).
+void Fleet::move(const std::map<ShardId, policy::ShardFleet>& fleets,
+                 const std::map<ShardId, policy::Targets>& targets, bool beat) {
   auto now = io_.now();
   for (auto to : byPressure(fleets, targets)) {
     const auto& need = fleets.at(to);
@@ -191,20 +193,20 @@
       if (from == to) continue;
       const auto& t = targets.at(from);
       double left = policy::coresOf(spare) - t.total;
-      for (auto& h : loads_[from].load.hosts) {
+      for (auto& h : loads_[from].load.machines) {
         const auto* type = findType(prices_, h.type);
         bool spareable = h.emptying || (h.usable && type && type->size.cores <= left);
         if (missing <= 0 || !type || h.idleS <= 0 || !spareable) continue;
         if (h.spot && need.lendable.waiting <= 0) continue;
-        auto& asked = asked_[HostId{h.host}];
+        auto& asked = asked_[MachineId{h.machine}];
         if (asked != Time{} && now - asked < kAskAgain) continue;
         asked = now;
         if (!h.emptying) left -= type->size.cores;
         missing -= type->size.cores;
         h.idleS = 0;
-        moving_[HostId{h.host}] = {to, now, type->size.cores};
-        log_->info("moving {} from share {} to {}", h.host, from.value, to.value);
-        out_.wish({from.value, h.host, mesh::HostWish::Move, to.value});
+        moving_[MachineId{h.machine}] = {to, now, type->size.cores};
+        log_->info("moving {} from share {} to {}", h.machine, from.value, to.value);
+        out_.wish({from.value, h.machine, mesh::MachineDirective::Move, to.value});
         if (!beat) break;
       }
     }
--- a/src/autoscaler/scale_in.cpp
+++ b/src/autoscaler/scale_in.cpp
@@ -12,16 +12,16 @@
 
 }  // namespace
 
-void MachineReturns::request(const HostId& id, const char* why) {
-  if (context_.directory.hosts.count(id) == 0 || !toMark_.insert(id).second) return;
+void MachineReturns::request(const MachineId& id, const char* why) {
+  if (context_.directory.machines.count(id) == 0 || !toMark_.insert(id).second) return;
   context_.log->info("{} {}: returning it", id.value, why);
 }
 
 void MachineReturns::markRequested() {
-  const auto& hosts = context_.directory.hosts;
-  std::erase_if(toMark_, [&](const HostId& id) {
-    auto host = hosts.find(id);
-    return host == hosts.end() || host->second.record.phase == wire::HostPhase::Returning;
+  const auto& machines = context_.directory.machines;
+  std::erase_if(toMark_, [&](const MachineId& id) {
+    auto machine = machines.find(id);
+    return machine == machines.end() || machine->second.record.phase == wire::MachinePhase::Returning;
   });
   if (toMark_.empty() || marking_ || !context_.directory.leader) return;
   marking_ = true;
@@ -40,19 +40,19 @@
 }
 
 // As many as one call takes, of as many groups as one transaction takes.
-std::vector<HostId> MachineReturns::markedMachines() const {
-  std::vector<HostId> machines;
+std::vector<MachineId> MachineReturns::markedMachines() const {
+  std::vector<MachineId> machines;
   std::set<std::string> groups;
-  for (const auto& [id, host] : context_.directory.hosts) {
-    if (host.record.phase != wire::HostPhase::Returning || machines.size() >= kMostReturns) continue;
-    if (groups.count(host.group) == 0 && groups.size() >= context_.settings.txnOps) continue;
-    groups.insert(host.group);
+  for (const auto& [id, machine] : context_.directory.machines) {
+    if (machine.record.phase != wire::MachinePhase::Returning || machines.size() >= kMostReturns) continue;
+    if (groups.count(machine.group) == 0 && groups.size() >= context_.settings.txnOps) continue;
+    groups.insert(machine.group);
     machines.push_back(id);
   }
   return machines;
 }
 
-void MachineReturns::answered(const std::vector<HostId>& machines, const HttpResult& result) {
+void MachineReturns::answered(const std::vector<MachineId>& machines, const HttpResult& result) {
   returning_ = result.answered(200) && context_.leadership.active && context_.directory.leader;
   if (!returning_) return;
   for (const auto& id : machines) noteReturned(id);
@@ -61,10 +61,10 @@
   if (written.empty()) returning_ = false;
 }
 
-void MachineReturns::noteReturned(const HostId& id) {
+void MachineReturns::noteReturned(const MachineId& id) {
   context_.log->info("{} returned", id.value);
-  auto known = context_.directory.hosts.find(id);
-  if (known != context_.directory.hosts.end()) {
+  auto known = context_.directory.machines.find(id);
+  if (known != context_.directory.machines.end()) {
     const auto& record = known->second.record;
     freed_({record.type, record.zone, record.spot});
   }
@@ -73,15 +73,15 @@
 
 // Writes machine groups anew with a change to some of their members, as many as one transaction takes.
 // Returns the machines that it changed.
-std::vector<HostId> MachineReturns::rewrite(const std::set<HostId>& ids, Change change,
-                                            std::function<void(const TxnResult&)> done) {
+std::vector<MachineId> MachineReturns::rewrite(const std::set<MachineId>& ids, Change change,
+                                               std::function<void(const TxnResult&)> done) {
   const auto& directory = context_.directory;
-  std::map<std::string, std::set<HostId>> byGroup;
+  std::map<std::string, std::set<MachineId>> byGroup;
   for (const auto& id : ids)
-    if (auto host = directory.hosts.find(id); host != directory.hosts.end())
-      byGroup[host->second.group].insert(id);
+    if (auto machine = directory.machines.find(id); machine != directory.machines.end())
+      byGroup[machine->second.group].insert(id);
   TransactionDraft draft(context_.settings.txnOps);
-  std::vector<HostId> written;
+  std::vector<MachineId> written;
   draft.require(keys::kLeader, directory.leader->version);
   auto exists = [&](const std::string& key) { return directory.groups.count(key) > 0; };
   // What is dropped frees tasks; what is only marked can wait.
@@ -100,20 +100,21 @@
     written.insert(written.end(), changed.begin(), changed.end());
   }
   if (draft.empty()) return {};
-  // In turn with the commits of our own share, never before all of them: where machines come and go by the
+  // In turn with the commits of our own shard, never before all of them: where machines come and go by the
   // hundreds this alone would take all changes there are.
   context_.store.txn(Urgency::Work, draft.take(), kRewriteDeadline, std::move(done));
   return written;
 }
 
-void MachineReturns::applyChange(wire::GroupRecord& group, const std::set<HostId>& changed, Change change) {
+void MachineReturns::applyChange(wire::GroupRecord& group, const std::set<MachineId>& changed,
+                                 Change change) {
   auto isChanged = [&](const auto& member) { return changed.count(member.id) > 0; };
   if (change == Change::Drop) {
     std::erase_if(group.members, isChanged);
     return;
   }
   for (auto& member : group.members)
-    if (isChanged(member)) member.phase = wire::HostPhase::Returning;
+    if (isChanged(member)) member.phase = wire::MachinePhase::Returning;
 }
 
 }  // namespace cherryloft
--- a/src/autoscaler/scale_in.h
+++ b/src/autoscaler/scale_in.h
@@ -21,9 +21,9 @@
   // A new leadership begins.
   void restart() { toMark_.clear(); }
   // The machine is to be returned, for that reason.
-  void request(const HostId& id, const char* why);
+  void request(const MachineId& id, const char* why);
   // Whether this controller gave the machine back to the cloud.
-  bool returned(const HostId& id) const { return returned_.count(id) > 0; }
+  bool returned(const MachineId& id) const { return returned_.count(id) > 0; }
   // Writes down what was requested.
   void markRequested();
   // Gives marked machines back to the cloud if the budget has a call left.
@@ -31,18 +31,18 @@
 
  private:
   enum class Change : std::uint8_t { Mark, Drop };
-  std::vector<HostId> markedMachines() const;
-  void answered(const std::vector<HostId>& machines, const HttpResult& result);
-  void noteReturned(const HostId& id);
-  std::vector<HostId> rewrite(const std::set<HostId>& ids, Change change,
-                              std::function<void(const TxnResult&)> done);
-  static void applyChange(wire::GroupRecord& group, const std::set<HostId>& changed, Change change);
+  std::vector<MachineId> markedMachines() const;
+  void answered(const std::vector<MachineId>& machines, const HttpResult& result);
+  void noteReturned(const MachineId& id);
+  std::vector<MachineId> rewrite(const std::set<MachineId>& ids, Change change,
+                                 std::function<void(const TxnResult&)> done);
+  static void applyChange(wire::GroupRecord& group, const std::set<MachineId>& changed, Change change);
 
   const FleetContext& context_;
   Freed freed_;
-  std::set<HostId> toMark_;
+  std::set<MachineId> toMark_;
   bool marking_ = false;
-  std::set<HostId> returned_;
+  std::set<MachineId> returned_;
   bool returning_ = false;
   GroupSplits splits_;
 };
--- a/src/autoscaler/scale_out.cpp
+++ b/src/autoscaler/scale_out.cpp
@@ -25,23 +25,23 @@
          std::to_string(++claims_);
 }
 
-void Rentals::start(ShareNo share, const policy::Wish& wish) {
+void Rentals::start(ShardId shard, const policy::Wish& wish) {
   const auto& offer = wish.offer;
   auto rental = std::make_shared<Rental>();
   rental->request = {nextClaim(), offer.type, offer.zone, offer.spot, wish.count};
-  rental->share = share;
+  rental->shard = shard;
   rental->cores = wish.cores;
   open_.push_back(rental);
   context_.log->info("renting {} {} in {} for share {} (spot {})", wish.count, offer.type, offer.zone.value,
-                     share.value, offer.spot);
+                     shard.value, offer.spot);
   send(rental);
 }
 
-void Rentals::addOrdered(ShareNo share, policy::ShareFleet& fleet) const {
+void Rentals::addOrdered(ShardId shard, policy::ShardFleet& fleet) const {
   for (const auto& rental : open_) {
-    if (rental->share != share) continue;
+    if (rental->shard != shard) continue;
     const auto& request = rental->request;
-    fleet.hosts.push_back({request.type, request.zone, request.spot, rental->cores, true, -1});
+    fleet.machines.push_back({request.type, request.zone, request.spot, rental->cores, true, -1});
   }
 }
 
@@ -72,11 +72,11 @@
   }
 }
 
-void Rentals::rented(const Rental& rental, const std::vector<HostId>& machines) {
+void Rentals::rented(const Rental& rental, const std::vector<MachineId>& machines) {
   const auto& request = rental.request;
-  wire::GroupRecord group{rental.share,       Epoch{}, request.type, request.zone, request.spot,
+  wire::GroupRecord group{rental.shard,       Epoch{}, request.type, request.zone, request.spot,
                           context_.io.wall(), {}};
-  for (const auto& id : machines) group.members.push_back({id, wire::HostPhase::InUse, ""});
+  for (const auto& id : machines) group.members.push_back({id, wire::MachinePhase::InUse, ""});
   records_.create(group);
   auto offer = offerOf(request);
   if (machines.size() < request.count)
--- a/src/autoscaler/scale_out.h
+++ b/src/autoscaler/scale_out.h
@@ -21,10 +21,10 @@
       : context_(context), records_(records), rng_(seed) {}
   // A new leadership begins.
   void restart() { open_.clear(); }
-  // Orders machines for a share.
-  void start(ShareNo share, const policy::Wish& wish);
-  // Adds the machines that are on order for the share to its fleet.
-  void addOrdered(ShareNo share, policy::ShareFleet& fleet) const;
+  // Orders machines for a shard.
+  void start(ShardId shard, const policy::Wish& wish);
+  // Adds the machines that are on order for the shard to its fleet.
+  void addOrdered(ShardId shard, policy::ShardFleet& fleet) const;
   // Offers that the cloud refused of late.
   std::set<policy::Offer> refused() const;
   // There is a machine of that offer to be had again.
@@ -33,7 +33,7 @@
  private:
   struct Rental {
     wire::Rental request;
-    ShareNo share;
+    ShardId shard;
     double cores = 0;
   };
   using RentalPtr = std::shared_ptr<Rental>;
@@ -41,7 +41,7 @@
   std::string nextClaim();
   void send(const RentalPtr& rental);
   void answered(const RentalPtr& rental, const HttpResult& result);
-  void rented(const Rental& rental, const std::vector<HostId>& machines);
+  void rented(const Rental& rental, const std::vector<MachineId>& machines);
   void backOff(const policy::Offer& offer);
   void sendAgain(const RentalPtr& rental);
   void close(const RentalPtr& rental);
--- a/src/autoscaler/shard_fleet.cpp
+++ b/src/autoscaler/shard_fleet.cpp
@@ -19,44 +19,45 @@
 }
 
 // What the owner says of a machine.
-void applyLoad(const mesh::HostLoad& load, bool boots, policy::FleetHost& host) {
-  host.emptying = load.emptying;
-  host.pinned = load.pinned;
-  host.ageS = load.ageS;
-  host.usedCores = host.cores - load.freeCores;
-  if (load.usable) host.idleS = load.idleS > 0 ? load.idleS : -1;
-  host.counts = !host.emptying && !load.draining && (load.usable || boots);
+void applyLoad(const mesh::MachineLoad& load, bool boots, policy::FleetMachine& machine) {
+  machine.emptying = load.emptying;
+  machine.pinned = load.pinned;
+  machine.ageS = load.ageS;
+  machine.usedCores = machine.cores - load.freeCores;
+  if (load.usable) machine.idleS = load.idleS > 0 ? load.idleS : -1;
+  machine.counts = !machine.emptying && !load.draining && (load.usable || boots);
 }
 
 }  // namespace
 
-policy::ShareFleet describeShareFleet(ShareNo share, const mesh::ShareLoad* load, const Directory& directory,
+policy::ShardFleet describeShardFleet(ShardId shard, const mesh::ShardLoad* load, const Directory& directory,
                                       const Catalog& prices, WallTime now) {
-  policy::ShareFleet fleet;
-  std::map<std::string, const mesh::HostLoad*> reported;
+  policy::ShardFleet fleet;
+  std::map<std::string, const mesh::MachineLoad*> reported;
   if (load) {
     fleet.firm = workOf(load->firm);
     fleet.lendable = workOf(load->lendable);
-    for (const auto& host : load->hosts) reported[host.host] = &host;
+    for (const auto& machine : load->machines) reported[machine.machine] = &machine;
   }
-  for (const auto& [id, known] : directory.hosts) {
+  for (const auto& [id, known] : directory.machines) {
     const auto& record = known.record;
-    if (record.share != share || record.phase != wire::HostPhase::InUse) continue;
+    if (record.shard != shard || record.phase != wire::MachinePhase::InUse) continue;
     const auto* type = findType(prices, record.type);
-    policy::FleetHost host{record.type, record.zone, record.spot, type ? type->size.cores : 0, true, -1};
+    policy::FleetMachine machine{record.type, record.zone, record.spot, type ? type->size.cores : 0,
+                                 true,        -1};
     double ageS = static_cast<double>(now.value - record.since.value) / kMsPerSecond;
     bool boots = type && ageS < kLateBoot * type->bootS + kLateBootPlusS;
     auto it = reported.find(id.value);
     if (it != reported.end()) {
-      applyLoad(*it->second, boots, host);
+      applyLoad(*it->second, boots, machine);
     } else {
       // In plain use, as the owner does not name it; or not yet seen by it.
-      host.counts = load || boots;
-      host.usedCores = ageS < kNotYetTold ? 0 : host.cores;
-      host.pinned = true;
+      machine.counts = load || boots;
+      machine.usedCores = ageS < kNotYetTold ? 0 : machine.cores;
+      machine.pinned = true;
     }
-    host.id = id;
-    fleet.hosts.push_back(host);
+    machine.id = id;
+    fleet.machines.push_back(machine);
   }
   return fleet;
 }
--- a/src/autoscaler/shard_fleet.h
+++ b/src/autoscaler/shard_fleet.h
@@ -1,4 +1,4 @@
-// The machines of one share and its work as the leader knows them, from records and from the owner's reports.
+// The machines of one shard and its work as the leader knows them, from records and from the owner's reports.
 #pragma once
 
 #include "cluster/cluster_view.h"
@@ -7,8 +7,8 @@
 
 namespace cherryloft {
 
-// Without a load the share's owner has not reported yet.
-policy::ShareFleet describeShareFleet(ShareNo share, const mesh::ShareLoad* load, const Directory& directory,
+// Without a load the shard's owner has not reported yet.
+policy::ShardFleet describeShardFleet(ShardId shard, const mesh::ShardLoad* load, const Directory& directory,
                                       const Catalog& prices, WallTime now);
 
 }  // namespace cherryloft
--- a/src/base/job.h
+++ b/src/base/job.h
@@ -65,9 +65,9 @@
   }
 };
 
-// Tasks of a job that another share places for the share that owns the job (DESIGN.md, invariant 18).
+// Tasks of a job that another shard places for the shard that owns the job (DESIGN.md, invariant 18).
 struct Delegation {
-  ShareNo share;
+  ShardId shard;
   std::optional<Zone> zone;  // the only one that they may be placed in, where the job's rules need one
   std::vector<std::uint32_t> tasks;  // ascending
   std::optional<Attempt> attempt{};  // of a gang: common to all its members
@@ -76,9 +76,9 @@
   bool covers(std::uint32_t index) const { return std::binary_search(tasks.begin(), tasks.end(), index); }
 };
 
-inline const Delegation* findDelegation(const std::vector<Delegation>& delegations, ShareNo share) {
+inline const Delegation* findDelegation(const std::vector<Delegation>& delegations, ShardId shard) {
   for (const auto& d : delegations)
-    if (d.share == share) return &d;
+    if (d.shard == shard) return &d;
   return nullptr;
 }
 
--- a/src/base/types.h
+++ b/src/base/types.h
@@ -17,7 +17,7 @@
 };
 
 using JobId = Strong<struct JobTag, std::string>;
-using HostId = Strong<struct HostTag, std::string>;
+using MachineId = Strong<struct MachineTag, std::string>;
 using TeamId = Strong<struct TeamTag, std::string>;
 using NodeId = Strong<struct NodeTag, std::string>;
 using Zone = Strong<struct ZoneTag, std::string>;
@@ -30,7 +30,7 @@
 using Version = Strong<struct VersionTag, std::uint64_t>;
 using WorkerSession = Strong<struct WorkerSessionTag, std::uint64_t>;
 using Serial = Strong<struct SerialTag, std::uint64_t>;
-using ShareNo = Strong<struct ShareTag, std::uint32_t>;
+using ShardId = Strong<struct ShardTag, std::uint32_t>;
 
 inline constexpr unsigned kRaiseBits = 20;
 inline Token tokenOf(Epoch epoch, std::uint64_t raises = 0) {
--- a/src/cluster/cluster_view.cpp
+++ b/src/cluster/cluster_view.cpp
@@ -14,7 +14,7 @@
   return key.compare(0, prefix.size(), prefix) == 0;
 }
 
-void applyShare(Directory& d, const wire::KeyChange& c, const std::string& name) {
+void applyShard(Directory& d, const wire::KeyChange& c, const std::string& name) {
   if (c.key == keys::kEpoch) {
     if (auto e = c.value ? wire::parseCounter(*c.value) : std::nullopt)
       d.epoch = *e, d.epochVersion = c.version;
@@ -35,38 +35,38 @@
     if (owner) d.leader = KnownOwner{*owner, c.version};
     return;
   }
-  ShareNo k;
+  ShardId k;
   auto [p, ec] = std::from_chars(name.data(), name.data() + name.size(), k.value);
   if (ec != std::errc{} || p != name.data() + name.size()) return;
-  d.shares.erase(k);
-  if (owner) d.shares[k] = KnownOwner{*owner, c.version};
+  d.shards.erase(k);
+  if (owner) d.shards[k] = KnownOwner{*owner, c.version};
 }
 
 }  // namespace
 
 // Machines come, change and go with their group; one that moved shows in its new group from the same
 // revision on, whichever of the two is seen first.
-std::vector<HostId> Directory::applyGroup(const wire::KeyChange& c, const Log& log) {
+std::vector<MachineId> Directory::applyGroup(const wire::KeyChange& c, const Log& log) {
   auto r = c.value ? wire::parseGroup(*c.value) : wire::GroupRecord{};
   if (!r) {
     // Its machines may hold tasks: what was known of them stands.
     log->error("unreadable machine group {}, perhaps of another layout", c.key);
     return {};
   }
-  std::vector<HostId> touched;
-  std::set<HostId> present;
+  std::vector<MachineId> touched;
+  std::set<MachineId> present;
   for (const auto& m : r->members) {
-    auto it = hosts.find(m.id);
-    if (it != hosts.end() && it->second.version > c.version) continue;
+    auto it = machines.find(m.id);
+    if (it != machines.end() && it->second.version > c.version) continue;
     present.insert(m.id);
-    hosts[m.id] = {
-        {r->share, r->token, m.phase, r->type, r->zone, r->spot, m.address, r->since}, c.version, c.key};
+    machines[m.id] = {
+        {r->shard, r->token, m.phase, r->type, r->zone, r->spot, m.address, r->since}, c.version, c.key};
     touched.push_back(m.id);
   }
   for (const auto& id : groups[c.key]) {
-    auto it = hosts.find(id);
-    if (present.count(id) > 0 || it == hosts.end() || it->second.group != c.key) continue;
-    hosts.erase(it);
+    auto it = machines.find(id);
+    if (present.count(id) > 0 || it == machines.end() || it->second.group != c.key) continue;
+    machines.erase(it);
     touched.push_back(id);
   }
   if (present.empty())
@@ -81,10 +81,10 @@
   auto it = groups.find(key);
   if (it == groups.end()) return r;
   for (const auto& id : it->second) {
-    auto h = hosts.find(id);
-    if (h == hosts.end() || h->second.group != key) continue;
+    auto h = machines.find(id);
+    if (h == machines.end() || h->second.group != key) continue;
     const auto& x = h->second.record;
-    r.share = x.share, r.token = x.token, r.type = x.type, r.zone = x.zone, r.spot = x.spot,
+    r.shard = x.shard, r.token = x.token, r.type = x.type, r.zone = x.zone, r.spot = x.spot,
     r.since = x.since;
     r.members.push_back({id, x.phase, x.address});
   }
@@ -95,7 +95,7 @@
   auto members = groups.find(key);
   if (members == groups.end()) return {};
   for (const auto& id : members->second)
-    if (auto h = hosts.find(id); h != hosts.end() && h->second.group == key) return h->second.version;
+    if (auto h = machines.find(id); h != machines.end() && h->second.group == key) return h->second.version;
   return {};
 }
 
@@ -122,7 +122,7 @@
   if (auto it = jobs.find(id); it != jobs.end()) ended(id, status, it->second.version);
 }
 
-std::vector<HostId> Directory::apply(const wire::KeyChange& c, const Log& log) {
+std::vector<MachineId> Directory::apply(const wire::KeyChange& c, const Log& log) {
   if (under(c.key, keys::kJobs)) {
     JobId id{c.key.substr(keys::kJobs.size())};
     auto r = c.value ? wire::parseJobRecord(id, *c.value) : std::nullopt;
@@ -139,7 +139,7 @@
       return {};
     }
     j.status = r->status;
-    j.share = r->share;
+    j.shard = r->shard;
     j.tasks = r->tasks;
     j.submitted = r->submitted;
     j.version = c.version;
@@ -147,7 +147,7 @@
     j.delegations = std::move(r->delegations);
     j.doneElsewhere = std::move(r->doneElsewhere);
     j.spec = r->spec ? std::make_shared<const JobSpec>(std::move(*r->spec)) : nullptr;
-  } else if (under(c.key, keys::kHosts)) {
+  } else if (under(c.key, keys::kMachines)) {
     return applyGroup(c, log);
   } else if (under(c.key, keys::kNodes)) {
     NodeId n{c.key.substr(keys::kNodes.size())};
@@ -155,8 +155,8 @@
       nodes[n] = c.version;
     else
       nodes.erase(n);
-  } else if (under(c.key, keys::kShares)) {
-    applyShare(*this, c, c.key.substr(keys::kShares.size()));
+  } else if (under(c.key, keys::kShards)) {
+    applyShard(*this, c, c.key.substr(keys::kShards.size()));
   }
   return {};
 }
--- a/src/cluster/cluster_view.h
+++ b/src/cluster/cluster_view.h
@@ -16,18 +16,18 @@
 
 struct KnownJob {
   JobStatus status = JobStatus::Open;
-  ShareNo share;
+  ShardId shard;
   std::uint32_t tasks = 0;
   WallTime submitted;
   Version version;
   std::shared_ptr<const JobSpec> spec;    // while open
-  std::optional<std::uint32_t> atOnce{};  // of a job in another share than its team's (wire::JobRecord)
+  std::optional<std::uint32_t> atOnce{};  // of a job in another shard than its team's (wire::JobRecord)
   std::vector<Delegation> delegations{};
   std::vector<std::uint32_t> doneElsewhere{};
 };
 
-struct KnownHost {
-  wire::HostRecord record;
+struct MachineEntry {
+  wire::MachineRecord record;
   Version version;    // of its group's key
   std::string group;  // that key
 };
@@ -39,9 +39,9 @@
 
 struct Directory {
   std::unordered_map<JobId, KnownJob> jobs;
-  std::unordered_map<HostId, KnownHost> hosts;
-  std::map<std::string, std::vector<HostId>> groups;  // host/ keys and the machines in each
-  std::unordered_map<ShareNo, KnownOwner> shares;
+  std::unordered_map<MachineId, MachineEntry> machines;
+  std::map<std::string, std::vector<MachineId>> groups;  // host/ keys and the machines in each
+  std::unordered_map<ShardId, KnownOwner> shards;
   std::unordered_map<NodeId, Version> nodes;  // controllers whose hold lives
   std::optional<KnownOwner> leader;
   Epoch epoch;  // the last one drawn
@@ -51,19 +51,19 @@
   Version groupsVersion;  // of the latest creation of machine groups
 
   bool alive(const NodeId& n) const { return nodes.count(n) > 0; }
-  const NodeId* ownerOf(ShareNo k) const {
-    auto it = shares.find(k);
-    return it == shares.end() ? nullptr : &it->second.record.owner;
+  const NodeId* ownerOf(ShardId k) const {
+    auto it = shards.find(k);
+    return it == shards.end() ? nullptr : &it->second.record.owner;
   }
 
   // Takes in one change; unreadable records are logged and left out. Names the machines it touched.
-  std::vector<HostId> apply(const wire::KeyChange& c, const Log& log);
+  std::vector<MachineId> apply(const wire::KeyChange& c, const Log& log);
   // What ends the tasks that a report shows of jobs that are called off. Any answer that prolongs a worker's
   // lease carries it, whoever gives that answer and in whatever role (invariant 16).
   std::vector<wire::Order> endsOfAborted(const wire::Report& r) const;
   // The word that the owner gives to users: the job is over. Its record comes later.
   void ended(const JobId& id, JobStatus status);
-  // The word of the owner of the job's share that it is over: committed under that version, and final.
+  // The word of the owner of the job's shard that it is over: committed under that version, and final.
   void ended(const JobId& id, JobStatus status, Version version);
   // A machine group as it is known, to be written anew with a change.
   wire::GroupRecord group(const std::string& key) const;
@@ -71,22 +71,22 @@
   Version groupVersion(const std::string& key) const;
 
  private:
-  std::vector<HostId> applyGroup(const wire::KeyChange& c, const Log& log);
+  std::vector<MachineId> applyGroup(const wire::KeyChange& c, const Log& log);
 };
 
 namespace keys {
-inline const std::string kJobs = "job/", kHosts = "host/", kShares = "share/", kNodes = "node/";
+inline const std::string kJobs = "job/", kMachines = "host/", kShards = "share/", kNodes = "node/";
 inline const std::string kLeader = "share/leader", kEpoch = "share/epoch", kCatalog = "share/catalog";
 inline const std::string kGroups = "share/groups";  // written with every creation of machine groups
 inline std::string job(const JobId& id) { return kJobs + id.value; }
 // A group is named after its first machine and the epoch under which it was formed, and so once for ever.
-inline std::string group(const HostId& first, Epoch e) {
-  return kHosts + first.value + "." + std::to_string(e.value);
+inline std::string group(const MachineId& first, Epoch e) {
+  return kMachines + first.value + "." + std::to_string(e.value);
 }
-inline std::string share(ShareNo k) { return kShares + std::to_string(k.value); }
+inline std::string shard(ShardId k) { return kShards + std::to_string(k.value); }
 inline std::string node(const NodeId& n) { return kNodes + n.value; }
-inline std::string runs(ShareNo k) { return "run/" + std::to_string(k.value) + "/"; }
-inline std::string page(ShareNo k, std::uint32_t n) { return runs(k) + std::to_string(n); }
+inline std::string placementPages(ShardId k) { return "run/" + std::to_string(k.value) + "/"; }
+inline std::string page(ShardId k, std::uint32_t n) { return placementPages(k) + std::to_string(n); }
 }  // namespace keys
 
 }  // namespace cherryloft
--- a/src/cluster/keep_alive_proxy.cpp
+++ b/src/cluster/keep_alive_proxy.cpp
@@ -33,19 +33,19 @@
   if (echoes && !p.deputy) quietAt_ = std::max(quietAt_, time(p.echo));
   if (p.answeredAgoMs >= 0) told_ = std::max(told_, now - Duration{p.answeredAgoMs});
   allowance_ = now + most_;
-  shares_.clear();
+  shards_.clear();
   allowedUntil_ = Time{};
   if (echoes && p.ownsForMs > 0) {
     allowedUntil_ = time(p.echo) + std::min(Duration{p.ownsForMs} + grace_, most_);
-    for (const auto& s : p.owns) shares_[ShareNo{s.share}] = {Epoch{s.epoch}, Version{s.cancelled}};
+    for (const auto& s : p.owns) shards_[ShardId{s.shard}] = {Epoch{s.epoch}, Version{s.cancelled}};
   }
   return true;
 }
 
-bool DeputyLink::mayAnswer(ShareNo share, Epoch epoch, Version seen, bool hears, Time now) const {
+bool DeputyLink::mayAnswer(ShardId shard, Epoch epoch, Version seen, bool hears, Time now) const {
   if (hears || now >= allowedUntil_ || now - lastQuiet_ < kQuiet + kDrift) return false;
-  auto it = shares_.find(share);
-  return it != shares_.end() && it->second.epoch == epoch && it->second.cancelled <= seen;
+  auto it = shards_.find(shard);
+  return it != shards_.end() && it->second.epoch == epoch && it->second.cancelled <= seen;
 }
 
 Time DeputyLink::mayHaveAnswered(Time now) const {
--- a/src/cluster/keep_alive_proxy.h
+++ b/src/cluster/keep_alive_proxy.h
@@ -1,6 +1,6 @@
 // Answering for a sibling that is out of reach (invariant 15). A controller that is cut off together with
-// workers of another's shares may answer their check-ins, without orders, for as long as that other itself
-// might after losing its hold; and the other, or whoever owns the share after it, counts those workers'
+// workers of another's shards may answer their check-ins, without orders, for as long as that other itself
+// might after losing its hold; and the other, or whoever owns the shard after it, counts those workers'
 // leases from the last moment at which that may have happened. It must have seen every cancellation that the
 // other had committed when it said its last word (invariant 16). One link holds both sides' knowledge of one
 // sibling. No I/O and no clock of its own.
@@ -26,9 +26,9 @@
   // False if the heartbeat is older than one that came before.
   bool came(const mesh::Heartbeat& p, Time now);
 
-  // As its deputy: whether we may answer a worker of that share that holds a token of that epoch, when we
+  // As its deputy: whether we may answer a worker of that shard that holds a token of that epoch, when we
   // know of all jobs what was committed up to `seen`.
-  bool mayAnswer(ShareNo share, Epoch epoch, Version seen, bool hears, Time now) const;
+  bool mayAnswer(ShardId shard, Epoch epoch, Version seen, bool hears, Time now) const;
   void answered(Time now) { lastAnswer_ = now; }
 
   // As an owner: the latest moment until now at which the sibling may have answered a worker of ours.
@@ -46,7 +46,7 @@
     Epoch epoch;
     Version cancelled;
   };
-  std::map<ShareNo, Word> shares_;
+  std::map<ShardId, Word> shards_;
   Time allowedUntil_{};
   std::optional<Time> lastAnswer_;
 
--- a/src/cluster/membership.cpp
+++ b/src/cluster/membership.cpp
@@ -6,7 +6,7 @@
 namespace {
 constexpr Duration kReviewEvery{250};
 constexpr Duration kStep{1'500};       // how long the next in line waits for the one before
-constexpr Duration kColdStart{4'000};  // a share nobody ever owned waits this long for its home controller
+constexpr Duration kColdStart{4'000};  // a shard nobody ever owned waits this long for its home controller
 constexpr Duration kAskAgain{5'000};
 constexpr double kDrift = 0.001;  // twice what a steady clock may be off
 constexpr Duration kRounding{20};
@@ -38,21 +38,21 @@
   });
 }
 
-// Writes our node/ key under the hold. It must fail when a share we believe ours was taken meanwhile.
+// Writes our node/ key under the hold. It must fail when a shard we believe ours was taken meanwhile.
 void Membership::join(std::uint64_t hold) {
   if (hold_ != hold) return;
   auto again = [this, hold] { io_.after(Duration{100}, [this, hold] { join(hold); }); };
   if (!store_.mirrored()) return again();
   store_.catchUp(keys::kNodes, [this, hold, again](bool nodesOk) {
     if (!nodesOk) return again();
-    store_.catchUp(keys::kShares, [this, hold, again](bool sharesOk) {
+    store_.catchUp(keys::kShards, [this, hold, again](bool sharesOk) {
       if (hold_ != hold) return;
       if (!sharesOk) return again();
       review();  // drops what the directory shows as taken
       wire::Transaction t;
       auto me = dir_.nodes.find(settings_.node);
       t.when[keys::node(settings_.node)] = me == dir_.nodes.end() ? Version{0} : me->second;
-      for (const auto& [k, _] : owned_) t.when[keys::share(k)] = dir_.shares.at(k).version;
+      for (const auto& [k, _] : owned_) t.when[keys::shard(k)] = dir_.shards.at(k).version;
       t.apply.push_back(
           {keys::node(settings_.node), "{\"at\":" + std::to_string(io_.wall().value) + "}", hold});
       store_.txn(Urgency::Hold, t, Duration{1'000}, [this, hold, again](TxnResult r) {
@@ -117,7 +117,7 @@
   out_.leaseValidity(leaseValidity());
 }
 
-// Until the node/ key hangs on the hold, the hold keeps nobody from taking our shares.
+// Until the node/ key hangs on the hold, the hold keeps nobody from taking our shards.
 LeaseValidity Membership::leaseValidity() const {
   LeaseValidity s = own_;
   if (!joined_) s.ownsUntil = Time{};
@@ -126,7 +126,7 @@
 
 void Membership::changed() { review(); }
 
-unsigned Membership::rankFor(ShareNo k) const {
+unsigned Membership::rankFor(ShardId k) const {
   unsigned rank = 0;
   for (unsigned i = 0; i < settings_.size(); ++i) {
     const auto& n = settings_.nodes[(k.value + i) % settings_.size()];
@@ -153,8 +153,8 @@
   }
   // Shares that others took while we were away.
   for (auto it = owned_.begin(); it != owned_.end();) {
-    auto seen = dir_.shares.find(it->first);
-    bool lost = seen != dir_.shares.end() && seen->second.record.epoch > it->second && !mine(seen->second);
+    auto seen = dir_.shards.find(it->first);
+    bool lost = seen != dir_.shards.end() && seen->second.record.epoch > it->second && !mine(seen->second);
     auto k = it->first;
     if (lost) {
       log_->info("share {} now belongs to {}", k.value, seen->second.record.owner.value);
@@ -171,13 +171,13 @@
     out_.leading(leads);
   }
   if (!able || taking_) return;
-  for (unsigned i = 0; i < settings_.size() && !taking_; ++i) reviewShare(ShareNo{i}, now);
+  for (unsigned i = 0; i < settings_.size() && !taking_; ++i) reviewShard(ShardId{i}, now);
   if (!taking_) reviewLeader(now);
 }
 
-void Membership::reviewShare(ShareNo k, Time now) {
-  auto seen = dir_.shares.find(k);
-  const KnownOwner* o = seen == dir_.shares.end() ? nullptr : &seen->second;
+void Membership::reviewShard(ShardId k, Time now) {
+  auto seen = dir_.shards.find(k);
+  const KnownOwner* o = seen == dir_.shards.end() ? nullptr : &seen->second;
   if (owned_.count(k) > 0) {
     const auto& home = settings_.nodes[k.value];
     auto alive = aliveSince_.find(home);
@@ -215,7 +215,7 @@
     return;
   }
   if (!leaderless_) leaderless_ = now;
-  if (left || now - *leaderless_ >= kStep * rankFor(ShareNo{0}))
+  if (left || now - *leaderless_ >= kStep * rankFor(ShardId{0}))
     draw(keys::kLeader, o, [this](Epoch e, Version) { log_->info("leading with epoch {}", e.value); });
 }
 
@@ -239,7 +239,7 @@
 
 // The directory must show what was just written, or what kept it from being written, before we go on.
 void Membership::refresh() {
-  store_.catchUp(keys::kShares, [this](bool) {
+  store_.catchUp(keys::kShards, [this](bool) {
     store_.catchUp(keys::kNodes, [this](bool ok) {
       taking_ = false;
       if (ok) review();
@@ -247,11 +247,11 @@
   });
 }
 
-void Membership::take(ShareNo k, const KnownOwner* former) {
-  draw(keys::share(k), former, [this, k](Epoch e, Version s) { adopt(k, e, s); });
+void Membership::take(ShardId k, const KnownOwner* former) {
+  draw(keys::shard(k), former, [this, k](Epoch e, Version s) { adopt(k, e, s); });
 }
 
-void Membership::adopt(ShareNo k, Epoch e, Version s) {
+void Membership::adopt(ShardId k, Epoch e, Version s) {
   log_->info("share {} taken with epoch {}", k.value, e.value);
   owned_[k] = e;
   used_[k] = e;
@@ -261,16 +261,16 @@
   out_.takenOver({k, e, s, settings_.grace() + settings_.holdTtl()});
 }
 
-void Membership::give(ShareNo k, Version version, const NodeId& to, std::function<void(bool)> done) {
+void Membership::give(ShardId k, Version version, const NodeId& to, std::function<void(bool)> done) {
   auto node = dir_.nodes.find(to);
   if (taking_ || !joined_ || node == dir_.nodes.end()) return done(false);
   wire::Transaction t;
   Epoch next{dir_.epoch.value + 1};
-  t.when[keys::share(k)] = version;
+  t.when[keys::shard(k)] = version;
   t.when[keys::kEpoch] = dir_.epochVersion;
   t.when[keys::node(settings_.node)] = joinVersion_;
   t.when[keys::node(to)] = node->second;
-  t.apply.push_back({keys::share(k), wire::encodeOwnerRecord({to, next}), {}});
+  t.apply.push_back({keys::shard(k), wire::encodeOwnerRecord({to, next}), {}});
   t.apply.push_back({keys::kEpoch, wire::encodeCounter(next), {}});
   taking_ = true;
   store_.txn(Urgency::Control, t, Duration{1'500}, [this, k, done = std::move(done)](TxnResult r) {
@@ -281,7 +281,7 @@
   });
 }
 
-void Membership::abandon(ShareNo k) {
+void Membership::abandon(ShardId k) {
   if (owned_.erase(k) == 0) return;
   out_.lost(k);
   if (!taking_) {
--- a/src/cluster/membership.h
+++ b/src/cluster/membership.h
@@ -1,4 +1,4 @@
-// Membership: this controller's hold, the shares it owns, and who leads.
+// Membership: this controller's hold, the shards it owns, and who leads.
 #pragma once
 
 #include <set>
@@ -16,8 +16,8 @@
   bool answers(Time now) const { return now < answersUntil; }
 };
 
-struct ShareTakeover {
-  ShareNo share;
+struct ShardTakeover {
+  ShardId shard;
   Epoch epoch;
   Version version;
   // How long the former owner, and deputies of its, may have gone on answering check-ins.
@@ -28,22 +28,22 @@
  public:
   struct Outlet {
     std::function<void(const LeaseValidity&)> leaseValidity;
-    std::function<void(const ShareTakeover&)> takenOver;
-    std::function<void(ShareNo)> lost;
+    std::function<void(const ShardTakeover&)> takenOver;
+    std::function<void(ShardId)> lost;
     std::function<void(bool)> leading;
-    std::function<void(ShareNo, NodeId)> handBack;  // asks the share's actor to let go
+    std::function<void(ShardId, NodeId)> handBack;  // asks the shard's actor to let go
   };
 
   Membership(const Settings& settings, Io& io, Log log, StateStore& store, const Directory& dir, Outlet out);
   void start();
-  // The directory changed under share/ or node/.
+  // The directory changed under shard/ or node/.
   void changed();
   LeaseValidity leaseValidity() const;
-  const std::map<ShareNo, Epoch>& owned() const { return owned_; }
-  // Gives a share to its home controller; done tells whether it is gone.
-  void give(ShareNo k, Version version, const NodeId& to, std::function<void(bool)> done);
-  // The share's actor found that it does not own it any more, or that its books are in doubt.
-  void abandon(ShareNo k);
+  const std::map<ShardId, Epoch>& owned() const { return owned_; }
+  // Gives a shard to its home controller; done tells whether it is gone.
+  void give(ShardId k, Version version, const NodeId& to, std::function<void(bool)> done);
+  // The shard's actor found that it does not own it any more, or that its books are in doubt.
+  void abandon(ShardId k);
 
  private:
   void open();
@@ -52,15 +52,15 @@
   void renewed(Time sent, StateStore::Renewal r);
   void extend(Time sent);
   void review();
-  void reviewShare(ShareNo k, Time now);
+  void reviewShard(ShardId k, Time now);
   void reviewLeader(Time now);
   void draw(const std::string& key, const KnownOwner* former, std::function<void(Epoch, Version)> done);
   void refresh();
-  void take(ShareNo k, const KnownOwner* former);
-  void adopt(ShareNo k, Epoch e, Version s);
+  void take(ShardId k, const KnownOwner* former);
+  void adopt(ShardId k, Epoch e, Version s);
   bool mine(const KnownOwner& o) const { return o.record.owner == settings_.node; }
-  // How many living controllers come before us in line for a share.
-  unsigned rankFor(ShareNo k) const;
+  // How many living controllers come before us in line for a shard.
+  unsigned rankFor(ShardId k) const;
 
   const Settings& settings_;
   Io& io_;
@@ -74,10 +74,10 @@
   bool opening_ = false;
   bool silent_ = false;
   LeaseValidity own_;
-  std::map<ShareNo, Epoch> owned_;
-  std::map<ShareNo, Epoch> used_;  // epochs this process has acted under
-  std::map<ShareNo, Time> orphanSince_;
-  std::map<ShareNo, Time> handBackAsked_;
+  std::map<ShardId, Epoch> owned_;
+  std::map<ShardId, Epoch> used_;  // epochs this process has acted under
+  std::map<ShardId, Time> orphanSince_;
+  std::map<ShardId, Time> handBackAsked_;
   std::map<NodeId, Time> aliveSince_;
   std::optional<Time> leaderless_;
   bool leads_ = false;
--- a/src/cluster/peers.cpp
+++ b/src/cluster/peers.cpp
@@ -13,7 +13,7 @@
     : settings_(settings),
       io_(io),
       out_(std::move(out)),
-      self_(settings.homeShare(settings.node).value),
+      self_(settings.homeShard(settings.node).value),
       life_(static_cast<std::uint64_t>(io.wall().value)) {
   DeputyLink link(io.now(), settings.grace(), settings.blindFor());
   neighbours_.assign(settings.size(), Neighbour{{}, {}, {}, link});
@@ -68,8 +68,8 @@
 
 bool Peers::reaches(std::uint32_t n) const { return hears(n) || via(n); }
 
-bool Peers::deputyFor(std::uint32_t n, ShareNo share, Epoch epoch, Version seen) const {
-  return neighbours_[n].link.mayAnswer(share, epoch, seen, hears(n), io_.now());
+bool Peers::deputyFor(std::uint32_t n, ShardId shard, Epoch epoch, Version seen) const {
+  return neighbours_[n].link.mayAnswer(shard, epoch, seen, hears(n), io_.now());
 }
 
 Time Peers::answeredElsewhere() const {
--- a/src/cluster/peers.h
+++ b/src/cluster/peers.h
@@ -39,14 +39,14 @@
   // It is heard, or a sibling that is hears it.
   bool reaches(std::uint32_t n) const;
   bool reaches(const NodeId& n) const { return reaches(numberOf(n)); }
-  // Whether a worker of a share of that sibling's, with a token of that epoch, may be answered in its name,
+  // Whether a worker of a shard of that sibling's, with a token of that epoch, may be answered in its name,
   // when we know of all jobs what was committed up to `seen`.
-  bool deputyFor(std::uint32_t n, ShareNo share, Epoch epoch, Version seen) const;
+  bool deputyFor(std::uint32_t n, ShardId shard, Epoch epoch, Version seen) const;
   void answeredFor(std::uint32_t n) { neighbours_[n].link.answered(io_.now()); }
   // The latest moment at which any sibling may have answered a worker in our name.
   Time answeredElsewhere() const;
   std::uint32_t self() const { return self_; }
-  std::uint32_t numberOf(const NodeId& n) const { return settings_.homeShare(n).value; }
+  std::uint32_t numberOf(const NodeId& n) const { return settings_.homeShard(n).value; }
 
  private:
   struct Neighbour {
--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -137,13 +137,13 @@
   return it != teams.end() && it->name == name ? &*it : nullptr;
 }
 
-ShareNo Settings::shareOfTeam(const TeamId& name) const {
+ShardId Settings::shardOfTeam(const TeamId& name) const {
   const Team* t = team(name);
-  return ShareNo{t ? static_cast<std::uint32_t>(t - teams.data()) % size() : 0};
+  return ShardId{t ? static_cast<std::uint32_t>(t - teams.data()) % size() : 0};
 }
 
-ShareNo Settings::homeShare(const NodeId& name) const {
-  return ShareNo{static_cast<std::uint32_t>(std::find(nodes.begin(), nodes.end(), name) - nodes.begin())};
+ShardId Settings::homeShard(const NodeId& name) const {
+  return ShardId{static_cast<std::uint32_t>(std::find(nodes.begin(), nodes.end(), name) - nodes.begin())};
 }
 
 Settings parseSettings(const std::string& source, const Tuning& tuning) {
--- a/src/config/settings.h
+++ b/src/config/settings.h
@@ -34,7 +34,7 @@
   double cores = 0, coresMax = 0, gpus = 0, gpusMax = 0;  // guaranteed, and at most; without a limit infinite
 };
 
-// "This share of the jobs of a class should be done", or their tasks started, "so long after submission."
+// "This fraction of the jobs of a class should be done", or their tasks started, "so long after submission."
 struct TimeAim {
   std::string jobClass;
   double withinS = 0;
@@ -45,9 +45,9 @@
   Duration holdTtl{3000};
   Duration handBackAfter{8000};
   Duration moveEvery{30000};
-  unsigned sample = 64;      // K
-  double spareShare = 0.25;  // room kept free above what is asked for, as a share of it
-  std::uint64_t seed = 0;    // 0: from the node's name and the time of day
+  unsigned sample = 64;         // K
+  double spareFraction = 0.25;  // room kept free above what is asked for, as a fraction of it
+  std::uint64_t seed = 0;       // 0: from the node's name and the time of day
 };
 
 struct Settings {
@@ -73,7 +73,7 @@
   double clockErrorMs = 250;
   Tuning tuning;
 
-  std::vector<NodeId> nodes;  // all controllers, sorted; the index is the number of the home share
+  std::vector<NodeId> nodes;  // all controllers, sorted; the index is the number of the home shard
 
   unsigned size() const { return static_cast<unsigned>(nodes.size()); }
   // The life of this controller's hold: the operators' choice, or less where the deployment leaves little
@@ -87,14 +87,14 @@
   Duration margin() const;
   // Of the sockets allowed, those kept for siblings, the store, the cloud and commands to workers.
   std::size_t keptSockets() const { return fdLimit / 4 + 16; }
-  ShareNo shareOfTeam(const TeamId& name) const;
+  ShardId shardOfTeam(const TeamId& name) const;
   // The shortest time within which jobs of the class should be done, or started, if there is an aim for it.
   std::optional<double> finishWithin(const std::string& jobClass) const;
   std::optional<double> startWithin(const std::string& jobClass) const;
   // How long work may wait for cheap room and still meet what is aimed at, with a reserve.
   double patienceS() const;
   const Team* team(const TeamId& name) const;
-  ShareNo homeShare(const NodeId& name) const;
+  ShardId homeShard(const NodeId& name) const;
 };
 
 Settings parseSettings(const std::string& source, const Tuning& tuning);
--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -24,21 +24,21 @@
                   {[this](const LeaseValidity& s) {
                      for (auto& [_, x] : schedulers_) x->leaseValidity(s);
                    },
-                   [this](const ShareTakeover& t) { takenOver(t); }, [this](ShareNo k) { lost(k); },
+                   [this](const ShardTakeover& t) { takenOver(t); }, [this](ShardId k) { lost(k); },
                    [this](bool leads) { fleet_.leading(leads); },
-                   [this](ShareNo k, NodeId to) {
+                   [this](ShardId k, NodeId to) {
                      if (auto* s = scheduler(k)) s->handBack(to);
                    }}),
       fleet_(settings, io, log, store_, dir_, rng_(),
-             {[this](const mesh::HostWish& w) { toShare(ShareNo{w.share}, w, &Scheduler::wish); },
+             {[this](const mesh::MachineDirective& w) { toShard(ShardId{w.shard}, w, &Scheduler::wish); },
               [this] { return owns(); }}),
       api_(settings, io, log, store_, dir_, peers_,
-           {[this](ShareNo k) { return scheduler(k); }, [this] { return owns(); },
+           {[this](ShardId k) { return scheduler(k); }, [this] { return owns(); },
             [this](const wire::KeyChange& c) { changed(c); },
             [this](const JobId& id, JobStatus s) { dir_.ended(id, s); }}) {}
 
 void Node::start() {
-  for (const auto& prefix : {keys::kJobs, keys::kHosts, keys::kShares, keys::kNodes})
+  for (const auto& prefix : {keys::kJobs, keys::kMachines, keys::kShards, keys::kNodes})
     store_.mirror(prefix, [this](const wire::KeyChange& c) { changed(c); });
   if (settings_.grace() == Duration{0})
     log_->error(
@@ -73,20 +73,20 @@
   log_->info("last minute: store requests{}; refused {}, out of time {}", line, t.refused, t.outOfTime);
 }
 
-Scheduler* Node::scheduler(ShareNo k) {
+Scheduler* Node::scheduler(ShardId k) {
   auto it = schedulers_.find(k);
   return it == schedulers_.end() ? nullptr : it->second.get();
 }
 
 void Node::changed(const wire::KeyChange& c) {
-  auto hosts = dir_.apply(c, log_);
+  auto machines = dir_.apply(c, log_);
   auto under = [&](const std::string& prefix) { return c.key.compare(0, prefix.size(), prefix) == 0; };
   if (under(keys::kJobs)) {
     JobId id{c.key.substr(keys::kJobs.size())};
     for (auto& [_, s] : schedulers_) s->jobChanged(id);
-  } else if (under(keys::kHosts)) {
-    for (const auto& id : hosts)
-      for (auto& [_, s] : schedulers_) s->hostChanged(id);
+  } else if (under(keys::kMachines)) {
+    for (const auto& id : machines)
+      for (auto& [_, s] : schedulers_) s->machineChanged(id);
   } else if (store_.mirrored()) {
     membership_.changed();
     store_.part(partOfLimits());
@@ -103,14 +103,14 @@
   return sum;
 }
 
-// Most of what is asked of the store is asked for a share, by its owner, and for machines, by the leader; the
+// Most of what is asked of the store is asked for a shard, by its owner, and for machines, by the leader; the
 // rest by every living controller.
 double Node::partOfLimits() const {
   constexpr double kEach = 0.5, kLeader = 0.75;
   double mine = 0, all = 0;
   for (const auto& n : settings_.nodes) {
     double weight = dir_.alive(n) || n == settings_.node ? kEach : 0;
-    for (const auto& [_, o] : dir_.shares) weight += o.record.owner == n;
+    for (const auto& [_, o] : dir_.shards) weight += o.record.owner == n;
     if (dir_.leader && dir_.leader->record.owner == n) weight += kLeader;
     all += weight;
     if (n == settings_.node) mine = weight;
@@ -118,12 +118,12 @@
   return mine / all;
 }
 
-void Node::takenOver(const ShareTakeover& t) {
+void Node::takenOver(const ShardTakeover& t) {
   Scheduler::Outlet out{
       [this](const JobId& id, JobStatus s, Version version) { jobEnded(id, s, version); },
-      [this](const mesh::ShareLoad& l) { sendLoad(l); },
+      [this](const mesh::ShardLoad& l) { sendLoad(l); },
       // A turn of its own: the actor asks for its own end.
-      [this, k = t.share] {
+      [this, k = t.shard] {
         io_.after(Duration{0}, [this, k] {
           membership_.abandon(k);
           lost(k);
@@ -132,23 +132,23 @@
       [this](const std::string& address, std::function<void(const std::string&)> done) {
         probe(address, std::move(done));
       },
-      [this, k = t.share](Version version, const NodeId& to, std::function<void(bool)> done) {
+      [this, k = t.shard](Version version, const NodeId& to, std::function<void(bool)> done) {
         membership_.give(k, version, to, std::move(done));
       },
       [this] { return peers_.answeredElsewhere(); },
-      [this, k = t.share](const mesh::RoomWanted& w) {
+      [this, k = t.shard](const mesh::RoomWanted& w) {
         peers_.sendAll(w);
         toOthersHere(k, w, &Scheduler::roomWanted);
       },
-      [this](const mesh::RoomOffer& o) { toShare(ShareNo{o.toShare}, o, &Scheduler::roomOffered); },
-      [this, k = t.share](const mesh::PartialRoomWanted& w) {
+      [this](const mesh::RoomOffer& o) { toShard(ShardId{o.toShard}, o, &Scheduler::roomOffered); },
+      [this, k = t.shard](const mesh::PartialRoomWanted& w) {
         peers_.sendAll(w);
         toOthersHere(k, w, &Scheduler::partialRoomWanted);
       },
       [this](const mesh::PartialRoomOffer& o) {
-        toShare(ShareNo{o.toShare}, o, &Scheduler::partialRoomOffered);
+        toShard(ShardId{o.toShard}, o, &Scheduler::partialRoomOffered);
       }};
-  auto& s = schedulers_[t.share];
+  auto& s = schedulers_[t.shard];
   s = std::make_unique<Scheduler>(settings_, io_, log_, store_, dir_, t, membership_.leaseValidity(), rng_(),
                                   out);
   s->start();
@@ -173,7 +173,7 @@
   }
 }
 
-void Node::lost(ShareNo k) { schedulers_.erase(k); }
+void Node::lost(ShardId k) { schedulers_.erase(k); }
 
 void Node::jobEnded(const JobId& id, JobStatus s, Version version) {
   dir_.ended(id, s, version);
@@ -182,7 +182,7 @@
   peers_.sendAll(mesh::JobEnded{id.value, s == JobStatus::Done, version.value});
 }
 
-void Node::sendLoad(const mesh::ShareLoad& l) {
+void Node::sendLoad(const mesh::ShardLoad& l) {
   if (!dir_.leader) return;
   if (dir_.leader->record.owner == settings_.node)
     fleet_.load(l);
@@ -190,20 +190,20 @@
     peers_.send(dir_.leader->record.owner, l);
 }
 
-// To the scheduler of a share, here or at the controller that owns it.
+// To the scheduler of a shard, here or at the controller that owns it.
 template <class Message>
-void Node::toShare(ShareNo share, const Message& message, Handler<Message> handler) {
-  if (auto* s = scheduler(share))
+void Node::toShard(ShardId shard, const Message& message, Handler<Message> handler) {
+  if (auto* s = scheduler(shard))
     (s->*handler)(message);
-  else if (const NodeId* owner = dir_.ownerOf(share))
+  else if (const NodeId* owner = dir_.ownerOf(shard))
     peers_.send(*owner, message);
 }
 
-// To the schedulers here of all shares but the one that asks; another share's owner may be this controller.
+// To the schedulers here of all shards but the one that asks; another shard's owner may be this controller.
 template <class Message>
-void Node::toOthersHere(ShareNo asking, const Message& message, Handler<Message> handler) {
-  for (auto& [share, s] : schedulers_)
-    if (share != asking) (s.get()->*handler)(message);
+void Node::toOthersHere(ShardId asking, const Message& message, Handler<Message> handler) {
+  for (auto& [shard, s] : schedulers_)
+    if (shard != asking) (s.get()->*handler)(message);
 }
 
 void Node::received(std::uint32_t from, const mesh::Payload& p) {
@@ -212,8 +212,8 @@
     api_.asked(*ask, answer);
   } else if (const auto* relayed = std::get_if<mesh::CheckInAsk>(&p)) {
     auto report = wire::parseReport(relayed->body);
-    auto host = report ? dir_.hosts.find(report->host) : dir_.hosts.end();
-    Scheduler* s = host == dir_.hosts.end() ? nullptr : scheduler(host->second.record.share);
+    auto machine = report ? dir_.machines.find(report->machine) : dir_.machines.end();
+    Scheduler* s = machine == dir_.machines.end() ? nullptr : scheduler(machine->second.record.shard);
     if (!s) return answer({relayed->id, 503, ""});
     auto a = s->checkIn(*report);
     answer({relayed->id, a.status, std::move(a.body)});
@@ -221,24 +221,24 @@
     showOf(probe->address, [id = probe->id, answer](const HttpResult& r) {
       answer({id, r.response.status, r.response.body});
     });
-  } else if (const auto* seen = std::get_if<mesh::HostSeen>(&p)) {
-    if (auto report = wire::parseReport(seen->body)) fleet_.hostSeen(*report);
-  } else if (const auto* load = std::get_if<mesh::ShareLoad>(&p)) {
+  } else if (const auto* seen = std::get_if<mesh::UnrecordedMachineSeen>(&p)) {
+    if (auto report = wire::parseReport(seen->body)) fleet_.unrecordedMachineSeen(*report);
+  } else if (const auto* load = std::get_if<mesh::ShardLoad>(&p)) {
     fleet_.load(*load);
   } else if (const auto* over = std::get_if<mesh::JobEnded>(&p)) {
     JobId id{over->job};
     dir_.ended(id, over->done ? JobStatus::Done : JobStatus::Aborted, Version{over->version});
     for (auto& [_, s] : schedulers_) s->jobChanged(id);
-  } else if (const auto* w = std::get_if<mesh::HostWish>(&p)) {
-    if (auto* s = scheduler(ShareNo{w->share})) s->wish(*w);
+  } else if (const auto* w = std::get_if<mesh::MachineDirective>(&p)) {
+    if (auto* s = scheduler(ShardId{w->shard})) s->wish(*w);
   } else if (const auto* wanted = std::get_if<mesh::RoomWanted>(&p)) {
-    toOthersHere(ShareNo{wanted->share}, *wanted, &Scheduler::roomWanted);
+    toOthersHere(ShardId{wanted->shard}, *wanted, &Scheduler::roomWanted);
   } else if (const auto* offer = std::get_if<mesh::RoomOffer>(&p)) {
-    if (auto* s = scheduler(ShareNo{offer->toShare})) s->roomOffered(*offer);
+    if (auto* s = scheduler(ShardId{offer->toShard})) s->roomOffered(*offer);
   } else if (const auto* partial = std::get_if<mesh::PartialRoomWanted>(&p)) {
-    toOthersHere(ShareNo{partial->share}, *partial, &Scheduler::partialRoomWanted);
+    toOthersHere(ShardId{partial->shard}, *partial, &Scheduler::partialRoomWanted);
   } else if (const auto* some = std::get_if<mesh::PartialRoomOffer>(&p)) {
-    if (auto* s = scheduler(ShareNo{some->toShare})) s->partialRoomOffered(*some);
+    if (auto* s = scheduler(ShardId{some->toShard})) s->partialRoomOffered(*some);
   }
 }
 
@@ -295,26 +295,26 @@
   auto unavailable = [&](const char* why) { done(wire::userError(503, why)); };
   auto report = wire::parseReport(body);
   if (!report) return done(wire::userError(400, "malformed report"));
-  auto host = dir_.hosts.find(report->host);
-  if (host == dir_.hosts.end()) {
+  auto machine = dir_.machines.find(report->machine);
+  if (machine == dir_.machines.end()) {
     if (dir_.leader && dir_.leader->record.owner == settings_.node)
-      fleet_.hostSeen(*report);
+      fleet_.unrecordedMachineSeen(*report);
     else if (dir_.leader)
-      peers_.send(dir_.leader->record.owner, mesh::HostSeen{body});
+      peers_.send(dir_.leader->record.owner, mesh::UnrecordedMachineSeen{body});
     return unavailable("unknown machine");
   }
-  auto share = host->second.record.share;
-  if (auto* s = scheduler(share)) {
+  auto shard = machine->second.record.shard;
+  if (auto* s = scheduler(shard)) {
     auto a = s->checkIn(*report);
     return done({a.status, std::move(a.body), false, 0});
   }
-  const NodeId* owner = dir_.ownerOf(share);
+  const NodeId* owner = dir_.ownerOf(shard);
   if (!owner || *owner == settings_.node || !dir_.alive(*owner))
     return unavailable("share is being taken over");
   auto now = io_.now();
   // Its lease and its orders come first: the check-in is relayed at once. Only a worker that stays is sent on
   // to its owner, and one that comes back from there is relayed for long.
-  auto& guest = guests_[report->host];
+  auto& guest = guests_[report->machine];
   if (guest.owner != *owner || now - guest.last > 2 * kRelayFirst) {
     bool returned = guest.owner == *owner && now - guest.steered < kSteerAgain;
     guest = {*owner, now, now, returned ? guest.steered : Time{}};
@@ -341,16 +341,16 @@
 
 // The worker's token must be that owner's own: whoever came after it has not asked us to stand in.
 bool Node::mayAnswerFor(const NodeId& owner, const wire::Report& r) const {
-  auto host = dir_.hosts.find(r.host);
-  if (host == dir_.hosts.end() || !membership_.leaseValidity().answers(io_.now())) return false;
-  auto share = dir_.shares.find(host->second.record.share);
-  if (share == dir_.shares.end() || share->second.record.owner != owner) return false;
-  auto epoch = share->second.record.epoch;
-  return epochOf(r.token) == std::max(host->second.record.token, epoch) &&
-         peers_.deputyFor(peers_.numberOf(owner), share->first, epoch, store_.revisionOf(keys::kJobs));
+  auto machine = dir_.machines.find(r.machine);
+  if (machine == dir_.machines.end() || !membership_.leaseValidity().answers(io_.now())) return false;
+  auto shard = dir_.shards.find(machine->second.record.shard);
+  if (shard == dir_.shards.end() || shard->second.record.owner != owner) return false;
+  auto epoch = shard->second.record.epoch;
+  return epochOf(r.token) == std::max(machine->second.record.token, epoch) &&
+         peers_.deputyFor(peers_.numberOf(owner), shard->first, epoch, store_.revisionOf(keys::kJobs));
 }
 
-// The owner of the worker's share is out of reach. Cut off together with the worker we keep its lease up for
+// The owner of the worker's shard is out of reach. Cut off together with the worker we keep its lease up for
 // a while (invariant 15): what it runs goes on. It gets no orders but to end what is aborted, which is final.
 HttpResponse Node::answerFor(const NodeId& owner, const wire::Report& r) {
   if (!mayAnswerFor(owner, r)) return wire::userError(503, "the owner does not answer");
--- a/src/controller/controller.h
+++ b/src/controller/controller.h
@@ -30,19 +30,19 @@
   double partOfLimits() const;
   void changed(const wire::KeyChange& c);
   void received(std::uint32_t from, const mesh::Payload& p);
-  void takenOver(const ShareTakeover& t);
-  void lost(ShareNo k);
+  void takenOver(const ShardTakeover& t);
+  void lost(ShardId k);
   void showOf(const std::string& address, HttpDone done);
   void probe(const std::string& address, std::function<void(const std::string& body)> done);
   void jobEnded(const JobId& id, JobStatus s, Version version);
-  void sendLoad(const mesh::ShareLoad& l);
+  void sendLoad(const mesh::ShardLoad& l);
   template <class Message>
   using Handler = void (Scheduler::*)(const Message&);
   template <class Message>
-  void toShare(ShareNo share, const Message& message, Handler<Message> handler);
+  void toShard(ShardId shard, const Message& message, Handler<Message> handler);
   template <class Message>
-  void toOthersHere(ShareNo asking, const Message& message, Handler<Message> handler);
-  Scheduler* scheduler(ShareNo k);
+  void toOthersHere(ShardId asking, const Message& message, Handler<Message> handler);
+  Scheduler* scheduler(ShardId k);
   void jobs(const HttpRequest& r, Responder done);
   void checkIn(const std::string& body, Responder done);
   void up(Responder done);
@@ -58,13 +58,13 @@
   Membership membership_;
   Fleet fleet_;
   Api api_;
-  std::map<ShareNo, std::unique_ptr<Scheduler>> schedulers_;
-  // Workers of other controllers' shares that report here.
+  std::map<ShardId, std::unique_ptr<Scheduler>> schedulers_;
+  // Workers of other controllers' shards that report here.
   struct Guest {
     NodeId owner;
     Time since{}, last{}, steered{};
   };
-  std::map<HostId, Guest> guests_;
+  std::map<MachineId, Guest> guests_;
 };
 
 }  // namespace cherryloft
--- a/src/controller/user_api.cpp
+++ b/src/controller/user_api.cpp
@@ -65,7 +65,7 @@
 
 void Api::accept(JobSpec spec, Responder done) {
   auto id = spec.id;
-  wire::JobRecord record{JobStatus::Open, settings_.shareOfTeam(spec.team), spec.tasks, io_.wall(), {}};
+  wire::JobRecord record{JobStatus::Open, settings_.shardOfTeam(spec.team), spec.tasks, io_.wall(), {}};
   record.spec = std::move(spec);
   auto value = wire::encodeJobRecord(record);
   // It may have been accepted under a former, larger limit.
@@ -100,11 +100,11 @@
   const KnownJob* job = known(id);
   if (!job) return strongRead(id, std::move(done));
   if (job->status != JobStatus::Open) return done(ended(id, *job));
-  if (Scheduler* s = out_.scheduler(job->share)) {
+  if (Scheduler* s = out_.scheduler(job->shard)) {
     if (auto view = s->poll(id)) return done({200, wire::encodeJob(id, *view), false, 0});
     return strongRead(id, std::move(done));
   }
-  const NodeId* owner = dir_.ownerOf(job->share);
+  const NodeId* owner = dir_.ownerOf(job->shard);
   // Whoever can't be asked is not waited for.
   if (!owner || *owner == settings_.node || !peers_.reaches(*owner)) return strongRead(id, std::move(done));
   peers_.ask(*owner, mesh::JobAsk{0, false, id.value}, kAskOwner,
@@ -134,18 +134,18 @@
 }
 
 void Api::cancel(const JobId& id, Responder done) {
-  if (const KnownJob* job = known(id)) return cancelKnown(id, job->share, std::move(done));
+  if (const KnownJob* job = known(id)) return cancelKnown(id, job->shard, std::move(done));
   strongRead(id, [this, id, done = std::move(done)](HttpResponse r) {
     const KnownJob* job = known(id);
     if (r.status != 200 || !job) return done(std::move(r));
-    cancelKnown(id, job->share, done);
+    cancelKnown(id, job->shard, done);
   });
 }
 
-void Api::cancelKnown(const JobId& id, ShareNo share, Responder done) {
+void Api::cancelKnown(const JobId& id, ShardId shard, Responder done) {
   const KnownJob* job = known(id);
   if (job->status != JobStatus::Open) return done(ended(id, *job));
-  if (Scheduler* s = out_.scheduler(share)) {
+  if (Scheduler* s = out_.scheduler(shard)) {
     auto answered = std::make_shared<bool>(false);
     auto once = [answered, done](HttpResponse r) {
       if (!std::exchange(*answered, true)) done(std::move(r));
@@ -161,7 +161,7 @@
     io_.after(kCancelTimeout, [once] { once(wire::userUnavailable("the state service does not answer")); });
     return;
   }
-  const NodeId* owner = dir_.ownerOf(share);
+  const NodeId* owner = dir_.ownerOf(shard);
   if (!owner || *owner == settings_.node || !dir_.alive(*owner))
     return done(wire::userUnavailable("the job's share is being taken over"));
   if (!peers_.reaches(*owner))
@@ -180,9 +180,9 @@
   };
   const KnownJob* job = known(id);
   if (job && job->status != JobStatus::Open) return reply(ended(id, *job));
-  Scheduler* s = job ? out_.scheduler(job->share) : nullptr;
+  Scheduler* s = job ? out_.scheduler(job->shard) : nullptr;
   if (!s) return reply({});
-  if (ask.cancel) return cancelKnown(id, job->share, reply);
+  if (ask.cancel) return cancelKnown(id, job->shard, reply);
   auto view = s->poll(id);
   reply(view ? HttpResponse{200, wire::encodeJob(id, *view), false, 0} : HttpResponse{});
 }
--- a/src/controller/user_api.h
+++ b/src/controller/user_api.h
@@ -11,7 +11,7 @@
 class Api {
  public:
   struct Outlet {
-    std::function<Scheduler*(ShareNo)> scheduler;        // ours for that share, or null
+    std::function<Scheduler*(ShardId)> scheduler;        // ours for that shard, or null
     std::function<bool()> hasStore;                      // our hold is valid
     std::function<void(const wire::KeyChange&)> learnt;  // a record read or written here
     std::function<void(const JobId&, JobStatus)> ended;  // the owner's word that a job is over
@@ -22,7 +22,7 @@
   void submit(const std::string& body, Responder done);
   void poll(const JobId& id, Responder done);
   void cancel(const JobId& id, Responder done);
-  // A sibling asks us as the owner of the job's share; status 0 says we can't tell.
+  // A sibling asks us as the owner of the job's shard; status 0 says we can't tell.
   void asked(const mesh::JobAsk& ask, std::function<void(mesh::Answer)> done);
 
  private:
@@ -32,7 +32,7 @@
   void strongRead(const JobId& id, Responder done);
   HttpResponse ended(const JobId& id, const KnownJob& job) const;
   HttpResponse relayed(const JobId& id, const mesh::Answer& a);
-  void cancelKnown(const JobId& id, ShareNo share, Responder done);
+  void cancelKnown(const JobId& id, ShardId shard, Responder done);
 
   const Settings& settings_;
   Io& io_;
--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -48,14 +48,14 @@
   HttpClient client(loop, kIdlePerAddress, kept / 4, kept / 2, {settings.state, settings.cloud});
   LoopIo io(loop, client);
   std::vector<Address> addresses(settings.size());
-  for (const auto& s : settings.siblings) addresses[settings.homeShare(s.node).value] = s.address;
+  for (const auto& s : settings.siblings) addresses[settings.homeShard(s.node).value] = s.address;
   auto seed = settings.tuning.seed;
   if (seed == 0)
     seed = std::hash<std::string>{}(settings.node.value) ^ static_cast<std::uint64_t>(loop.wall().value);
   Node node(settings, io, log, seed);
   int front = listening(settings.front);
   mesh::Transport transport(loop, listening(settings.mesh), addresses,
-                            settings.homeShare(settings.node).value,
+                            settings.homeShard(settings.node).value,
                             [&node](const mesh::Frame& f) { node.frame(f); });
   io.attach(&transport);
   HttpServer server(
--- a/src/mesh/messages.h
+++ b/src/mesh/messages.h
@@ -12,13 +12,13 @@
 
 namespace cherryloft::mesh {
 
-struct OwnedShare {
-  std::uint32_t share = 0;
+struct OwnedShard {
+  std::uint32_t shard = 0;
   std::uint64_t epoch = 0;
   std::uint64_t cancelled = 0;  // the revision of its latest cancellation
   template <class A>
   void serialize(A& a) {
-    a(share, epoch, cancelled);
+    a(shard, epoch, cancelled);
   }
 };
 
@@ -27,7 +27,7 @@
   std::uint32_t hears = 0;     // bit per controller heard directly
   bool serving = false;        // it has loaded what it needs
   std::int64_t ownsForMs = 0;  // its hold is good for so long
-  std::vector<OwnedShare> owns;
+  std::vector<OwnedShard> owns;
   // What deputies need (actors/deputy.h), each for the sibling that the heartbeat goes to.
   std::uint64_t life = 0;           // of the process, later ones higher
   std::int64_t at = 0;              // when it was sent, by the sender's steady clock
@@ -40,7 +40,7 @@
   }
 };
 
-// A user's question about a job, to the owner of its share.
+// A user's question about a job, to the owner of its shard.
 struct JobAsk {
   std::uint64_t id = 0;
   bool cancel = false;
@@ -51,7 +51,7 @@
   }
 };
 
-// A worker's check-in, relayed to the owner of its share; the body is passed on as it came.
+// A worker's check-in, relayed to the owner of its shard; the body is passed on as it came.
 struct CheckInAsk {
   std::uint64_t id = 0;
   std::string body;
@@ -94,7 +94,7 @@
 };
 
 // To the leader: a machine that no record names has reported.
-struct HostSeen {
+struct UnrecordedMachineSeen {
   std::string body;
   template <class A>
   void serialize(A& a) {
@@ -102,8 +102,8 @@
   }
 };
 
-struct HostLoad {
-  std::string host;
+struct MachineLoad {
+  std::string machine;
   std::string type;
   std::string zone;
   bool spot = false;
@@ -116,11 +116,11 @@
   double ageS = 0;
   template <class A>
   void serialize(A& a) {
-    a(host, type, zone, spot, freeCores, idleS, usable, draining, emptying, pinned, ageS);
+    a(machine, type, zone, spot, freeCores, idleS, usable, draining, emptying, pinned, ageS);
   }
 };
 
-// Work of one kind in a share; cores unless said otherwise.
+// Work of one kind in a shard; cores unless said otherwise.
 struct Demand {
   double used = 0;
   double waiting = 0;   // within the teams' limits
@@ -138,59 +138,59 @@
   }
 };
 
-// From a share's owner to the leader, at a steady interval.
-struct ShareLoad {
-  std::uint32_t share = 0;
+// From a shard's owner to the leader, at a steady interval.
+struct ShardLoad {
+  std::uint32_t shard = 0;
   std::uint64_t epoch = 0;
   Demand firm;      // work that may use ordinary machines only
   Demand lendable;  // work that may use spot machines too
   // Machines that are idle, don't take work, or could best be emptied. All others are in plain use.
-  std::vector<HostLoad> hosts;
+  std::vector<MachineLoad> machines;
   template <class A>
   void serialize(A& a) {
-    a(share, epoch, firm, lendable, hosts);
+    a(shard, epoch, firm, lendable, machines);
   }
 };
 
-// From the leader to a share's owner: what is to become of one of its machines.
-struct HostWish {
+// From the leader to a shard's owner: what is to become of one of its machines.
+struct MachineDirective {
   enum Kind : std::int32_t {
     Return,  // back to the cloud if it is idle
-    Move,    // to another share if it is idle
+    Move,    // to another shard if it is idle
     Empty,   // takes no more work and goes once what ends by itself has ended, unless room gets short
     Keep,    // takes work again after all
-    Cede,    // to another share once what ends by itself has ended
+    Cede,    // to another shard once what ends by itself has ended
   };
-  std::uint32_t share = 0;
-  std::string host;
+  std::uint32_t shard = 0;
+  std::string machine;
   std::int32_t kind = Return;
-  std::uint32_t toShare = 0;
+  std::uint32_t toShard = 0;
   template <class A>
   void serialize(A& a) {
-    a(share, host, kind, toShare);
+    a(shard, machine, kind, toShard);
   }
 };
 
-// From a share's owner to everybody: jobs that have waited long and that none of the share's machines has
+// From a shard's owner to everybody: jobs that have waited long and that none of the shard's machines has
 // room for.
 struct RoomWanted {
-  std::uint32_t share = 0;
+  std::uint32_t shard = 0;
   std::vector<std::string> jobs;
   template <class A>
   void serialize(A& a) {
-    a(share, jobs);
+    a(shard, jobs);
   }
 };
 
-// The reply of another share's owner: its machines have room for so many tasks of the job now.
+// The reply of another shard's owner: its machines have room for so many tasks of the job now.
 struct RoomOffer {
-  std::uint32_t share = 0;    // whose machines they are
-  std::uint32_t toShare = 0;  // that asked
+  std::uint32_t shard = 0;    // whose machines they are
+  std::uint32_t toShard = 0;  // that asked
   std::string job;
   std::uint32_t tasks = 0;
   template <class A>
   void serialize(A& a) {
-    a(share, toShare, job, tasks);
+    a(shard, toShard, job, tasks);
   }
 };
 
@@ -204,7 +204,7 @@
   }
 };
 
-// Waiting tasks of a job that its share has no room for, while others of it are placed or done, or while it
+// Waiting tasks of a job that its shard has no room for, while others of it are placed or done, or while it
 // must be placed whole.
 struct PartialRoomRequest {
   std::string job;
@@ -216,31 +216,32 @@
   }
 };
 
-// From a share's owner to everybody.
+// From a shard's owner to everybody.
 struct PartialRoomWanted {
-  std::uint32_t share = 0;
+  std::uint32_t shard = 0;
   std::vector<PartialRoomRequest> jobs;
   template <class A>
   void serialize(A& a) {
-    a(share, jobs);
+    a(shard, jobs);
   }
 };
 
-// The reply of another share's owner: its machines in that zone have room for so many of the tasks now.
+// The reply of another shard's owner: its machines in that zone have room for so many of the tasks now.
 struct PartialRoomOffer {
-  std::uint32_t share = 0;    // whose machines they are
-  std::uint32_t toShare = 0;  // that asked
+  std::uint32_t shard = 0;    // whose machines they are
+  std::uint32_t toShard = 0;  // that asked
   std::string job;
   ZoneTasks room;
   template <class A>
   void serialize(A& a) {
-    a(share, toShare, job, room);
+    a(shard, toShard, job, room);
   }
 };
 
 // New kinds go to the end: a controller of an earlier version refuses the frames that it does not know.
-using Payload = std::variant<Heartbeat, JobAsk, CheckInAsk, ProbeAsk, Answer, HostSeen, ShareLoad, HostWish,
-                             JobEnded, RoomWanted, RoomOffer, PartialRoomWanted, PartialRoomOffer>;
+using Payload =
+    std::variant<Heartbeat, JobAsk, CheckInAsk, ProbeAsk, Answer, UnrecordedMachineSeen, ShardLoad,
+                 MachineDirective, JobEnded, RoomWanted, RoomOffer, PartialRoomWanted, PartialRoomOffer>;
 
 struct Frame {
   std::uint32_t from = 0;
--- a/src/policy/autoscaling.cpp
+++ b/src/policy/autoscaling.cpp
@@ -22,9 +22,9 @@
   double ordinary = 0, spot = 0;
 };
 
-Capacity capacityOf(const ShareFleet& f) {
+Capacity capacityOf(const ShardFleet& f) {
   Capacity c;
-  for (const auto& h : f.hosts)
+  for (const auto& h : f.machines)
     if (h.counts) (h.spot ? c.spot : c.ordinary) += h.cores;
   return c;
 }
@@ -47,10 +47,10 @@
   return w.types.empty() || std::find(w.types.begin(), w.types.end(), type) != w.types.end();
 }
 
-std::optional<Wish> cheapest(const ShareFleet& f, const Work& w, double missing, bool spot,
+std::optional<Wish> cheapest(const ShardFleet& f, const Work& w, double missing, bool spot,
                              const Catalog& catalog, const std::set<Offer>& unavailable) {
   std::map<Zone, double> inZone;  // cores of that kind
-  for (const auto& h : f.hosts)
+  for (const auto& h : f.machines)
     if (h.spot == spot) inZone[h.zone] += h.cores;
   std::optional<Wish> best;
   double bestCost = 0;
@@ -80,7 +80,7 @@
 
 }  // namespace
 
-Targets targets(const ShareFleet& f, const Catalog& catalog, double spareShare, double patienceS) {
+Targets targets(const ShardFleet& f, const Catalog& catalog, double spareFraction, double patienceS) {
   double bootS = 0, ratio = 0;  // ratio: ordinary to spot price
   for (const auto& t : catalog) {
     bootS += t.bootS / static_cast<double>(catalog.size());
@@ -95,7 +95,7 @@
   double largest = 0;
   for (const auto& type : catalog) largest = std::max(largest, type.size.cores);
   t.busy = kBusyRoom * t.total + kBusyMachines * largest;
-  t.ample = t.total + lendable * spareShare * std::max(0.0, ratio - 1);
+  t.ample = t.total + lendable * spareFraction * std::max(0.0, ratio - 1);
   // What is there, or about to be, frees room at least as fast as its tasks take on average.
   double turnover = f.lendable.leaving;
   if (f.lendable.runS > 0)
@@ -104,17 +104,17 @@
   return t;
 }
 
-bool isShort(const ShareFleet& f, const Targets& t) {
+bool isShort(const ShardFleet& f, const Targets& t) {
   auto have = capacityOf(f);
   return t.ordinary - have.ordinary > kEnough || t.total - have.ordinary - have.spot > kEnough;
 }
 
-std::optional<Wish> rent(const ShareFleet& f, const Targets& t, const Catalog& catalog,
+std::optional<Wish> rent(const ShardFleet& f, const Targets& t, const Catalog& catalog,
                          const std::set<Offer>& unavailable) {
   auto have = capacityOf(f);
   for (const auto* w : {&f.firm, &f.lendable}) {
     auto covered = [&](const Zone& z) {
-      return std::any_of(f.hosts.begin(), f.hosts.end(), [&](const auto& h) {
+      return std::any_of(f.machines.begin(), f.machines.end(), [&](const auto& h) {
         // One that boots is not used yet; those that are up and full help nobody.
         return h.counts && h.zone == z && (!h.spot || w == &f.lendable) &&
                h.cores - h.usedCores >= w->largestTask - kResourceSlack;
@@ -141,18 +141,18 @@
   return cheapest(f, kind, t.total - all, false, catalog, unavailable);
 }
 
-double coresOf(const ShareFleet& f) {
+double coresOf(const ShardFleet& f) {
   auto c = capacityOf(f);
   return c.ordinary + c.spot;
 }
 
-double pressure(const ShareFleet& f, const Targets& t) { return t.total / std::max(coresOf(f), 1.0); }
+double pressure(const ShardFleet& f, const Targets& t) { return t.total / std::max(coresOf(f), 1.0); }
 
-std::optional<Wish> replacement(const ShareFleet& f, const Targets& t, const Catalog& catalog,
+std::optional<Wish> replacement(const ShardFleet& f, const Targets& t, const Catalog& catalog,
                                 const std::set<Offer>& unavailable, double minAgeS) {
   constexpr double worthIt = 0.6;  // of the price, at most
   auto have = capacityOf(f);
-  for (const auto& h : f.hosts) {
+  for (const auto& h : f.machines) {
     const auto* type = findType(catalog, h.type);
     if (h.spot || h.pinned || !h.counts || !type || h.ageS < minAgeS) continue;
     double missing = std::max(t.ordinary - (have.ordinary - h.cores),
@@ -168,13 +168,13 @@
   return std::nullopt;
 }
 
-std::optional<std::size_t> letGo(const ShareFleet& f, const Targets& t, const Catalog& catalog,
+std::optional<std::size_t> letGo(const ShardFleet& f, const Targets& t, const Catalog& catalog,
                                  double minIdleS, double spareSpot) {
   auto have = capacityOf(f);
   std::optional<std::size_t> best;
   double bestPrice = 0;
-  for (std::size_t i = 0; i < f.hosts.size(); ++i) {
-    const auto& h = f.hosts[i];
+  for (std::size_t i = 0; i < f.machines.size(); ++i) {
+    const auto& h = f.machines[i];
     if (!h.counts || h.idleS < minIdleS) continue;
     const auto* type = findType(catalog, h.type);
     // Where it is wanted again, another would have to boot, and is paid for meanwhile. A dear machine is not
@@ -192,13 +192,13 @@
   return best;
 }
 
-std::vector<std::size_t> toEmpty(const ShareFleet& f, const Targets& t, const Catalog& catalog,
+std::vector<std::size_t> toEmpty(const ShardFleet& f, const Targets& t, const Catalog& catalog,
                                  double minAgeS, std::size_t most) {
   bool anyIdle = letGo(f, t, catalog, 0, coresOf(f)).has_value();
   auto have = capacityOf(f);
   std::vector<std::pair<double, std::size_t>> choices;  // what is gained by each
-  for (std::size_t i = 0; i < f.hosts.size(); ++i) {
-    const auto& h = f.hosts[i];
+  for (std::size_t i = 0; i < f.machines.size(); ++i) {
+    const auto& h = f.machines[i];
     if (!h.counts) continue;
     // Idle machines will go first; nothing need be moved for them.
     if (h.idleS >= 0) (h.spot ? have.spot : have.ordinary) -= h.cores;
@@ -212,7 +212,7 @@
   std::vector<std::size_t> chosen;
   for (const auto& [_, i] : choices) {
     if (chosen.size() >= most) break;
-    const auto& h = f.hosts[i];
+    const auto& h = f.machines[i];
     double keep = h.spot ? t.ample : t.total;
     double left = have.ordinary + have.spot - h.cores;
     if (left < keep + surplus(keep, catalog)) continue;
--- a/src/policy/autoscaling.h
+++ b/src/policy/autoscaling.h
@@ -22,7 +22,7 @@
   std::vector<Zone> stuckZones;    // where machines are missing for tasks that may go nowhere else
 };
 
-struct FleetHost {
+struct FleetMachine {
   std::string type;
   Zone zone;
   bool spot = false;
@@ -33,12 +33,12 @@
   double ageS = 0;
   bool emptying = false;
   bool pinned = false;  // can't be emptied now
-  HostId id{};          // empty: still being rented
+  MachineId id{};       // empty: still being rented
 };
 
-struct ShareFleet {
+struct ShardFleet {
   Work firm, lendable;
-  std::vector<FleetHost> hosts;
+  std::vector<FleetMachine> machines;
 };
 
 struct Targets {
@@ -50,7 +50,7 @@
 // Room for what is there, for what comes while a machine boots, and for one more task of each kind; beyond
 // that, the cheaper spot machines are, the more room is kept on them.
 // Dear machines are not for work that finds room on the cheap ones within its patience.
-Targets targets(const ShareFleet& f, const Catalog& catalog, double spareShare, double patienceS);
+Targets targets(const ShardFleet& f, const Catalog& catalog, double spareFraction, double patienceS);
 
 struct Offer {
   std::string type;
@@ -64,25 +64,25 @@
   double cores = 0;
 };
 // What ordinary machines would be rented for is not there.
-bool isShort(const ShareFleet& f, const Targets& t);
+bool isShort(const ShardFleet& f, const Targets& t);
 // The next rental, or nothing when the targets are met or nothing fitting is on offer.
-std::optional<Wish> rent(const ShareFleet& f, const Targets& t, const Catalog& catalog,
+std::optional<Wish> rent(const ShardFleet& f, const Targets& t, const Catalog& catalog,
                          const std::set<Offer>& unavailable);
 
 // Index of an idle machine that may go, the dearest first; nothing if all are needed. Of spot machines,
 // spareSpot cores in all may go.
-std::optional<std::size_t> letGo(const ShareFleet& f, const Targets& t, const Catalog& catalog,
+std::optional<std::size_t> letGo(const ShardFleet& f, const Targets& t, const Catalog& catalog,
                                  double minIdleS, double spareSpot);
 // A small ordinary machine to put in the place of a large one that little runs on.
-std::optional<Wish> replacement(const ShareFleet& f, const Targets& t, const Catalog& catalog,
+std::optional<Wish> replacement(const ShardFleet& f, const Targets& t, const Catalog& catalog,
                                 const std::set<Offer>& unavailable, double minAgeS);
-double coresOf(const ShareFleet& f);
+double coresOf(const ShardFleet& f);
 // How much of what a share wants it lacks: 1 is balance.
-double pressure(const ShareFleet& f, const Targets& t);
+double pressure(const ShardFleet& f, const Targets& t);
 
 // Indices of busy machines that should take no more work, as the others have room enough for all without
 // those that are idle: the dearest for what runs on them first, and at most so many.
-std::vector<std::size_t> toEmpty(const ShareFleet& f, const Targets& t, const Catalog& catalog,
+std::vector<std::size_t> toEmpty(const ShardFleet& f, const Targets& t, const Catalog& catalog,
                                  double minAgeS, std::size_t most);
 
 }  // namespace cherryloft::policy
--- a/src/scheduler/commands.cpp
+++ b/src/scheduler/commands.cpp
@@ -33,7 +33,7 @@
 }
 
 // What the worker should do; for a check-in also what is repeated until it shows.
-std::vector<Order> Scheduler::orders(Host& h, const wire::Report* checkIn) {
+std::vector<Order> Scheduler::orders(Machine& h, const wire::Report* checkIn) {
   auto now = io_.now();
   std::vector<Order> out;
   if (!h.heard) return out;
@@ -65,7 +65,7 @@
 
 // Entries of the last report that the books do not place there. Forgets go in answers to check-ins only:
 // by then no copy of their start can still arrive (invariant 3).
-void Scheduler::strayOrders(Host& h, std::vector<Order>& out) {
+void Scheduler::strayOrders(Machine& h, std::vector<Order>& out) {
   bool mayForget = h.settled() && !h.directBusy;
   for (const auto& t : h.reported) {
     if (out.size() >= kMostOrders) return;
@@ -85,7 +85,7 @@
   }
 }
 
-void Scheduler::direct(Host& h) {
+void Scheduler::direct(Machine& h) {
   auto now = io_.now();
   if (!owns()) return;
   if (h.directBusy) {
@@ -99,7 +99,7 @@
   bool ask = list.empty();
   if (ask && h.heard && !late(h) && !h.directAgain) return;
   if (ask && asking_ >= kMostAsking) return;
-  // Sockets are kept for a third of what a controller may have to command at once: all shares may be its own.
+  // Sockets are kept for a third of what a controller may have to command at once: all shards may be its own.
   if (commanding_ >= std::max<std::size_t>(settings_.keptSockets() / 2 / settings_.size(), 8)) {
     h.attention = true;
     return;
@@ -120,26 +120,26 @@
 }
 
 // Machines that are gone from the books by now are left out.
-void Scheduler::directAll(const std::set<HostId>& hosts) {
-  for (const auto& id : hosts)
-    if (Host* h = books_.host(id)) direct(*h);
+void Scheduler::directAll(const std::set<MachineId>& machines) {
+  for (const auto& id : machines)
+    if (Machine* h = books_.machine(id)) direct(*h);
 }
 
-void Scheduler::directed(const HostId& id, const Sent& sent, const HttpResult& r) {
+void Scheduler::directed(const MachineId& id, const Sent& sent, const HttpResult& r) {
   if (sent.ask) --asking_;
   --commanding_;
-  Host* h = books_.host(id);
+  Machine* h = books_.machine(id);
   if (!h) return;
   auto now = io_.now();
   h->directBusy = false;
   auto report = r.answered(200) || r.answered(409) ? wire::parseReport(r.response.body) : std::nullopt;
-  if (report && report->host == id) {
+  if (report && report->machine == id) {
     if (report->token > h->token()) return;  // superseded; its check-ins will say so
     h->askedInVain = 0;
     bool older = std::pair(report->session, report->serial) <= sent.known;
     if (older || report->session <= h->expiredSession) reborn(*h, *report);
     apply(*h, *report, false);
-    h = books_.host(id);
+    h = books_.machine(id);
     if (!h) return;
     // The first command could not know the session.
     bool missed = report->session != sent.session;
@@ -166,12 +166,12 @@
 }
 
 // Perhaps only we can't reach it: then its check-ins are relayed, and it is not to be given up.
-void Scheduler::askThroughSiblings(Host& h) {
+void Scheduler::askThroughSiblings(Machine& h) {
   Sent sent{h.token(), h.session, std::pair(h.session, h.serial), false};
   out_.probe(h.address, guarded([this, id = h.id, sent](const std::string& body) {
                auto report = wire::parseReport(body);
-               Host* h = books_.host(id);
-               if (!h || !report || report->host != id || report->token > h->token()) return;
+               Machine* h = books_.machine(id);
+               if (!h || !report || report->machine != id || report->token > h->token()) return;
                if (std::pair(report->session, report->serial) > sent.known) apply(*h, *report, false);
              }));
 }
--- a/src/scheduler/commits.cpp
+++ b/src/scheduler/commits.cpp
@@ -10,15 +10,15 @@
 }  // namespace
 
 wire::JobRecord Scheduler::doneRecord(const Job& job) const {
-  return {JobStatus::Done, takeover_.share, static_cast<std::uint32_t>(job.tasks.size()), job.submitted, {}};
+  return {JobStatus::Done, takeover_.shard, static_cast<std::uint32_t>(job.tasks.size()), job.submitted, {}};
 }
 
 wire::JobRecord Scheduler::abortedRecord(const Job& job) const {
   auto tasks = static_cast<std::uint32_t>(job.tasks.size());
-  return {JobStatus::Aborted, takeover_.share, tasks, job.submitted, *job.spec, job.atOnce, job.delegations};
+  return {JobStatus::Aborted, takeover_.shard, tasks, job.submitted, *job.spec, job.atOnce, job.delegations};
 }
 
-// The end of another share's job is for its owner to write.
+// The end of another shard's job is for its owner to write.
 void Scheduler::endIfFinished(const Job& job) {
   if (job.status == JobStatus::Open && !job.delegation && job.finished()) ending_.insert(job.id);
 }
@@ -51,12 +51,12 @@
   while (!fresh_.empty() && draft.hasRoom(settings_.valueBytes + kKeyWeight)) {
     auto d = books_.draft(fresh_, taken);
     if (!d) continue;
-    draft.add({keys::page(takeover_.share, d->number), wire::encodePage(d->record), {}},
+    draft.add({keys::page(takeover_.shard, d->number), wire::encodePage(d->record), {}},
               books_.pages().at(d->number).version);
     flight_->pages.push_back(d->number);
     for (const auto& [job, facts] : d->record.jobs) {
       for (const auto& e : facts.placed)
-        flight_->placed.emplace_back(e.host, TaskId{job, e.index}, e.attempt);
+        flight_->placed.emplace_back(e.machine, TaskId{job, e.index}, e.attempt);
       for (auto i : facts.done) flight_->done.push_back({job, i});
     }
   }
@@ -65,7 +65,7 @@
 void Scheduler::commit() {
   if (committing_ || !owns() || io_.now() < commitNotBefore_) return;
   if (!flight_) {
-    // While changes are short, what comes within a moment shares a transaction; completions can wait longer.
+    // While changes are short, what comes within a moment shards a transaction; completions can wait longer.
     auto now = io_.now();
     bool urgent = startsFresh_ || !ending_.empty();
     auto due = lastCommit_ + (urgent ? 1 : 3) * store_.workEvery();
@@ -74,20 +74,20 @@
     startsFresh_ = false;
     flight_.emplace();
     TransactionDraft draft(settings_.txnOps);
-    draft.require(keys::share(takeover_.share), takeover_.version);
+    draft.require(keys::shard(takeover_.shard), takeover_.version);
     addTerminal(draft);
     addTransfers(draft);
     addLeft(draft);
     addDelegations(draft);
     addReturns(draft);
-    // A share that is to be handed back waits for nothing else: in a large one something is done at every
+    // A shard that is to be handed back waits for nothing else: in a large one something is done at every
     // moment. The next owner learns from reports what is done, as nothing is forgotten before it is written
     // (invariant 8), and placements that were not written were not sent.
     if (!givingTo_) addPages(draft);
     auto& pages = books_.pages();
     auto spare = pages.spare({flight_->pages.begin(), flight_->pages.end()});
     bool drops = spare && !draft.empty() &&
-                 draft.add({keys::page(takeover_.share, *spare), std::nullopt, {}}, pages.at(*spare).version);
+                 draft.add({keys::page(takeover_.shard, *spare), std::nullopt, {}}, pages.at(*spare).version);
     if (drops) flight_->dropped.push_back(*spare);
     bool nothing = draft.empty();
     flight_->txn = draft.take();
@@ -130,16 +130,16 @@
     case O::Refused:
     case O::Unknown:
       // The same again under the same conditions: either it is done now, or the conflict tells that it was
-      // done before, or that the share is another's.
+      // done before, or that the shard is another's.
       commitNotBefore_ = io_.now() + Duration{60 + rng_() % 120};
       io_.after(Duration{190}, guarded([this] { commit(); }));
       return;
     case O::Rejected:
-      log_->error("share {}: the state service takes no transaction of that size", takeover_.share.value);
+      log_->error("share {}: the state service takes no transaction of that size", takeover_.shard.value);
       return out_.abandon();
     case O::Conflict:
     case O::NoHold:
-      log_->info("share {}: conflict on {}", takeover_.share.value,
+      log_->info("share {}: conflict on {}", takeover_.shard.value,
                  r.failed.empty() ? "?" : r.failed.front());
       return out_.abandon();
   }
@@ -158,10 +158,10 @@
   for (const auto& id : f.transferred) transferred(id);
   for (const auto& written : f.delegated) delegationsCommitted(written, r.revision);
   for (const auto& written : f.returned) returnCommitted(written, r.revision);
-  std::set<HostId> hosts;
-  for (const auto& [hostId, task, attempt] : f.placed) {
+  std::set<MachineId> machines;
+  for (const auto& [machineId, task, attempt] : f.placed) {
     if (Job* j = books_.job(task.job)) j->tasks[task.index].flying = false;
-    Host* h = books_.host(hostId);
+    Machine* h = books_.machine(machineId);
     if (!h) continue;
     auto it = h->placements.find(task);
     if (it == h->placements.end() || it->second.attempt != attempt || it->second.committed) continue;
@@ -173,10 +173,10 @@
       wake(true);
       continue;
     }
-    hosts.insert(hostId);
+    machines.insert(machineId);
     if (const Job* job = books_.job(task.job); job && job->isGang() && job->allCommitted())
       for (const auto& member : job->tasks)
-        if (member.host) hosts.insert(member.host->id);
+        if (member.machine) machines.insert(member.machine->id);
   }
   for (const auto& [id, status] : f.ended) {
     Job* j = books_.job(id);
@@ -188,12 +188,12 @@
     if (status == JobStatus::Aborted) {
       lastAborted_ = std::max(lastAborted_, r.revision);
       j->waiting.clear();
-      stopTasks(*j, hosts);
+      stopTasks(*j, machines);
     }
     if (Job* left = books_.job(id)) cleanUp(*left);
   }
   // Only now: a start must not go out beside the end of its own job.
-  directAll(hosts);
+  directAll(machines);
   wake(false);
 }
 
@@ -205,12 +205,12 @@
 
 // Orders the end of all that is placed of a job, and names the machines. A job that is over leaves the books
 // with the last task that was never sent.
-void Scheduler::stopTasks(const Job& job, std::set<HostId>& hosts) {
-  std::vector<std::pair<Host*, TaskId>> placed;
+void Scheduler::stopTasks(const Job& job, std::set<MachineId>& machines) {
+  std::vector<std::pair<Machine*, TaskId>> placed;
   for (std::uint32_t i = 0; i < job.tasks.size(); ++i)
-    if (Host* h = job.tasks[i].host) placed.emplace_back(h, TaskId{job.id, i});
+    if (Machine* h = job.tasks[i].machine) placed.emplace_back(h, TaskId{job.id, i});
   for (const auto& [h, task] : placed) {
-    hosts.insert(h->id);
+    machines.insert(h->id);
     if (auto it = h->placements.find(task); it != h->placements.end()) stop(*h, task, it->second);
   }
 }
@@ -220,7 +220,7 @@
 void Scheduler::cleanUp(Job& job) {
   if (job.status == JobStatus::Open || job.placed > 0) return;
   auto id = job.id;
-  bool remains = !job.delegation && job.remote > 0;  // with other shares
+  bool remains = !job.delegation && job.remote > 0;  // with other shards
   if (job.status == JobStatus::Aborted && job.atOnce && !remains) left_.push_back(leftOf(job));
   if (remains) {
     auto sum = job.spec->each * static_cast<double>(job.remote);
--- a/src/scheduler/delegation.cpp
+++ b/src/scheduler/delegation.cpp
@@ -1,8 +1,8 @@
-// Delegations: waiting tasks of a job that another share places for the share that owns the job (invariant
+// Delegations: waiting tasks of a job that another shard places for the shard that owns the job (invariant
 // 18).
 //
 // Used where a job can't be transferred whole: some of its tasks are placed or done, or it is a gang that no
-// share has room for alone. The owner keeps the job: it answers its users, writes its end, and counts what
+// shard has room for alone. The owner keeps the job: it answers its users, writes its end, and counts what
 // it delegated toward the team's limit and the zones' rules. The delegate places the tasks, in one zone
 // where the job's rules ask for it, and gives back what is done, and what it finds no room for. Each step is
 // one write of the job's record under its version.
@@ -40,7 +40,7 @@
                 [&](const auto& o) { return o.second.empty() || now - o.second.front().at > kOfferHolds; });
   if (givingTo_ || gaveUpShare_) return;
   mesh::PartialRoomWanted wanted;
-  wanted.share = takeover_.share.value;
+  wanted.shard = takeover_.shard.value;
   for (Job* job : oldestInVain(false, now)) {
     if (transferPlanned(job->id) || delegationWrites_.count(job->id) > 0) continue;
     bool parted = job->spec->shape == Shape::Gang && job->remote > 0;
@@ -73,9 +73,9 @@
   JobId id{offer.job};
   if (!loaded_ || !owns() || !books_.job(id) || offer.room.tasks == 0) return;
   auto& offers = partialOffers_[id];
-  ShareNo share{offer.share};
-  std::erase_if(offers, [&](const PartialOffer& o) { return o.share == share; });
-  offers.push_back({share, zoneNamed(offer.room.zone), offer.room.tasks, io_.now()});
+  ShardId shard{offer.shard};
+  std::erase_if(offers, [&](const PartialOffer& o) { return o.shard == shard; });
+  offers.push_back({shard, zoneNamed(offer.room.zone), offer.room.tasks, io_.now()});
 }
 
 // Hands tasks to those who offered room, the largest offer first. A gang goes only if all of it finds room,
@@ -86,7 +86,7 @@
   auto offers = std::move(found->second);
   partialOffers_.erase(found);
   std::erase_if(offers, [&](const PartialOffer& o) {
-    return findDelegation(job.delegations, o.share) || now - o.at > kOfferHolds;
+    return findDelegation(job.delegations, o.shard) || now - o.at > kOfferHolds;
   });
   std::stable_sort(offers.begin(), offers.end(),
                    [](const PartialOffer& a, const PartialOffer& b) { return a.tasks > b.tasks; });
@@ -117,7 +117,7 @@
 }
 
 void Scheduler::delegate(Job& job, const PartialOffer& offer, std::uint32_t most) {
-  Delegation d{offer.share, offer.zone, {}, job.gangAttempt};
+  Delegation d{offer.shard, offer.zone, {}, job.gangAttempt};
   most = std::min({most, offer.tasks, kMostDelegated});
   while (d.tasks.size() < most && (!offer.zone || zoneAllows(job, *offer.zone))) {
     auto index = job.waiting.front();
@@ -127,7 +127,7 @@
   }
   if (d.tasks.empty()) return;
   std::sort(d.tasks.begin(), d.tasks.end());
-  log_->info("job {}: {} tasks go to share {}", job.id.value, d.tasks.size(), offer.share.value);
+  log_->info("job {}: {} tasks go to share {}", job.id.value, d.tasks.size(), offer.shard.value);
   auto& write = delegationWrites_[job.id];
   write.job = job.id;
   write.planned.push_back(std::move(d));
@@ -173,7 +173,7 @@
                  known->second.status == JobStatus::Open;
   if (!current || !job.open() || !job.cancelWaiters.empty()) return std::nullopt;
   wire::JobRecord record{
-      JobStatus::Open, takeover_.share, known->second.tasks,       job.submitted,
+      JobStatus::Open, takeover_.shard, known->second.tasks,       job.submitted,
       *job.spec,       job.atOnce,      known->second.delegations, known->second.doneElsewhere};
   record.delegations.insert(record.delegations.end(), change.planned.begin(), change.planned.end());
   if (change.recall)
@@ -229,7 +229,7 @@
   bool notDone = false, any = false;
   auto former = std::exchange(job.delegations, known.delegations);
   for (const auto& before : former) {
-    const auto* now = findDelegation(known.delegations, before.share);
+    const auto* now = findDelegation(known.delegations, before.shard);
     for (auto index : before.tasks) {
       if ((now && now->covers(index)) || job.tasks[index].state != TaskState::Remote) continue;
       bool done = std::binary_search(known.doneElsewhere.begin(), known.doneElsewhere.end(), index);
@@ -258,14 +258,14 @@
     JobId id{request.job};
     auto known = dir_.jobs.find(id);
     bool theirs =
-        known != dir_.jobs.end() && known->second.share == ShareNo{wanted.share} && known->second.spec;
+        known != dir_.jobs.end() && known->second.shard == ShardId{wanted.shard} && known->second.spec;
     if (!theirs || known->second.status != JobStatus::Open || books_.job(id)) continue;
     Job probe;
     probe.id = id;
     probe.spec = known->second.spec;
-    mesh::PartialRoomOffer offer{takeover_.share.value, wanted.share, request.job, {}};
+    mesh::PartialRoomOffer offer{takeover_.shard.value, wanted.shard, request.job, {}};
     for (const auto& [zone, tasks] : request.zones) {
-      probe.delegation = Delegation{takeover_.share, zoneNamed(zone), {}};
+      probe.delegation = Delegation{takeover_.shard, zoneNamed(zone), {}};
       auto room = std::min({roomFor(probe), tasks, request.tasks});
       if (room > offer.room.tasks) offer.room = {zone, room};
     }
@@ -279,14 +279,14 @@
   auto& job = books_.addJob(id, known, &delegation);
   job.since = io_.now();
   delegatedHere_.insert(id);
-  // A gang's attempt is tried once; whether a former owner of this share did is not known.
+  // A gang's attempt is tried once; whether a former owner of this shard did is not known.
   if (!loaded_ && delegation.attempt) job.begun = true;
   if (loaded_ && delegation.recalled) recallDelegated(job);  // else once what is placed is restored
   return job;
 }
 
 void Scheduler::delegatedJobChanged(const JobId& id, const KnownJob& known) {
-  const auto* mine = findDelegation(known.delegations, takeover_.share);
+  const auto* mine = findDelegation(known.delegations, takeover_.shard);
   Job* job = books_.job(id);
   if (!job) {
     auto returned = returnedAt_.find(id);
@@ -311,9 +311,9 @@
 void Scheduler::recallDelegated(Job& job) {
   if (std::exchange(job.recalling, true)) return;
   job.notBefore = Time::max();
-  std::set<HostId> hosts;
-  stopTasks(job, hosts);
-  directAll(hosts);
+  std::set<MachineId> machines;
+  stopTasks(job, machines);
+  directAll(machines);
   wake(false);
 }
 
@@ -321,10 +321,10 @@
   auto id = job.id;
   job.status = JobStatus::Aborted;
   job.waiting.clear();
-  std::set<HostId> hosts;
-  stopTasks(job, hosts);
+  std::set<MachineId> machines;
+  stopTasks(job, machines);
   if (Job* left = books_.job(id)) cleanUp(*left);
-  directAll(hosts);
+  directAll(machines);
   wake(true);
 }
 
@@ -337,7 +337,7 @@
   std::vector<std::uint32_t> tasks;
   if (!over && (job.waiting.empty() || !(inVain || job.recalling || gangEnded))) return tasks;
   for (auto index : job.delegation->tasks)
-    if (!job.tasks[index].host) tasks.push_back(index);
+    if (!job.tasks[index].machine) tasks.push_back(index);
   return tasks;
 }
 
@@ -358,12 +358,12 @@
     auto tasks = returnable(*job, io_.now());
     if (tasks.empty()) continue;
     const auto& k = known->second;
-    wire::JobRecord record{JobStatus::Open, k.share,  k.tasks,       k.submitted,
+    wire::JobRecord record{JobStatus::Open, k.shard,  k.tasks,       k.submitted,
                            *job->spec,      k.atOnce, k.delegations, k.doneElsewhere};
     DelegationReturn written{id, tasks, *job->delegation};
     std::erase_if(written.kept.tasks,
                   [&](auto index) { return std::binary_search(tasks.begin(), tasks.end(), index); });
-    std::erase_if(record.delegations, [&](const auto& d) { return d.share == takeover_.share; });
+    std::erase_if(record.delegations, [&](const auto& d) { return d.shard == takeover_.shard; });
     if (!written.kept.tasks.empty()) record.delegations.push_back(written.kept);
     for (auto index : tasks)
       if (job->tasks[index].state == TaskState::Done) record.doneElsewhere.push_back(index);
--- a/src/scheduler/failure_attribution.cpp
+++ b/src/scheduler/failure_attribution.cpp
@@ -25,46 +25,48 @@
                      [](const auto& task) { return task.second.size() >= kMachinesToBlameJob; });
 }
 
-std::optional<Duration> FailureHistory::failed(const TaskId& task, const HostId& host, Duration ranFor,
+std::optional<Duration> FailureHistory::failed(const TaskId& task, const MachineId& machine, Duration ranFor,
                                                std::size_t machines, Time now) {
   auto& record = jobs_[task.job];
   // Many tasks that one machine fails together count once.
-  bool another = record.failedOn.insert_or_assign(host, now).second;
-  record.byTask[task.index].insert(host);
-  record.worksOn.erase(host);
+  bool another = record.failedOn.insert_or_assign(machine, now).second;
+  record.byTask[task.index].insert(machine);
+  record.worksOn.erase(machine);
   record.longestRun = std::max(record.longestRun, ranFor);
   if (another || record.failedOn.size() >= machines) ++record.failuresInARow;
-  lastFailure_[host] = now;
+  lastFailure_[machine] = now;
   settle(task.job, record, now);
   if (record.failuresInARow < kFailuresToBackOff) return std::nullopt;
   auto doublings = std::min(record.failuresInARow - kFailuresToBackOff, kMostDoublings);
   return std::min(kFirstBackOff * (1 << doublings), kLongestBackOff);
 }
 
-void FailureHistory::completed(const JobId& job, const HostId& host, Time now) {
-  blame_.erase(host);
-  lastFailure_.erase(host);
-  works(job, host, now);
+void FailureHistory::completed(const JobId& job, const MachineId& machine, Time now) {
+  blame_.erase(machine);
+  lastFailure_.erase(machine);
+  works(job, machine, now);
 }
 
-void FailureHistory::keptRunning(const JobId& job, const HostId& host, Time now) { works(job, host, now); }
+void FailureHistory::keptRunning(const JobId& job, const MachineId& machine, Time now) {
+  works(job, machine, now);
+}
 
-void FailureHistory::works(const JobId& job, const HostId& host, Time now) {
+void FailureHistory::works(const JobId& job, const MachineId& machine, Time now) {
   auto& record = jobs_[job];
   record.failuresInARow = 0;
-  if (record.worksOn.size() < kWorkingMachinesKept) record.worksOn.insert(host);
+  if (record.worksOn.size() < kWorkingMachinesKept) record.worksOn.insert(machine);
   if (!record.failedOn.empty()) settle(job, record, now);
 }
 
 // Decides anew whom the job's failures count against.
 void FailureHistory::settle(const JobId& job, const JobRecord& record, Time now) {
   for (const auto& failure : record.failedOn) {
-    const HostId& host = failure.first;
+    const MachineId& machine = failure.first;
     bool worksElsewhere = std::any_of(record.worksOn.begin(), record.worksOn.end(),
-                                      [&](const HostId& other) { return other != host; });
+                                      [&](const MachineId& other) { return other != machine; });
     if (worksElsewhere && !failsEverywhere(record))
-      blame_[host].try_emplace(job, now);
-    else if (auto blamed = blame_.find(host); blamed != blame_.end())
+      blame_[machine].try_emplace(job, now);
+    else if (auto blamed = blame_.find(machine); blamed != blame_.end())
       blamed->second.erase(job);
   }
 }
@@ -86,40 +88,41 @@
   return record && record->worksOn.empty() && record->failuresInARow >= kFailuresToBackOff;
 }
 
-bool FailureHistory::avoids(const JobId& job, const HostId& host, std::size_t machines, Time now) const {
+bool FailureHistory::avoids(const JobId& job, const MachineId& machine, std::size_t machines,
+                            Time now) const {
   const auto* record = find(job);
   if (!record || record->failedOn.size() >= machines) return false;
-  auto failed = record->failedOn.find(host);
+  auto failed = record->failedOn.find(machine);
   return failed != record->failedOn.end() && now - failed->second <= kKeepsOff;
 }
 
-std::vector<HostId> FailureHistory::faulty(const JobId& job, Time now) const {
-  std::vector<HostId> out;
+std::vector<MachineId> FailureHistory::faulty(const JobId& job, Time now) const {
+  std::vector<MachineId> out;
   const auto* record = find(job);
   if (!record) return out;
-  for (const auto& [host, _] : record->failedOn) {
-    auto blamed = blame_.find(host);
+  for (const auto& [machine, _] : record->failedOn) {
+    auto blamed = blame_.find(machine);
     if (blamed == blame_.end()) continue;
     auto recent = std::count_if(blamed->second.begin(), blamed->second.end(),
                                 [&](const auto& entry) { return now - entry.second <= kBlameKept; });
-    if (static_cast<std::size_t>(recent) >= kJobsToBlameMachine) out.push_back(host);
+    if (static_cast<std::size_t>(recent) >= kJobsToBlameMachine) out.push_back(machine);
   }
   return out;
 }
 
 void FailureHistory::forget(const JobId& job) { jobs_.erase(job); }
 
-bool FailureHistory::unsettled(const HostId& host, Time now) const {
-  auto failed = lastFailure_.find(host);
+bool FailureHistory::unsettled(const MachineId& machine, Time now) const {
+  auto failed = lastFailure_.find(machine);
   return failed != lastFailure_.end() && now - failed->second <= kSettlesWithin;
 }
 
-void FailureHistory::forget(const HostId& host) {
-  blame_.erase(host);
-  lastFailure_.erase(host);
+void FailureHistory::forget(const MachineId& machine) {
+  blame_.erase(machine);
+  lastFailure_.erase(machine);
   for (auto& [_, record] : jobs_) {
-    record.failedOn.erase(host);
-    record.worksOn.erase(host);
+    record.failedOn.erase(machine);
+    record.worksOn.erase(machine);
   }
 }
 
--- a/src/scheduler/gangs.cpp
+++ b/src/scheduler/gangs.cpp
@@ -1,6 +1,6 @@
 // Gangs: jobs whose tasks all run at the same time, or none of them does.
 //
-// The members of a gang share one attempt. They are placed in one pass, all or none, and none is commanded
+// The members of a gang shard one attempt. They are placed in one pass, all or none, and none is commanded
 // before the attempt of every member is written. When one is lost the others are stopped, and the gang starts
 // anew once nothing of the old attempt is left anywhere. What is done is done by all.
 #include <algorithm>
@@ -18,14 +18,14 @@
   for (const auto& pool : books_.pools()) {
     auto zone = zones.find(pool.zone);
     if (zone == zones.end() || !allowedIn(job, pool) || pool.fetchGbPerS <= 0) continue;
-    bool fits = pool.anyRoom(spec.each, settings_.tuning.sample, [](const Host&) { return true; });
+    bool fits = pool.anyRoom(spec.each, settings_.tuning.sample, [](const Machine&) { return true; });
     if (fits) zone->second.fetchS = std::min(zone->second.fetchS, spec.imageGb / pool.fetchGbPerS);
   }
-  for (const auto& [_, host] : *job.holders) {
-    auto zone = zones.find(host->zone());
-    if (zone == zones.end() || !allowed(job, *host)) continue;
+  for (const auto& [_, machine] : *job.holders) {
+    auto zone = zones.find(machine->zone());
+    if (zone == zones.end() || !allowed(job, *machine)) continue;
     auto& room = zone->second.roomOnHolders;
-    for (auto free = host->free(); spec.each.fitsIn(free) && room < spec.tasks; free -= spec.each) ++room;
+    for (auto free = machine->free(); spec.each.fitsIn(free) && room < spec.tasks; free -= spec.each) ++room;
   }
   std::vector<policy::GangZone> list;
   list.reserve(zones.size());
@@ -55,7 +55,7 @@
   if (placeSome(job, all) == all) return true;
   fresh_.resize(before);
   for (std::uint32_t i = 0; i < job.tasks.size(); ++i)
-    if (Host* h = job.tasks[i].host) books_.gone(*h, TaskId{job.id, i}, io_.now());
+    if (Machine* h = job.tasks[i].machine) books_.gone(*h, TaskId{job.id, i}, io_.now());
   std::sort(job.waiting.begin(), job.waiting.end());
   job.placedLast = placedLast;  // it waits on
   job.begun = begun;
@@ -72,12 +72,12 @@
 
 // One decision stops all members: a save succeeds only if each is told soon after the first.
 void Scheduler::stopGang(Job& job, bool mayNotSave) {
-  std::vector<std::pair<HostId, TaskId>> members;
+  std::vector<std::pair<MachineId, TaskId>> members;
   for (std::uint32_t i = 0; i < job.tasks.size(); ++i)
-    if (const Host* h = job.tasks[i].host) members.emplace_back(h->id, TaskId{job.id, i});
-  std::set<HostId> on;
+    if (const Machine* h = job.tasks[i].machine) members.emplace_back(h->id, TaskId{job.id, i});
+  std::set<MachineId> on;
   for (const auto& [id, task] : members) {
-    Host* h = books_.host(id);
+    Machine* h = books_.machine(id);
     auto member = h->placements.find(task);
     if (member == h->placements.end() || !member->second.wanted) continue;
     member->second.mayNotSave |= mayNotSave;
@@ -101,15 +101,15 @@
 // The least costly way to make room for all members, in one zone if they must be in one; nothing if there is
 // none.
 std::optional<std::vector<Scheduler::PlannedEviction>> Scheduler::planRoomForGang(
-    const Ranked& blocked, const std::vector<Host*>& peeked, const RoomToCome& room) const {
+    const Ranked& blocked, const std::vector<Machine*>& peeked, const RoomToCome& room) const {
   const Job& job = *blocked.job;
   // By zone, or all together.
-  std::map<Zone, std::vector<Host*>> choices;
-  for (Host* h : peeked) choices[job.spec->oneZone ? h->zone() : Zone{}].push_back(h);
+  std::map<Zone, std::vector<Machine*>> choices;
+  for (Machine* h : peeked) choices[job.spec->oneZone ? h->zone() : Zone{}].push_back(h);
   std::optional<std::vector<PlannedEviction>> best;
   double least = 0;
-  for (const auto& [_, hosts] : choices) {
-    auto plan = planRoomOn(blocked, hosts, room);
+  for (const auto& [_, machines] : choices) {
+    auto plan = planRoomOn(blocked, machines, room);
     double lost = 0;
     if (plan)
       for (const auto& eviction : *plan) lost += eviction.lost;
@@ -119,18 +119,17 @@
 }
 
 // Room for all members on these machines.
-std::optional<std::vector<Scheduler::PlannedEviction>> Scheduler::planRoomOn(const Ranked& blocked,
-                                                                             const std::vector<Host*>& hosts,
-                                                                             RoomToCome room) const {
+std::optional<std::vector<Scheduler::PlannedEviction>> Scheduler::planRoomOn(
+    const Ranked& blocked, const std::vector<Machine*>& machines, RoomToCome room) const {
   std::vector<PlannedEviction> plan;
   std::set<TaskId> taken;
   for (std::size_t n = 0; n < blocked.job->waiting.size(); ++n) {
-    auto eviction = cheapestEviction(*blocked.job, blocked.c.guaranteed, hosts, room, taken);
+    auto eviction = cheapestEviction(*blocked.job, blocked.c.guaranteed, machines, room, taken);
     if (!eviction) return std::nullopt;
-    auto& left = room.of(*eviction->host);
+    auto& left = room.of(*eviction->machine);
     for (const auto& task : eviction->victims) {
       taken.insert(task);
-      left += eviction->host->placements.at(task).job->spec->each;
+      left += eviction->machine->placements.at(task).job->spec->each;
     }
     left -= blocked.job->spec->each;
     plan.push_back(std::move(*eviction));
@@ -139,14 +138,14 @@
 }
 
 // Stops others for a gang only if that makes room for all of it.
-void Scheduler::makeRoomForGang(const Ranked& blocked, RoomToCome& room, std::set<HostId>& changed) {
+void Scheduler::makeRoomForGang(const Ranked& blocked, RoomToCome& room, std::set<MachineId>& changed) {
   const Job& job = *blocked.job;
   if (job.placed > 0 || tasksWithinLimit(job) < job.waiting.size()) return;
   auto plan = planRoomForGang(blocked, peekForRoom(job), room);
   if (!plan) return;
   for (const auto& eviction : *plan) {
     carryOut(eviction, blocked, room);
-    if (!eviction.victims.empty()) changed.insert(eviction.host->id);
+    if (!eviction.victims.empty()) changed.insert(eviction.machine->id);
   }
 }
 
--- a/src/scheduler/heartbeats.cpp
+++ b/src/scheduler/heartbeats.cpp
@@ -23,22 +23,22 @@
     // former owner cancelled may be unknown to us, for so long only (invariant 16).
     if (now >= store_.freshAt(keys::kJobs) + settings_.blindFor())
       return {503, R"({"error":"the share is not loaded"})"};
-    auto known = dir_.hosts.find(r.host);
-    if (known == dir_.hosts.end()) return {503, R"({"error":"unknown machine"})"};
+    auto known = dir_.machines.find(r.machine);
+    if (known == dir_.machines.end()) return {503, R"({"error":"unknown machine"})"};
     auto base = tokenOf(std::max(known->second.record.token, takeover_.epoch));
     if (r.token > base) return {421, "{}"};
     return {200, wire::encodeOrders(base, dir_.endsOfAborted(r))};
   }
   if (mayNotKnowCancellations(now)) return {503, R"({"error":"cancellations may be unknown"})"};
-  Host* h = books_.host(r.host);
+  Machine* h = books_.machine(r.machine);
   if (!h) return {503, R"({"error":"unknown machine"})"};
   if (r.token > h->token()) {
     // Invariant 5: somebody else has the right to this machine now.
-    log_->info("superseded for {}", r.host.value);
+    log_->info("superseded for {}", r.machine.value);
     return {421, "{}"};
   }
   bool news = apply(*h, r, true);
-  h = books_.host(r.host);
+  h = books_.machine(r.machine);
   if (!h) return {503, R"({"error":"unknown machine"})"};
   // Until it has acknowledged our token, a former owner may be answering it as well (invariant 6).
   if (!h->heard) h->aliveUntil = std::max(h->aliveUntil, now + leaseAfterAnswer());
@@ -52,7 +52,7 @@
 
 Duration Scheduler::leaseAfterAnswer() const { return seconds(settings_.leaseS * 1.002 + 1.0); }
 
-bool Scheduler::apply(Host& h, const wire::Report& r, bool checkIn) {
+bool Scheduler::apply(Machine& h, const wire::Report& r, bool checkIn) {
   auto now = io_.now();
   bool trusted = r.token >= h.base;
   if (!h.heard && !trusted) {
@@ -128,13 +128,13 @@
 }
 
 // What was sent under the token so far has no effect once the worker has seen the next (invariant 3).
-void Scheduler::raiseToken(Host& h) {
+void Scheduler::raiseToken(Machine& h) {
   h.unsettled = h.token();
   ++h.raises;
 }
 
 // Reports come; do they show that our answers arrive (invariant 11)?
-void Scheduler::proven(Host& h, bool yes) {
+void Scheduler::proven(Machine& h, bool yes) {
   if (yes)
     h.unprovenSince.reset();
   else if (!h.unprovenSince)
@@ -144,7 +144,7 @@
 // The machine's own answer to a question is older than what it said before the question: a new worker, that
 // counts from one again, has taken the place of the old one. What the old one held is gone with it, but
 // starts that were on their way may reach the new one, until it has seen a higher token (invariant 3).
-void Scheduler::reborn(Host& h, const wire::Report& r) {
+void Scheduler::reborn(Machine& h, const wire::Report& r) {
   log_->info("{} began anew", h.id.value);
   h.session = h.hint = r.session;
   h.serial = Serial{r.serial.value - 1};
@@ -163,7 +163,7 @@
 }
 
 // The task is known gone from the machine.
-void Scheduler::lose(Host& h, const TaskId& task) {
+void Scheduler::lose(Machine& h, const TaskId& task) {
   auto it = h.placements.find(task);
   if (it == h.placements.end()) return;  // went together with another member of its gang
   Job& job = *it->second.job;
@@ -175,7 +175,7 @@
 }
 
 // The worker killed and forgot everything of the sessions before (invariant 2).
-void Scheduler::newSession(Host& h) {
+void Scheduler::newSession(Machine& h) {
   h.unsettled.reset();
   h.reported.clear();
   std::vector<TaskId> lost;
@@ -187,7 +187,7 @@
 }
 
 // Placements that a newer report does not show: which of them are known gone (invariants 2, 3 and 4).
-void Scheduler::absent(Host& h, const wire::Report& r, bool checkIn) {
+void Scheduler::absent(Machine& h, const wire::Report& r, bool checkIn) {
   std::set<std::pair<TaskId, Attempt>> present;
   for (const auto& t : r.tasks) present.insert({t.task, t.attempt});
   std::vector<TaskId> lost;
@@ -211,7 +211,7 @@
   }
 }
 
-void Scheduler::noticed(Host& h, const wire::Report& r) {
+void Scheduler::noticed(Machine& h, const wire::Report& r) {
   if (!r.reclaimInS) return;
   auto now = io_.now();
   bool first = !h.reclaimAt;
@@ -237,7 +237,7 @@
   direct(h);
 }
 
-void Scheduler::stop(Host& h, const TaskId& id, Placement& p) {
+void Scheduler::stop(Machine& h, const TaskId& id, Placement& p) {
   p.wanted = false;
   h.attention = true;
   if (!p.committed || p.sent || p.restored) return;
--- a/src/scheduler/job_migration.cpp
+++ b/src/scheduler/job_migration.cpp
@@ -1,8 +1,8 @@
-// Jobs that wait while only another share's machines have room: they are transferred to that share (invariant
+// Jobs that wait while only another shard's machines have room: they are transferred to that shard (invariant
 // 17).
 //
 // The owner asks the other owners for room, takes the best offer, and writes the job's record anew with the
-// other share. Nothing of the job is on any machine then. The team's own share keeps the team's limit: it
+// other shard. Nothing of the job is on any machine then. The team's own shard keeps the team's limit: it
 // counts as in use what the job may take at once, from before that write until the job is over and nothing of
 // it can be left.
 #include <algorithm>
@@ -71,7 +71,7 @@
   std::erase_if(offers_, [&](const auto& o) { return now - o.second.at > kOfferHolds; });
   if (givingTo_ || gaveUpShare_) return;
   mesh::RoomWanted wanted;
-  wanted.share = takeover_.share.value;
+  wanted.shard = takeover_.shard.value;
   for (const Job* job : oldestInVain(true, now)) {
     if (transferPlanned(job->id)) continue;
     auto offer = offers_.find(job->id);
@@ -80,9 +80,9 @@
       wanted.jobs.push_back(job->id.value);
       continue;
     }
-    bool ownTeam = settings_.shareOfTeam(job->spec->team) == takeover_.share;
+    bool ownTeam = settings_.shardOfTeam(job->spec->team) == takeover_.shard;
     if (ownTeam) countElsewhere(job->id, *job->spec, *atOnce, false);
-    transfers_.push_back({job->id, offer->second.share, *atOnce});
+    transfers_.push_back({job->id, offer->second.shard, *atOnce});
     offers_.erase(offer);
     wake(false);
   }
@@ -112,7 +112,7 @@
   return most;
 }
 
-// --- the share that has room ---
+// --- the shard that has room ---
 
 void Scheduler::roomWanted(const mesh::RoomWanted& wanted) {
   auto now = io_.now();
@@ -121,7 +121,7 @@
     JobId id{name};
     auto known = dir_.jobs.find(id);
     bool theirs =
-        known != dir_.jobs.end() && known->second.share == ShareNo{wanted.share} && known->second.spec;
+        known != dir_.jobs.end() && known->second.shard == ShardId{wanted.shard} && known->second.spec;
     if (!theirs || known->second.status != JobStatus::Open) continue;
     Job job;
     job.id = id;
@@ -129,7 +129,7 @@
     auto tasks = roomFor(job);
     if (tasks == 0 || (job.spec->shape == Shape::Gang && tasks < job.spec->tasks)) continue;
     offeredAt_ = now;
-    return out_.offerRoom({takeover_.share.value, wanted.share, name, tasks});
+    return out_.offerRoom({takeover_.shard.value, wanted.shard, name, tasks});
   }
 }
 
@@ -164,7 +164,7 @@
   JobId id{offer.job};
   if (!loaded_ || !owns() || !books_.job(id)) return;
   auto& best = offers_[id];
-  if (offer.tasks > best.tasks) best = {ShareNo{offer.share}, offer.tasks, io_.now()};
+  if (offer.tasks > best.tasks) best = {ShardId{offer.shard}, offer.tasks, io_.now()};
 }
 
 // --- the write, and what it means for the team's limit ---
@@ -176,7 +176,7 @@
     wire::Write w;
     if (still) {
       wire::JobRecord record{JobStatus::Open, transfer.to, job->spec->tasks, job->submitted, *job->spec, {}};
-      bool home = settings_.shareOfTeam(job->spec->team) == transfer.to;
+      bool home = settings_.shardOfTeam(job->spec->team) == transfer.to;
       if (!home) record.atOnce = transfer.atOnce;
       w = {keys::job(job->id), wire::encodeJobRecord(record), {}};
     }
@@ -200,7 +200,7 @@
   return {job.id, job.version, wire::encodeWithin(std::move(record), settings_.valueBytes)};
 }
 
-// A record that does not get its turn now is left as it is: the team's own share then waits for cancel_s.
+// A record that does not get its turn now is left as it is: the team's own shard then waits for cancel_s.
 void Scheduler::addLeft(TransactionDraft& draft) {
   for (auto& left : std::exchange(left_, {}))
     draft.add({keys::job(left.job), std::move(left.value), {}}, left.version);
@@ -224,14 +224,14 @@
 // A new owner: what was transferred before its takeover is in view by then.
 void Scheduler::countAllElsewhere() {
   for (const auto& [id, known] : dir_.jobs) {
-    if (known.share == takeover_.share && known.status == JobStatus::Aborted) countDelegated(id, known);
-    bool gone = known.share == takeover_.share || !known.spec || known.status == JobStatus::Done;
-    if (gone || settings_.shareOfTeam(known.spec->team) != takeover_.share) continue;
+    if (known.shard == takeover_.shard && known.status == JobStatus::Aborted) countDelegated(id, known);
+    bool gone = known.shard == takeover_.shard || !known.spec || known.status == JobStatus::Done;
+    if (gone || settings_.shardOfTeam(known.spec->team) != takeover_.shard) continue;
     countElsewhere(id, *known.spec, known.atOnce.value_or(known.tasks), true);
   }
 }
 
-// What other shares had of a job of ours when it was aborted may still be there for a while.
+// What other shards had of a job of ours when it was aborted may still be there for a while.
 void Scheduler::countDelegated(const JobId& id, const KnownJob& known) {
   std::size_t tasks = 0;
   for (const auto& d : known.delegations) tasks += d.tasks.size();
@@ -252,7 +252,7 @@
       over = known->second.atOnce == 0U ||
              now - *counted.abortedSince > seconds(settings_.cancelS) + kBeyondCancel;
     } else if (over) {
-      over = known->second.status == JobStatus::Done || known->second.share == takeover_.share;
+      over = known->second.status == JobStatus::Done || known->second.shard == takeover_.shard;
     }
     if (!over) {
       ++it;
--- a/src/scheduler/liveness.cpp
+++ b/src/scheduler/liveness.cpp
@@ -13,21 +13,21 @@
 constexpr Duration kNextController{6'500};  // a worker gives up on one controller and reports to the next
 constexpr double kDeafReports = 2.5;        // the same for one that we hear and that does not hear us
 constexpr Duration kDeafBeyond{4'000};
-constexpr double kDoubtfulShare = 0.26;  // more doubtful machines than this: the fault is not theirs
-constexpr double kDoubtfulInZone = 0.5;
-constexpr double kFew = 3;  // so many are given up singly even where that is much of a small share
+constexpr double kSuspectedFraction = 0.26;  // more doubtful machines than this: the fault is not theirs
+constexpr double kSuspectedFractionOfZone = 0.5;
+constexpr double kFew = 3;  // so many are given up singly even where that is much of a small shard
 
 }  // namespace
 
 // How long it has had the chance to be heard and was not: our own standstill is no silence of its.
-Duration Scheduler::silence(const Host& h) const { return io_.now() - std::max(h.lastHeard, resumed_); }
+Duration Scheduler::silence(const Machine& h) const { return io_.now() - std::max(h.lastHeard, resumed_); }
 
 Duration Scheduler::reportDue() const { return seconds(settings_.reportS * kLateReports); }
 
 // Its report should have been here by now.
-bool Scheduler::late(const Host& h) const { return silence(h) > reportDue() + kLate; }
+bool Scheduler::late(const Machine& h) const { return silence(h) > reportDue() + kLate; }
 
-void Scheduler::watchSilence(Host& h, Time now) {
+void Scheduler::watchSilence(Machine& h, Time now) {
   bool over = now > h.aliveUntil && (h.heard || !h.placements.empty());
   if (over && now > out_.answeredElsewhere() + leaseAfterAnswer()) {
     // Its lease has run out whatever happened (invariant 2); what it still says of that session is old.
@@ -52,8 +52,8 @@
 }
 
 // Silent though it was asked, or heard without a sign that it hears us (invariant 11).
-bool Scheduler::doubtful(const Host& h, Time now) const {
-  if (h.known.record.phase != wire::HostPhase::InUse) return false;
+bool Scheduler::doubtful(const Machine& h, Time now) const {
+  if (h.known.record.phase != wire::MachinePhase::InUse) return false;
   bool deaf = h.unprovenSince && now - std::max(*h.unprovenSince, resumed_) >
                                      seconds(settings_.reportS * kDeafReports) + kDeafBeyond;
   if (deaf) return true;
@@ -63,14 +63,14 @@
 }
 
 // A doubtful machine is returned: the cloud's word that it is gone frees its tasks at once. Where much of a
-// share or of a zone is in doubt the fault is likely not theirs, and leases decide. Of those that were ever
+// shard or of a zone is in doubt the fault is likely not theirs, and leases decide. Of those that were ever
 // up all that are late count for that: those behind a cut come into doubt one after the other, over a whole
 // report interval, and the first of them must not be given up for want of the rest.
 void Scheduler::giveUpDoubtful(Time now) {
-  std::vector<Host*> doubts;
+  std::vector<Machine*> doubts;
   std::map<Zone, std::pair<double, double>> zones;  // late or doubtful, all
   double suspects = 0, all = 0;
-  for (auto& [_, h] : books_.hosts()) {
+  for (auto& [_, h] : books_.machines()) {
     bool doubt = doubtful(h, now);
     if (!doubt && !h.heard && h.known.record.address.empty()) continue;
     auto& z = zones[h.zone()];
@@ -83,11 +83,11 @@
   }
   // When such a fault ends, the machines come back one after the other as well.
   auto settle = reportDue() + kNextController;
-  if (suspects > std::max(kFew, kDoubtfulShare * all)) manyInDoubt_ = now;
+  if (suspects > std::max(kFew, kSuspectedFraction * all)) manyInDoubt_ = now;
   for (const auto& [zone, z] : zones)
-    if (z.first > std::max(kFew, kDoubtfulInZone * z.second)) zoneInDoubt_[zone] = now;
+    if (z.first > std::max(kFew, kSuspectedFractionOfZone * z.second)) zoneInDoubt_[zone] = now;
   if (manyInDoubt_ && now - *manyInDoubt_ < settle) return;
-  for (Host* h : doubts) {
+  for (Machine* h : doubts) {
     auto z = zoneInDoubt_.find(h->zone());
     if (h->returnNow || (z != zoneInDoubt_.end() && now - z->second < settle)) continue;
     log_->info("{} {} and is returned", h->id.value, h->unprovenSince ? "does not hear us" : "is silent");
--- a/src/scheduler/load_reports.cpp
+++ b/src/scheduler/load_reports.cpp
@@ -1,4 +1,4 @@
-// What the scheduler tells of its share: to the leader once a second, and to operators once a minute.
+// What the scheduler tells of its shard: to the leader once a second, and to operators once a minute.
 #include <algorithm>
 #include <array>
 #include <utility>
@@ -19,9 +19,9 @@
   std::size_t open = 0, waiting = 0;
   for (const auto& [_, j] : books_.jobs()) open += j.open(), waiting += j.waiting.size();
   std::size_t booting = 0, silent = 0, doubtful = 0, emptying = 0, leaving = 0;  // why machines are not open
-  for (const auto& [_, h] : books_.hosts()) {
+  for (const auto& [_, h] : books_.machines()) {
     if (h.open()) continue;
-    bool goes = h.leaving || h.reclaimAt || h.known.record.phase != wire::HostPhase::InUse;
+    bool goes = h.leaving || h.reclaimAt || h.known.record.phase != wire::MachinePhase::InUse;
     (goes                                         ? leaving
      : h.emptying                                 ? emptying
      : !h.heard && h.known.record.address.empty() ? booting
@@ -36,8 +36,8 @@
       "leaving), {} pages; {} starts in {} rounds, widest "
       "{}, "
       "{} machines looked at, {} stopped for others; ms to placed {}; to committed {}; to shown {}",
-      takeover_.share.value, open, waiting, books_.hosts().size(), books_.openHosts().size(), booting, silent,
-      doubtful, emptying, leaving, books_.pages().count(), n, std::exchange(spans_.rounds, 0),
+      takeover_.shard.value, open, waiting, books_.machines().size(), books_.openMachines().size(), booting,
+      silent, doubtful, emptying, leaving, books_.pages().count(), n, std::exchange(spans_.rounds, 0),
       std::exchange(spans_.widest, 0), looked, std::exchange(spans_.evicted, 0), spans_.toPlaced.take(),
       spans_.toCommitted.take(), spans_.toShown.take());
 }
@@ -53,7 +53,7 @@
       const auto& s = *job.spec;
       bool fits = p.zone == z && s.allowsType(p.type) && s.each.fitsIn(p.size) && (!p.spot || s.lendable);
       // One that boots is on its way; of others, after a while, only those with room count.
-      if (fits && (full ? p.booting > 0 || p.anyRoom(s.each, kLooked, [](const Host&) { return true; })
+      if (fits && (full ? p.booting > 0 || p.anyRoom(s.each, kLooked, [](const Machine&) { return true; })
                         : p.machines > 0))
         return;
     }
@@ -73,13 +73,13 @@
 
 void Scheduler::sendLoad() {
   auto now = io_.now();
-  mesh::ShareLoad load;
-  load.share = takeover_.share.value;
+  mesh::ShardLoad load;
+  load.shard = takeover_.shard.value;
   load.epoch = takeover_.epoch.value;
   for (auto& p : books_.pools()) p.booting = 0;
-  for (auto& [_, h] : books_.hosts())
+  for (auto& [_, h] : books_.machines())
     h.pool->booting +=
-        !h.heard && h.known.record.address.empty() && h.known.record.phase == wire::HostPhase::InUse;
+        !h.heard && h.known.record.address.empty() && h.known.record.phase == wire::MachinePhase::InUse;
   std::map<const mesh::Demand*, std::pair<double, double>> left;  // core seconds and cores not done yet
   for (auto& [id, job] : books_.jobs()) {
     auto& d = job.spec->lendable ? load.lendable : load.firm;
@@ -113,25 +113,25 @@
     (l.lendable ? load.lendable : load.firm).leaving += l.cores / inSeconds(kLeavingKept);
   // Machines in plain use are not named, but for the few of each kind with least on them: those are let go of
   // first. Replicas do not end by themselves, and where they are their images are, for new ones.
-  std::vector<const Host*> named;
-  std::array<std::vector<const Host*>, 2> busy;
-  for (const auto& [_, h] : books_.hosts())
+  std::vector<const Machine*> named;
+  std::array<std::vector<const Machine*>, 2> busy;
+  for (const auto& [_, h] : books_.machines())
     (!h.open() || h.placements.empty() ? named : busy[h.spot()]).push_back(&h);
   for (auto& kind : busy) {
     auto few = std::min(kBusyNamed, kind.size());
     std::partial_sort(kind.begin(), kind.begin() + static_cast<std::ptrdiff_t>(few), kind.end(),
-                      [](const Host* a, const Host* b) {
+                      [](const Machine* a, const Machine* b) {
                         return std::tuple(a->replicaCores > 0, a->used.cores, a->no) <
                                std::tuple(b->replicaCores > 0, b->used.cores, b->no);
                       });
     named.insert(named.end(), kind.begin(), kind.begin() + static_cast<std::ptrdiff_t>(few));
   }
-  for (const Host* h : named) {
+  for (const Machine* h : named) {
     double idle = h->placements.empty() ? inSeconds(now - h->idleSince) : 0;
-    bool draining = h->leaving || h->reclaimAt || h->known.record.phase != wire::HostPhase::InUse;
-    load.hosts.push_back({h->id.value, h->known.record.type, h->zone().value, h->spot(), h->free().cores,
-                          idle, h->open(), draining, h->emptying, idle <= 0 && !movableReplicas(*h),
-                          static_cast<double>(io_.wall().value - h->known.record.since.value) / 1000.0});
+    bool draining = h->leaving || h->reclaimAt || h->known.record.phase != wire::MachinePhase::InUse;
+    load.machines.push_back({h->id.value, h->known.record.type, h->zone().value, h->spot(), h->free().cores,
+                             idle, h->open(), draining, h->emptying, idle <= 0 && !movableReplicas(*h),
+                             static_cast<double>(io_.wall().value - h->known.record.since.value) / 1000.0});
   }
   out_.load(load);
 }
--- a/src/scheduler/machine_drain.cpp
+++ b/src/scheduler/machine_drain.cpp
@@ -5,37 +5,37 @@
 
 namespace cherryloft {
 
-void Scheduler::wish(const mesh::HostWish& w) {
-  Host* h = books_.host(HostId{w.host});
+void Scheduler::wish(const mesh::MachineDirective& w) {
+  Machine* h = books_.machine(MachineId{w.machine});
   if (!loaded_ || !owns() || !h || h->leaving) return;
   switch (w.kind) {
-    case mesh::HostWish::Keep:
+    case mesh::MachineDirective::Keep:
       h->emptying = false;
       books_.reindex(*h);
       return wake(true);
-    case mesh::HostWish::Cede:
+    case mesh::MachineDirective::Cede:
       if (h->replicaCores > 0) return;
       h->leaving = true;
-      h->giveTo = static_cast<std::int32_t>(w.toShare);
+      h->giveTo = static_cast<std::int32_t>(w.toShard);
       books_.reindex(*h);
       return;
-    case mesh::HostWish::Empty:
+    case mesh::MachineDirective::Empty:
       h->emptying = true;
       books_.reindex(*h);
       return;
     default:
       if (!h->placements.empty()) return;
-      // A faulty machine is idle all the time, and must not go from share to share before it is known for
+      // A faulty machine is idle all the time, and must not go from shard to shard before it is known for
       // one.
-      if (w.kind == mesh::HostWish::Move && failures_.unsettled(h->id, io_.now())) return;
+      if (w.kind == mesh::MachineDirective::Move && failures_.unsettled(h->id, io_.now())) return;
       h->leaving = true;
-      h->giveTo = w.kind == mesh::HostWish::Move ? static_cast<std::int32_t>(w.toShare) : -1;
+      h->giveTo = w.kind == mesh::MachineDirective::Move ? static_cast<std::int32_t>(w.toShard) : -1;
       books_.reindex(*h);
   }
 }
 
 // The machine's replicas, if all of them could move to machines that have their image and so be back at once.
-std::optional<std::vector<TaskId>> Scheduler::movableReplicas(const Host& h) const {
+std::optional<std::vector<TaskId>> Scheduler::movableReplicas(const Machine& h) const {
   std::map<std::uint32_t, Resources> room;               // less what moves there
   std::map<std::pair<const Job*, Zone>, unsigned> come;  // replicas that move into a zone
   std::vector<TaskId> move;
@@ -43,7 +43,7 @@
     const auto& spec = *p.job->spec;
     if (spec.shape != Shape::Service) continue;
     unsigned looked = 0;
-    Host* to = nullptr;
+    Machine* to = nullptr;
     for (const auto& [no, x] : *p.job->holders) {
       if (x == &h || !x->open() || ++looked > settings_.tuning.sample) continue;
       auto free = room.try_emplace(no, x->free()).first->second;
@@ -62,7 +62,7 @@
 }
 
 // A machine that is to empty itself: arrays end by themselves, then replicas are moved.
-void Scheduler::settleEmptying(Host& h) {
+void Scheduler::settleEmptying(Machine& h) {
   if (!h.emptying || h.leaving || h.placements.empty()) return;  // once empty, the leader says where it goes
   for (const auto& [_, p] : h.placements)
     if (p.job->spec->shape != Shape::Service || !p.wanted) return;
@@ -79,7 +79,7 @@
 }
 
 // Nothing of ours can still act on it.
-bool Scheduler::mayLeave(const Host& h) const {
+bool Scheduler::mayLeave(const Machine& h) const {
   return h.giveTo && h.placements.empty() && h.settled() && !h.directBusy;
 }
 
--- a/src/scheduler/machine_records_writer.cpp
+++ b/src/scheduler/machine_records_writer.cpp
@@ -1,4 +1,4 @@
-// What the records say of the scheduler's machines: addresses, who is returned, who moves to another share.
+// What the records say of the scheduler's machines: addresses, who is returned, who moves to another shard.
 #include <algorithm>
 #include <utility>
 
@@ -15,8 +15,8 @@
 // What is to change in the machine groups, by their keys.
 std::map<std::string, Scheduler::GroupChange> Scheduler::groupChanges(Time now) {
   std::map<std::string, GroupChange> changes;
-  for (auto& [_, h] : books_.hosts()) {
-    if (h.known.record.phase != wire::HostPhase::InUse) continue;
+  for (auto& [_, h] : books_.machines()) {
+    if (h.known.record.phase != wire::MachinePhase::InUse) continue;
     if (h.returnNow || (mayLeave(h) && *h.giveTo < 0)) {
       changes[h.known.group].back.insert(h.id);
     } else if (mayLeave(h)) {
@@ -35,14 +35,14 @@
   if (recordsBusy_ || now < recordsNotBefore_) return;
   auto changes = groupChanges(now);
   if (changes.empty()) return;
-  // A move draws an epoch, for which shares compete; what only goes back does not wait for that.
+  // A move draws an epoch, for which shards compete; what only goes back does not wait for that.
   auto hasMoves = [](const auto& change) { return !change.second.moved.empty(); };
   bool anyMoves = std::any_of(changes.begin(), changes.end(), hasMoves);
   bool allMove = std::all_of(changes.begin(), changes.end(), hasMoves);
   bool moves = anyMoves && (allMove || !recordsMoved_);
   recordsMoved_ = moves;
   TransactionDraft draft(settings_.txnOps);
-  draft.require(keys::share(takeover_.share), takeover_.version);
+  draft.require(keys::shard(takeover_.shard), takeover_.version);
   // What we sent under our token must have no effect under the next owner's (invariant 5).
   Epoch token{dir_.epoch.value + 1};
   if (moves) draft.add({keys::kEpoch, wire::encodeCounter(token), {}}, dir_.epochVersion);
@@ -60,7 +60,7 @@
              guarded([this](TxnResult r) { recordsWritten(r); }));
 }
 
-// Of a group whose machines go to more shares than fit the transaction, those of the first go now.
+// Of a group whose machines go to more shards than fit the transaction, those of the first go now.
 bool Scheduler::addGroupChange(TransactionDraft& draft, const std::string& key, GroupChange& change,
                                Epoch token) {
   auto add = [&] {
@@ -79,23 +79,23 @@
   if (group.members.empty()) return {};
   auto exists = [&](const std::string& other) { return dir_.groups.count(other) > 0; };
   std::vector<VersionedWrite> created;
-  std::set<HostId> gone;
-  for (const auto& [to, hosts] : change.moved) {
+  std::set<MachineId> gone;
+  for (const auto& [to, machines] : change.moved) {
     auto there = group;
-    there.share = ShareNo{static_cast<std::uint32_t>(to)};
+    there.shard = ShardId{static_cast<std::uint32_t>(to)};
     there.token = token;
     there.members.clear();
-    for (const Host* h : hosts) {
+    for (const Machine* h : machines) {
       gone.insert(h->id);
-      there.members.push_back({h->id, wire::HostPhase::InUse, h->address});
+      there.members.push_back({h->id, wire::MachinePhase::InUse, h->address});
     }
     auto parts = createGroup(there, settings_.valueBytes, exists);
     created.insert(created.end(), parts.begin(), parts.end());
   }
   std::erase_if(group.members, [&](const auto& m) { return gone.count(m.id) > 0; });
   for (auto& m : group.members) {
-    if (change.back.count(m.id) > 0) m.phase = wire::HostPhase::Returning;
-    if (auto h = books_.hosts().find(m.id); h != books_.hosts().end() && !h->second.address.empty())
+    if (change.back.count(m.id) > 0) m.phase = wire::MachinePhase::Returning;
+    if (auto h = books_.machines().find(m.id); h != books_.machines().end() && !h->second.address.empty())
       m.address = h->second.address;
   }
   // One write of the transaction is the epoch that a move draws.
@@ -109,7 +109,7 @@
   recordsBusy_ = false;
   // The directory is to show what was written before it is looked at again.
   recordsNotBefore_ = io_.now() + kUntilRecordsShow;
-  if (std::count(r.failed.begin(), r.failed.end(), keys::share(takeover_.share)) > 0) out_.abandon();
+  if (std::count(r.failed.begin(), r.failed.end(), keys::shard(takeover_.shard)) > 0) out_.abandon();
 }
 
 }  // namespace cherryloft
--- a/src/scheduler/placement_pages.h
+++ b/src/scheduler/placement_pages.h
@@ -1,4 +1,4 @@
-// The run/ pages of a share: which exist, and how much of each is still true. A page whose facts have mostly
+// The run/ pages of a shard: which exist, and how much of each is still true. A page whose facts have mostly
 // become untrue is the next to be written, and so takes in new ones at the cost of one change.
 #pragma once
 
--- a/src/scheduler/placement_rounds.cpp
+++ b/src/scheduler/placement_rounds.cpp
@@ -20,12 +20,12 @@
 }  // namespace
 
 // Asks for a round. Machines in `at` reported; `everywhere` counts as a report of every machine with room.
-void Scheduler::wake(bool everywhere, const HostId* at) {
+void Scheduler::wake(bool everywhere, const MachineId* at) {
   drawEverywhere_ |= everywhere;
   if (at) drawAt_.insert(*at);
   if (roundSet_) return;
   roundSet_ = true;
-  // What comes within a moment shares a round: a fleet's reports come faster than rounds are worth it.
+  // What comes within a moment shards a round: a fleet's reports come faster than rounds are worth it.
   io_.after(std::max(lastRound_ + kBetweenRounds - io_.now(), Duration{0}), guarded([this] {
               roundSet_ = false;
               round();
@@ -127,7 +127,7 @@
   auto common = job.delegation ? job.delegation->attempt : job.gangAttempt;
   if (gang && !common) common = attemptOf(takeover_.epoch, ++attempts_);
   while (got < most && !job.waiting.empty() && books_.withinLimit(job)) {
-    Host* h = choose(job, turn);
+    Machine* h = choose(job, turn);
     if (!h && std::exchange(job.avoidSpot, false)) {
       turn = look(job);
       continue;
@@ -172,7 +172,7 @@
   const auto& s = *job.spec;
   if (s.zone && *s.zone != zone) return false;
   if (job.onlyZone && *job.onlyZone != zone) return false;
-  // The owner's share keeps to the rules about zones.
+  // The owner's shard keeps to the rules about zones.
   if (job.delegation) return !job.delegation->zone || *job.delegation->zone == zone;
   if (s.oneZone && !job.zones.empty() && (job.zones.size() > 1 || job.zones.begin()->first != zone))
     return false;
@@ -184,13 +184,13 @@
 // Whether some machine could take the job's next task now, whatever the draw says.
 bool Scheduler::anyRoom(const Job& job) const {
   return std::any_of(books_.pools().begin(), books_.pools().end(), [&](const Pool& p) {
-    return allowedIn(job, p) &&
-           p.anyRoom(job.spec->each, settings_.tuning.sample, [&](const Host& h) { return allowed(job, h); });
+    return allowedIn(job, p) && p.anyRoom(job.spec->each, settings_.tuning.sample,
+                                          [&](const Machine& h) { return allowed(job, h); });
   });
 }
 
 // The start on a machine without the image would miss the class's aim by the fetch alone.
-bool Scheduler::tooSlow(const Job& job, const Host& h) const {
+bool Scheduler::tooSlow(const Job& job, const Machine& h) const {
   auto within = settings_.startWithin(job.spec->jobClass);
   return within && job.holders->count(h.no) == 0 && h.fetchS(*job.spec) > *within;
 }
@@ -198,7 +198,7 @@
 // Room is short: machines that were to empty themselves take work again. True if there were any.
 bool Scheduler::keepEmptying() {
   bool any = false;
-  for (auto& [_, h] : books_.hosts()) {
+  for (auto& [_, h] : books_.machines()) {
     if (h.leaving || !std::exchange(h.emptying, false)) continue;
     books_.reindex(h);
     any = true;
@@ -207,7 +207,7 @@
 }
 
 // Everything but room and the draw: type, kind, zone, and the zones of the job's other tasks.
-bool Scheduler::allowed(const Job& job, const Host& h) const {
+bool Scheduler::allowed(const Job& job, const Machine& h) const {
   return h.open() && zoneAllows(job, h.zone()) && allowedKind(job, h);
 }
 
@@ -217,17 +217,17 @@
   return s.allowsType(p.type) && (!p.spot || (s.lendable && !job.avoidSpot)) && zoneAllows(job, p.zone);
 }
 
-bool Scheduler::allowedKind(const Job& job, const Host& h) const {
+bool Scheduler::allowedKind(const Job& job, const Machine& h) const {
   const auto& s = *job.spec;
   if (!s.allowsType(h.known.record.type) || (h.spot() && (!s.lendable || job.avoidSpot))) return false;
-  return !failures_.avoids(job.id, h.id, books_.hosts().size(), io_.now());
+  return !failures_.avoids(job.id, h.id, books_.machines().size(), io_.now());
 }
 
 // Which of two machines with room a task should rather go to, the image aside.
-bool Scheduler::better(const Job& job, const Host& a, const Host& b) const {
+bool Scheduler::better(const Job& job, const Machine& a, const Machine& b) const {
   if (a.spot() != b.spot()) return a.spot();  // cheap machines first for those who may use them
   if (job.spec->shape == Shape::Service) {
-    auto in = [&](const Host& h) {
+    auto in = [&](const Machine& h) {
       auto it = job.zones.find(h.zone());
       return it == job.zones.end() ? 0U : it->second;
     };
@@ -249,15 +249,15 @@
   for (const auto& [_, h] : *job.holders)
     if (job.spec->each.fitsIn(h->free()) && allowed(job, *h)) turn.holders.push_back(h);
   std::sort(turn.holders.begin(), turn.holders.end(),
-            [&](const Host* a, const Host* b) { return better(job, *a, *b); });
+            [&](const Machine* a, const Machine* b) { return better(job, *a, *b); });
   return turn;
 }
 
-Host* Scheduler::holder(const Job& job, Turn& turn) const {
-  auto fits = [&](const Host* h) { return job.spec->each.fitsIn(h->free()) && allowed(job, *h); };
+Machine* Scheduler::holder(const Job& job, Turn& turn) const {
+  auto fits = [&](const Machine* h) { return job.spec->each.fitsIn(h->free()) && allowed(job, *h); };
   if (job.spec->shape == Shape::Service) {
-    Host* best = nullptr;
-    for (Host* h : turn.holders)
+    Machine* best = nullptr;
+    for (Machine* h : turn.holders)
       if (fits(h) && (!best || better(job, *h, *best))) best = h;
     return best;
   }
@@ -267,24 +267,24 @@
 }
 
 // Up to K machines with room that do not cache the image, in the order in which they should be tried.
-std::vector<Host*> Scheduler::others(const Job& job, const Turn& turn) {
+std::vector<Machine*> Scheduler::others(const Job& job, const Turn& turn) {
   const auto& spec = *job.spec;
   // Where a start is to come soon, the time of the fetch decides (DESIGN.md, exceptions).
   bool aimed = settings_.startWithin(spec.jobClass).has_value();
-  auto sortOthers = [&](std::vector<Host*>& list) {
-    std::stable_sort(list.begin(), list.end(), [&](const Host* a, const Host* b) {
+  auto sortOthers = [&](std::vector<Machine*>& list) {
+    std::stable_sort(list.begin(), list.end(), [&](const Machine* a, const Machine* b) {
       auto fa = aimed ? a->fetchS(spec) : 0, fb = aimed ? b->fetchS(spec) : 0;
       return fa != fb ? fa < fb : better(job, *a, *b);
     });
   };
-  auto takes = [&](const Host& h) {
+  auto takes = [&](const Machine& h) {
     return spec.each.fitsIn(h.free()) && job.holders->count(h.no) == 0 && turn.refused.count(h.no) == 0 &&
            allowed(job, h);
   };
-  std::vector<Host*> out;
+  std::vector<Machine*> out;
   if (!drawEverywhere_) {
     for (const auto& id : drawAt_)
-      if (auto it = books_.hosts().find(id); it != books_.hosts().end() && takes(it->second))
+      if (auto it = books_.machines().find(id); it != books_.machines().end() && takes(it->second))
         out.push_back(&it->second);
     sortOthers(out);
     return out;
@@ -309,7 +309,7 @@
        ++looked, ++spans_.counts.looked) {
     auto w = std::min_element(walks.begin(), walks.end(),
                               [&](const Walk& a, const Walk& b) { return key(a) < key(b); });
-    Host* h = w->at->second;
+    Machine* h = w->at->second;
     if (takes(*h)) out.push_back(h);
     if (++w->at == w->pool->byRoom.end()) walks.erase(w);
   }
@@ -318,7 +318,7 @@
 }
 
 policy::Peek Scheduler::peek(const Job& job) {
-  const auto& owned = books_.openHosts();
+  const auto& owned = books_.openMachines();
   auto picked = policy::sample(owned.size(), settings_.tuning.sample, rng_);
   policy::Peek peek;
   spans_.counts.looked += picked.size();
@@ -335,8 +335,8 @@
   return peek;
 }
 
-Host* Scheduler::choose(Job& job, Turn& turn) {
-  if (Host* h = holder(job, turn)) return h;
+Machine* Scheduler::choose(Job& job, Turn& turn) {
+  if (Machine* h = holder(job, turn)) return h;
   auto list = others(job, turn);
   if (list.empty()) return nullptr;
   // If even the shortest fetch is too long, room is made on a machine that has the image.
@@ -350,7 +350,7 @@
       if (h->open()) turn.holdingZones->insert(h->zone());
   }
   std::uniform_real_distribution<double> uniform(0.0, 1.0);
-  for (Host* h : list) {
+  for (Machine* h : list) {
     auto first = h->placements.lower_bound({job.id, 0});
     bool runs = first != h->placements.end() && first->first.job == job.id;
     double p = policy::couplingProbability(policy::alphaOf(turn.holdingZones->count(h->zone()) > 0, runs),
--- a/src/scheduler/preemption.cpp
+++ b/src/scheduler/preemption.cpp
@@ -19,7 +19,7 @@
 
 // Tasks that the job may stop on the machine, and what they are.
 std::pair<std::vector<policy::Victim>, std::vector<TaskId>> Scheduler::victims(
-    const Job& job, bool guaranteed, const Host& h, const std::set<TaskId>& taken) const {
+    const Job& job, bool guaranteed, const Machine& h, const std::set<TaskId>& taken) const {
   auto now = io_.now();
   std::vector<policy::Victim> offered;
   std::vector<TaskId> tasks;
@@ -58,17 +58,17 @@
 
 // Machines on which room may be made for the job: K holders of its image, and of all others as many as a
 // sample of K shows.
-std::vector<Host*> Scheduler::peekForRoom(const Job& job) {
-  std::vector<Host*> peeked;
+std::vector<Machine*> Scheduler::peekForRoom(const Job& job) {
+  std::vector<Machine*> peeked;
   for (const auto& [_, h] : *job.holders)
     if (peeked.size() < settings_.tuning.sample && allowed(job, *h)) peeked.push_back(h);
-  const auto& owned = books_.openHosts();
+  const auto& owned = books_.openMachines();
   for (auto i : policy::sample(owned.size(), settings_.tuning.sample, rng_))
     if (job.holders->count(owned[i]->no) == 0 && allowed(job, *owned[i])) peeked.push_back(owned[i]);
   return peeked;
 }
 
-Resources& Scheduler::RoomToCome::of(const Host& h) {
+Resources& Scheduler::RoomToCome::of(const Machine& h) {
   auto [it, fresh] = left.try_emplace(h.no);
   if (fresh) it->second = h.free() + h.leavingRoom();
   return it->second;
@@ -76,11 +76,11 @@
 
 // Where a task of the job would cost others least.
 std::optional<Scheduler::PlannedEviction> Scheduler::cheapestEviction(const Job& job, bool guaranteed,
-                                                                      const std::vector<Host*>& peeked,
+                                                                      const std::vector<Machine*>& peeked,
                                                                       RoomToCome& room,
                                                                       const std::set<TaskId>& taken) const {
   std::optional<PlannedEviction> best;
-  for (Host* h : peeked) {
+  for (Machine* h : peeked) {
     auto [offered, tasks] = victims(job, guaranteed, *h, taken);
     auto eviction = policy::evict(room.of(*h), job.spec->each, offered);
     if (!eviction) continue;
@@ -94,7 +94,7 @@
 
 // Whether what is stopped for a task on that machine may save: not if the task would then start too late for
 // its class's aim or its team's guarantee, and is in time otherwise.
-bool Scheduler::leavesTimeToSave(const Ranked& claimant, const Host& h, const JobSpec& victim) const {
+bool Scheduler::leavesTimeToSave(const Ranked& claimant, const Machine& h, const JobSpec& victim) const {
   const auto& spec = *claimant.job->spec;
   auto aim = settings_.startWithin(spec.jobClass);
   if (claimant.c.guaranteed && settings_.guaranteeWithinS)
@@ -107,7 +107,7 @@
 
 void Scheduler::carryOut(const PlannedEviction& plan, const Ranked& claimant, RoomToCome& room) {
   const Job& job = *claimant.job;
-  Host& h = *plan.host;
+  Machine& h = *plan.machine;
   for (const auto& task : plan.victims) {
     auto victim = h.placements.find(task);
     if (victim == h.placements.end()) continue;  // it went with another member of its gang
@@ -152,7 +152,7 @@
   auto since = io_.now() - lastRoomMade_;
   if (since < kBetweenEvictions) return makeRoomIn(kBetweenEvictions - since);
   RoomToCome room;
-  std::set<HostId> changed;
+  std::set<MachineId> changed;
   unsigned asked = 0;
   for (const auto& r : blocked) {
     if (asked >= kMostEvictionsAsked) break;
@@ -174,7 +174,7 @@
 }
 
 void Scheduler::makeRoomFor(const Ranked& blocked, RoomToCome& room, unsigned& asked,
-                            std::set<HostId>& changed) {
+                            std::set<MachineId>& changed) {
   Job& job = *blocked.job;
   const auto& spec = *job.spec;
   double headroom = job.team ? job.team->coresMax - books_.teamUse(spec.team).cores : 0;
@@ -186,9 +186,9 @@
     auto plan = cheapestEviction(job, blocked.c.guaranteed, peeked, room);
     if (!plan) return;
     // The holders are spoken for: the rest need not wait for them.
-    if (tooSlow(job, *plan->host)) job.anyStartUntil = io_.now() + kAnyStart;
+    if (tooSlow(job, *plan->machine)) job.anyStartUntil = io_.now() + kAnyStart;
     carryOut(*plan, blocked, room);
-    if (!plan->victims.empty()) changed.insert(plan->host->id);
+    if (!plan->victims.empty()) changed.insert(plan->machine->id);
   }
 }
 
