--- a/src/scheduler/shard_scheduler.cpp
+++ b/src/scheduler/shard_scheduler.cpp
@@ -11,7 +11,7 @@
 constexpr Duration kLoadRetry{150};
 constexpr Duration kLoadEvery{1'000};
 
-// "run/<share>/<page>"
+// "run/<shard>/<page>"
 std::optional<PageNo> parsePageKey(const std::string& key, const std::string& prefix) {
   PageNo n = 0;
   const char* end = key.data() + key.size();
@@ -23,7 +23,7 @@
 }  // namespace
 
 Scheduler::Scheduler(const Settings& settings, Io& io, Log log, StateStore& store, const Directory& dir,
-                     ShareTakeover takeover, LeaseValidity leaseValidity, std::uint64_t seed, Outlet out)
+                     ShardTakeover takeover, LeaseValidity leaseValidity, std::uint64_t seed, Outlet out)
     : settings_(settings),
       io_(io),
       log_(std::move(log)),
@@ -45,8 +45,8 @@
 
 void Scheduler::load() {
   // All that was committed before the takeover must be in view; what a former owner sends later fails on
-  // the share's version. What was seen once stays in view, so each step is repeated by itself.
-  viewed(keys::kJobs, [this] { viewed(keys::kHosts, [this] { loadRuns(); }); });
+  // the shard's version. What was seen once stays in view, so each step is repeated by itself.
+  viewed(keys::kJobs, [this] { viewed(keys::kMachines, [this] { loadRuns(); }); });
 }
 
 // Calls next once the directory shows what was committed under the prefix.
@@ -58,7 +58,7 @@
 }
 
 void Scheduler::loadRuns() {
-  store_.list(Urgency::Control, keys::runs(takeover_.share), guarded([this](ListResult r) {
+  store_.list(Urgency::Control, keys::placementPages(takeover_.shard), guarded([this](ListResult r) {
                 if (r.ok) return build(r);
                 io_.after(kLoadRetry, guarded([this] { loadRuns(); }));
               }));
@@ -66,16 +66,16 @@
 
 void Scheduler::build(const ListResult& runs) {
   auto now = io_.now();
-  for (const auto& [id, known] : dir_.hosts)
-    if (known.record.share == takeover_.share) admit(id, known);
+  for (const auto& [id, known] : dir_.machines)
+    if (known.record.shard == takeover_.shard) admit(id, known);
   for (const auto& [id, known] : dir_.jobs)
-    if (known.share == takeover_.share && known.status == JobStatus::Open && known.spec)
+    if (known.shard == takeover_.shard && known.status == JobStatus::Open && known.spec)
       books_.addJob(id, known).since = now;
-    else if (known.share == takeover_.share && known.status == JobStatus::Aborted)
+    else if (known.shard == takeover_.shard && known.status == JobStatus::Aborted)
       lastAborted_ = std::max(lastAborted_, known.version);
-    else if (const auto* delegation = findDelegation(known.delegations, takeover_.share))
+    else if (const auto* delegation = findDelegation(known.delegations, takeover_.shard))
       restoreDelegation(id, known, *delegation);
-  auto prefix = keys::runs(takeover_.share);
+  auto prefix = keys::placementPages(takeover_.shard);
   std::map<TaskId, Restored> placed;
   for (const auto& e : runs.entries) {
     auto n = parsePageKey(e.key, prefix);
@@ -88,7 +88,7 @@
     restoreDone(*page, *n, placed);
   }
   for (const auto& [task, r] : placed) restorePlaced(task, r);
-  for (auto& [_, h] : books_.hosts()) books_.reindex(h);
+  for (auto& [_, h] : books_.machines()) books_.reindex(h);
   for (auto& [id, job] : books_.jobs()) {
     job.waiting.clear();
     for (std::uint32_t i = 0; i < job.tasks.size(); ++i)
@@ -103,8 +103,8 @@
   for (const auto& id : over) cleanUp(*books_.job(id));
   countAllElsewhere();
   loaded_ = true;
-  log_->info("share {} loaded: {} jobs, {} machines, {} ms", takeover_.share.value, books_.jobs().size(),
-             books_.hosts().size(), (now - loadStarted_).count());
+  log_->info("share {} loaded: {} jobs, {} machines, {} ms", takeover_.shard.value, books_.jobs().size(),
+             books_.machines().size(), (now - loadStarted_).count());
   tick();
   wake(true);
 }
@@ -124,10 +124,10 @@
     // An aborted job's tasks may still be somewhere: they count until they are known gone.
     if (!job && known != dir_.jobs.end() && known->second.status == JobStatus::Aborted &&
         known->second.spec) {
-      // Of another share's job a delegation may have been given back in part: all that pages name counts.
-      Delegation all{takeover_.share, std::nullopt, {}};
+      // Of another shard's job a delegation may have been given back in part: all that pages name counts.
+      Delegation all{takeover_.shard, std::nullopt, {}};
       for (std::uint32_t i = 0; i < known->second.tasks; ++i) all.tasks.push_back(i);
-      job = &books_.addJob(id, known->second, known->second.share == takeover_.share ? nullptr : &all);
+      job = &books_.addJob(id, known->second, known->second.shard == takeover_.shard ? nullptr : &all);
     }
     if (!job) continue;
     for (auto i : facts.done) {
@@ -147,7 +147,7 @@
 
 void Scheduler::restorePlaced(const TaskId& task, const Restored& r) {
   Job* job = books_.job(task.job);
-  Host* h = books_.host(r.entry.host);
+  Machine* h = books_.machine(r.entry.machine);
   // A machine without a record was returned, and the cloud said so.
   if (!job || !h || job->tasks[task.index].state != TaskState::Waiting) return;
   auto& placement = books_.place(*job, task.index, *h, r.entry.attempt, io_.now());
@@ -158,9 +158,9 @@
   books_.cached(*h, job->spec->image, job->spec->imageGb);
 }
 
-Host& Scheduler::admit(const HostId& id, const KnownHost& known) {
+Machine& Scheduler::admit(const MachineId& id, const MachineEntry& known) {
   auto now = io_.now();
-  auto& h = books_.addHost(id, known, findType(dir_.catalog, known.record.type), now);
+  auto& h = books_.addMachine(id, known, findType(dir_.catalog, known.record.type), now);
   h.hint = WorkerSession{1};
   h.base = tokenOf(std::max(known.record.token, takeover_.epoch));
   // The former owner may have answered it until the end of its grace.
@@ -180,7 +180,7 @@
   if (!loaded_) return;
   auto known = dir_.jobs.find(id);
   if (known == dir_.jobs.end()) return;
-  if (known->second.share != takeover_.share) return delegatedJobChanged(id, known->second);
+  if (known->second.shard != takeover_.shard) return delegatedJobChanged(id, known->second);
   // Our own commit may show here before its answer comes, and deputies must have seen it as well (invariant
   // 15).
   if (known->second.status == JobStatus::Aborted)
@@ -197,13 +197,13 @@
   wake(true);
 }
 
-void Scheduler::hostChanged(const HostId& id) {
+void Scheduler::machineChanged(const MachineId& id) {
   if (!loaded_) return;
-  auto known = dir_.hosts.find(id);
-  bool ours = known != dir_.hosts.end() && known->second.record.share == takeover_.share;
-  Host* h = books_.host(id);
+  auto known = dir_.machines.find(id);
+  bool ours = known != dir_.machines.end() && known->second.record.shard == takeover_.shard;
+  Machine* h = books_.machine(id);
   if (!ours) {
-    if (h) dropHost(id);
+    if (h) dropMachine(id);
     return;
   }
   if (!h) {
@@ -217,9 +217,9 @@
   books_.reindex(*h);
 }
 
-// The record is gone or another share's: the machine was returned, or was empty when it was given.
-void Scheduler::dropHost(const HostId& id) {
-  Host* h = books_.host(id);
+// The record is gone or another shard's: the machine was returned, or was empty when it was given.
+void Scheduler::dropMachine(const MachineId& id) {
+  Machine* h = books_.machine(id);
   bool held = !h->placements.empty();
   while (!h->placements.empty()) {
     auto task = h->placements.begin()->first;
@@ -227,7 +227,7 @@
   }
   drawAt_.erase(id);
   failures_.forget(id);
-  books_.removeHost(id);
+  books_.removeMachine(id);
   if (held) wake(true);
 }
 
@@ -236,7 +236,7 @@
   auto it = books_.jobs().find(id);
   if (it == books_.jobs().end() || it->second.status != JobStatus::Open || it->second.delegation)
     return std::nullopt;
-  // Its end is on its way or in doubt, or the share is: a sibling may have seen it, and told the user, before
+  // Its end is on its way or in doubt, or the shard is: a sibling may have seen it, and told the user, before
   // us.
   if (gaveUpShare_) return std::nullopt;
   if (flight_ &&
@@ -274,7 +274,7 @@
   io_.after(kTick, guarded([this] { tick(); }));
   auto now = io_.now();
   if (stoodStill(now)) return;
-  for (auto& [id, h] : books_.hosts()) {
+  for (auto& [id, h] : books_.machines()) {
     watchSilence(h, now);
     if (!owns()) continue;
     if (h.size.cores <= 0)
@@ -305,9 +305,9 @@
 bool Scheduler::stoodStill(Time now) {
   bool still = ticked_ != Time{} && now - ticked_ > kStandstill;
   if (still) {
-    log_->info("share {}: stood still for {} ms", takeover_.share.value, (now - ticked_).count());
+    log_->info("share {}: stood still for {} ms", takeover_.shard.value, (now - ticked_).count());
     resumed_ = now;
-    for (auto& [_, h] : books_.hosts()) h.askedInVain = 0;
+    for (auto& [_, h] : books_.machines()) h.askedInVain = 0;
   }
   ticked_ = now;
   return still;
--- a/src/scheduler/shard_scheduler.h
+++ b/src/scheduler/shard_scheduler.h
@@ -1,4 +1,4 @@
-// Scheduler: one per owned share. It alone decides for the share's teams and machines.
+// Scheduler: one per owned shard. It alone decides for the shard's teams and machines.
 #pragma once
 
 #include <random>
@@ -24,16 +24,16 @@
  public:
   struct Outlet {
     std::function<void(const JobId&, JobStatus, Version)> ended;  // committed as done or aborted
-    std::function<void(const mesh::ShareLoad&)> load;             // to the leader
+    std::function<void(const mesh::ShardLoad&)> load;             // to the leader
     std::function<void()> abandon;                                // our ownership or our books are in doubt
     // Through siblings; done is told a machine's report if one of them reaches it.
     std::function<void(const std::string& address, std::function<void(const std::string& body)> done)> probe;
     std::function<void(Version, const NodeId&, std::function<void(bool)>)> give;
     // The latest moment at which a sibling may have answered our workers in our name (invariant 15).
     std::function<Time()> answeredElsewhere;
-    std::function<void(const mesh::RoomWanted&)> wantRoom;  // to the owners of all other shares
-    std::function<void(const mesh::RoomOffer&)> offerRoom;  // to the owner of the share that asked
-    std::function<void(const mesh::PartialRoomWanted&)> wantPartialRoom;  // to the owners of all other shares
+    std::function<void(const mesh::RoomWanted&)> wantRoom;  // to the owners of all other shards
+    std::function<void(const mesh::RoomOffer&)> offerRoom;  // to the owner of the shard that asked
+    std::function<void(const mesh::PartialRoomWanted&)> wantPartialRoom;  // to the owners of all other shards
     std::function<void(const mesh::PartialRoomOffer&)> offerPartialRoom;  // to the owner that asked
   };
   struct CheckInAnswer {
@@ -43,18 +43,18 @@
   using CheckInDone = std::function<void(CheckInAnswer)>;
 
   Scheduler(const Settings& settings, Io& io, Log log, StateStore& store, const Directory& dir,
-            ShareTakeover takeover, LeaseValidity leaseValidity, std::uint64_t seed, Outlet out);
+            ShardTakeover takeover, LeaseValidity leaseValidity, std::uint64_t seed, Outlet out);
   Scheduler(const Scheduler&) = delete;
   Scheduler& operator=(const Scheduler&) = delete;
 
   void start();
   void leaseValidity(const LeaseValidity& s);
   void jobChanged(const JobId& id);
-  void hostChanged(const HostId& id);
+  void machineChanged(const MachineId& id);
   CheckInAnswer checkIn(const wire::Report& r);
-  void wish(const mesh::HostWish& w);
+  void wish(const mesh::MachineDirective& w);
   void handBack(const NodeId& to);
-  // Another share's owner looks for room for its jobs, or offers room for ours (scheduler_transfers.cpp).
+  // Another shard's owner looks for room for its jobs, or offers room for ours (scheduler_transfers.cpp).
   void roomWanted(const mesh::RoomWanted& wanted);
   void roomOffered(const mesh::RoomOffer& offer);
   // The same for some tasks of a job (scheduler_delegation.cpp).
@@ -65,11 +65,11 @@
   // done is told the committed state; false if this actor can't take the request.
   bool cancel(const JobId& id, std::function<void(JobStatus)> done);
   bool loaded() const { return loaded_; }
-  // Every cancellation that touches the share's machines is committed by this actor, and known: not before it
-  // has loaded, nor while it places tasks of another share's job.
+  // Every cancellation that touches the shard's machines is committed by this actor, and known: not before it
+  // has loaded, nor while it places tasks of another shard's job.
   bool knowsCancellations() const { return loaded_ && delegatedHere_.empty(); }
-  ShareNo share() const { return takeover_.share; }
-  // The revision of the share's latest cancellation.
+  ShardId shard() const { return takeover_.shard; }
+  // The revision of the shard's latest cancellation.
   Version lastAborted() const { return lastAborted_; }
   // What was decided since the last call, for operators.
   std::string account();
@@ -97,30 +97,30 @@
   void restoreDone(const wire::PageRecord& page, PageNo n, std::map<TaskId, Restored>& placed);
   void restorePlaced(const TaskId& task, const Restored& r);
   void restoreDelegation(const JobId& id, const KnownJob& known, const Delegation& delegation);
-  Host& admit(const HostId& id, const KnownHost& known);
+  Machine& admit(const MachineId& id, const MachineEntry& known);
 
   // Machines.
   // False if the report is not newer than what is known, or is not proven to be of the present.
-  bool apply(Host& h, const wire::Report& r, bool checkIn);
-  void proven(Host& h, bool yes);
-  static void raiseToken(Host& h);
+  bool apply(Machine& h, const wire::Report& r, bool checkIn);
+  void proven(Machine& h, bool yes);
+  static void raiseToken(Machine& h);
   static constexpr unsigned kAskedInVain = 2;  // questions without an answer that make a silent one doubtful
   Duration reportDue() const;
-  Duration silence(const Host& h) const;
-  bool late(const Host& h) const;
-  void reborn(Host& h, const wire::Report& r);
-  void newSession(Host& h);
-  void lose(Host& h, const TaskId& task);
-  void ended(Host& h, const wire::ReportedTask& t);
+  Duration silence(const Machine& h) const;
+  bool late(const Machine& h) const;
+  void reborn(Machine& h, const wire::Report& r);
+  void newSession(Machine& h);
+  void lose(Machine& h, const TaskId& task);
+  void ended(Machine& h, const wire::ReportedTask& t);
   void giveUpFaulty(const JobId& job);
   void reviewFailures(Time now);
-  void absent(Host& h, const wire::Report& r, bool checkIn);
-  std::vector<wire::Order> orders(Host& h, const wire::Report* checkIn);
+  void absent(Machine& h, const wire::Report& r, bool checkIn);
+  std::vector<wire::Order> orders(Machine& h, const wire::Report* checkIn);
   static void addOrders(std::vector<wire::Order>& list, std::vector<wire::Order> more);
   Duration mostSaving(const Job& job) const;
-  void strayOrders(Host& h, std::vector<wire::Order>& out);
-  void direct(Host& h);
-  void directAll(const std::set<HostId>& hosts);
+  void strayOrders(Machine& h, std::vector<wire::Order>& out);
+  void direct(Machine& h);
+  void directAll(const std::set<MachineId>& machines);
   // What a direct command went out with.
   struct Sent {
     Token token;
@@ -128,30 +128,30 @@
     std::pair<WorkerSession, Serial> known;  // the latest that the machine had said
     bool ask = false;                        // it carried no orders
   };
-  void askThroughSiblings(Host& h);
-  void directed(const HostId& id, const Sent& sent, const HttpResult& r);
-  void noticed(Host& h, const wire::Report& r);
+  void askThroughSiblings(Machine& h);
+  void directed(const MachineId& id, const Sent& sent, const HttpResult& r);
+  void noticed(Machine& h, const wire::Report& r);
   Duration leaseAfterAnswer() const;
   void tick();
   bool stoodStill(Time now);
-  void watchSilence(Host& h, Time now);
-  bool doubtful(const Host& h, Time now) const;
+  void watchSilence(Machine& h, Time now);
+  bool doubtful(const Machine& h, Time now) const;
   void giveUpDoubtful(Time now);
-  bool mayLeave(const Host& h) const;
-  void settleEmptying(Host& h);
-  std::optional<std::vector<TaskId>> movableReplicas(const Host& h) const;
+  bool mayLeave(const Machine& h) const;
+  void settleEmptying(Machine& h);
+  std::optional<std::vector<TaskId>> movableReplicas(const Machine& h) const;
   // What is to change in a machine group's record.
   struct GroupChange {
-    std::set<HostId> back;                                   // to the cloud
-    std::map<std::int32_t, std::vector<const Host*>> moved;  // by the share that they go to
+    std::set<MachineId> back;                                   // to the cloud
+    std::map<std::int32_t, std::vector<const Machine*>> moved;  // by the shard that they go to
   };
   std::map<std::string, GroupChange> groupChanges(Time now);
   void settleRecords(Time now);
   bool addGroupChange(TransactionDraft& draft, const std::string& key, GroupChange& change, Epoch token);
   GroupRewrite groupWrites(const std::string& key, const GroupChange& change, Epoch token) const;
   void recordsWritten(const TxnResult& r);
-  void stop(Host& h, const TaskId& id, Placement& p);
-  void dropHost(const HostId& id);
+  void stop(Machine& h, const TaskId& id, Placement& p);
+  void dropMachine(const MachineId& id);
   void sendLoad();
   std::size_t wantsRoomFor(const Job& job, Time now) const;
   void stuckZones(const Job& job, mesh::Demand& d) const;
@@ -159,7 +159,7 @@
   bool zoneAllows(const Job& job, const Zone& zone, unsigned come = 0) const;
 
   // Rounds.
-  void wake(bool everywhere, const HostId* at = nullptr);
+  void wake(bool everywhere, const MachineId* at = nullptr);
   void round();
   void place();
   struct Ranked {
@@ -173,25 +173,25 @@
   bool anyRoom(const Job& job) const;
   bool anyFree(const Job& job) const;
   bool fragile(const Job& job) const;
-  bool tooSlow(const Job& job, const Host& h) const;
+  bool tooSlow(const Job& job, const Machine& h) const;
   bool holderCouldMakeRoom(const Job& job) const;
   std::pair<std::vector<policy::Victim>, std::vector<TaskId>> victims(
-      const Job& job, bool guaranteed, const Host& h, const std::set<TaskId>& taken = {}) const;
-  bool allowed(const Job& job, const Host& h) const;
-  bool allowedKind(const Job& job, const Host& h) const;
+      const Job& job, bool guaranteed, const Machine& h, const std::set<TaskId>& taken = {}) const;
+  bool allowed(const Job& job, const Machine& h) const;
+  bool allowedKind(const Job& job, const Machine& h) const;
   bool allowedIn(const Job& job, const Pool& p) const;
-  bool better(const Job& job, const Host& a, const Host& b) const;
+  bool better(const Job& job, const Machine& a, const Machine& b) const;
   // What one turn of a job looked up: holders in order, and the estimates for the draw.
   struct Turn {
-    std::vector<Host*> holders;
+    std::vector<Machine*> holders;
     std::set<std::uint32_t> refused;  // by the draw, in this round
     std::optional<policy::Peek> peek;
     std::optional<std::set<Zone>> holdingZones;
   };
   Turn look(const Job& job);
-  Host* choose(Job& job, Turn& turn);
-  Host* holder(const Job& job, Turn& turn) const;
-  std::vector<Host*> others(const Job& job, const Turn& turn);
+  Machine* choose(Job& job, Turn& turn);
+  Machine* holder(const Job& job, Turn& turn) const;
+  std::vector<Machine*> others(const Job& job, const Turn& turn);
   policy::Peek peek(const Job& job);
   // Gangs (scheduler_gangs.cpp).
   std::vector<policy::GangZone> gangZones(const Job& job) const;
@@ -205,31 +205,31 @@
   // What machines have free now or soon, less what is spoken for in this round.
   struct RoomToCome {
     std::map<std::uint32_t, Resources> left;
-    Resources& of(const Host& h);
+    Resources& of(const Machine& h);
   };
   struct PlannedEviction {
-    Host* host = nullptr;
+    Machine* machine = nullptr;
     double lost = 0;  // seconds of work times cores
     std::vector<TaskId> victims;
   };
-  std::vector<Host*> peekForRoom(const Job& job);
+  std::vector<Machine*> peekForRoom(const Job& job);
   std::optional<PlannedEviction> cheapestEviction(const Job& job, bool guaranteed,
-                                                  const std::vector<Host*>& peeked, RoomToCome& room,
+                                                  const std::vector<Machine*>& peeked, RoomToCome& room,
                                                   const std::set<TaskId>& taken = {}) const;
   std::optional<std::vector<PlannedEviction>> planRoomForGang(const Ranked& blocked,
-                                                              const std::vector<Host*>& peeked,
+                                                              const std::vector<Machine*>& peeked,
                                                               const RoomToCome& room) const;
   std::optional<std::vector<PlannedEviction>> planRoomOn(const Ranked& blocked,
-                                                         const std::vector<Host*>& hosts,
+                                                         const std::vector<Machine*>& machines,
                                                          RoomToCome room) const;
-  void makeRoomForGang(const Ranked& blocked, RoomToCome& room, std::set<HostId>& changed);
-  bool leavesTimeToSave(const Ranked& claimant, const Host& h, const JobSpec& victim) const;
+  void makeRoomForGang(const Ranked& blocked, RoomToCome& room, std::set<MachineId>& changed);
+  bool leavesTimeToSave(const Ranked& claimant, const Machine& h, const JobSpec& victim) const;
   void carryOut(const PlannedEviction& plan, const Ranked& claimant, RoomToCome& room);
   Duration patienceLeft(const Ranked& blocked) const;
   void makeRoomIn(Duration wait);
   void makeRoom(const std::vector<Ranked>& blocked);
-  void makeRoomFor(const Ranked& blocked, RoomToCome& room, unsigned& asked, std::set<HostId>& changed);
-  // Transfers of jobs to other shares (invariant 17).
+  void makeRoomFor(const Ranked& blocked, RoomToCome& room, unsigned& asked, std::set<MachineId>& changed);
+  // Transfers of jobs to other shards (invariant 17).
   void reviewTransfers(Time now);
   bool transferPlanned(const JobId& id) const;
   bool waitsLong(const Job& job, Time now) const;
@@ -249,7 +249,7 @@
   struct Left;
   Left leftOf(const Job& job) const;
   void addLeft(TransactionDraft& draft);
-  // Delegations of tasks to other shares (invariant 18): of this share's jobs, ...
+  // Delegations of tasks to other shards (invariant 18): of this shard's jobs, ...
   struct PartialOffer;
   void reviewDelegations(Time now);
   mesh::PartialRoomRequest partialRequest(const Job& job) const;
@@ -264,7 +264,7 @@
   std::optional<wire::JobRecord> recordWith(const Job& job, const DelegationWrite& change) const;
   void delegationsCommitted(const DelegationWrite& written, Version version);
   void ownedJobChanged(Job& job, const KnownJob& known);
-  // ... and of other shares' jobs.
+  // ... and of other shards' jobs.
   void delegatedJobChanged(const JobId& id, const KnownJob& known);
   Job& acceptDelegation(const JobId& id, const KnownJob& known, const Delegation& delegation);
   void recallDelegated(Job& job);
@@ -274,7 +274,7 @@
   void addReturns(TransactionDraft& draft);
   struct DelegationReturn;
   void returnCommitted(const DelegationReturn& written, Version version);
-  void stopTasks(const Job& job, std::set<HostId>& hosts);
+  void stopTasks(const Job& job, std::set<MachineId>& machines);
   bool mayNotKnowCancellations(Time now) const;
   void commit();
   void commitAt(Time due);
@@ -294,7 +294,7 @@
   Log log_;
   StateStore& store_;
   const Directory& dir_;
-  ShareTakeover takeover_;
+  ShardTakeover takeover_;
   LeaseValidity leaseValidity_;
   std::mt19937_64 rng_;
   Outlet out_;
@@ -312,7 +312,7 @@
 
   bool roundSet_ = false;
   bool drawEverywhere_ = false;
-  std::set<HostId> drawAt_;
+  std::set<MachineId> drawAt_;
 
   Time lastRound_{};
   Time lastRoomMade_{};
@@ -324,13 +324,13 @@
   Time commitNotBefore_{}, lastCommit_{};
   bool commitSet_ = false;
   bool startsFresh_ = false;  // some of fresh_ are placements
-  // What a commit changes in the delegations of one of this share's jobs.
+  // What a commit changes in the delegations of one of this shard's jobs.
   struct DelegationWrite {
     JobId job;
-    std::vector<Delegation> planned;  // tasks that go to other shares
-    bool recall = false;              // all that is with other shares is asked back
+    std::vector<Delegation> planned;  // tasks that go to other shards
+    bool recall = false;              // all that is with other shards is asked back
   };
-  // What a commit gives back of another share's job.
+  // What a commit gives back of another shard's job.
   struct DelegationReturn {
     JobId job;
     std::vector<std::uint32_t> tasks;
@@ -339,7 +339,7 @@
   struct InFlight {
     wire::Transaction txn;
     std::vector<PageNo> pages;
-    std::vector<std::tuple<HostId, TaskId, Attempt>> placed;
+    std::vector<std::tuple<MachineId, TaskId, Attempt>> placed;
     std::vector<TaskId> done;
     std::vector<std::pair<JobId, JobStatus>> ended;
     std::vector<JobId> transferred;
@@ -362,28 +362,28 @@
   Time ticked_{};
   Time resumed_{};  // the end of our own last standstill
 
-  // Room that another share offers for a job of ours.
+  // Room that another shard offers for a job of ours.
   struct Offer {
-    ShareNo share;
+    ShardId shard;
     std::uint32_t tasks = 0;
     Time at;
   };
   std::map<JobId, Offer> offers_;
-  // A job of our teams that another share runs, or is to run.
+  // A job of our teams that another shard runs, or is to run.
   struct Elsewhere {
     TeamId team;
     Resources sum;           // of the tasks that may be somewhere at once
-    bool committed = false;  // its record names the other share
+    bool committed = false;  // its record names the other shard
     std::optional<Time> abortedSince;
   };
   std::map<JobId, Elsewhere> elsewhere_;
   struct Transfer {
     JobId job;
-    ShareNo to;
+    ShardId to;
     std::uint32_t atOnce = 0;
   };
   std::vector<Transfer> transfers_;  // to be written with the next commit
-  // A cancelled job of another share's team of which nothing is on any machine; its record is to say so.
+  // A cancelled job of another shard's team of which nothing is on any machine; its record is to say so.
   struct Left {
     JobId job;
     Version version;
@@ -394,14 +394,14 @@
   Time offeredAt_{};
 
   struct PartialOffer {
-    ShareNo share;
+    ShardId shard;
     std::optional<Zone> zone;  // nothing: the job may use any of its zones
     std::uint32_t tasks = 0;
     Time at;
   };
   std::map<JobId, std::vector<PartialOffer>> partialOffers_;
   std::map<JobId, DelegationWrite> delegationWrites_;  // to be written with the next commit
-  std::set<JobId> delegatedHere_;                      // jobs of other shares in the books
+  std::set<JobId> delegatedHere_;                      // jobs of other shards in the books
   // Delegations that were given back in full; the directory may show them until it shows that version.
   std::map<JobId, Version> returnedAt_;
   Time delegationsReviewed_{};
--- a/src/scheduler/shard_state.cpp
+++ b/src/scheduler/shard_state.cpp
@@ -22,7 +22,7 @@
   return gone;
 }
 
-Resources Host::leavingRoom() const {
+Resources Machine::leavingRoom() const {
   Resources r;
   for (const auto& [_, p] : placements)
     if (!p.wanted) r += p.job->spec->each;
@@ -112,10 +112,11 @@
 
 // --- machines ---
 
-Host& Books::addHost(const HostId& id, const KnownHost& known, const MachineType* type, Time now) {
-  auto& h = hosts_[id];
+Machine& Books::addMachine(const MachineId& id, const MachineEntry& known, const MachineType* type,
+                           Time now) {
+  auto& h = machines_[id];
   h.id = id;
-  h.no = ++hostCount_;
+  h.no = ++machineCount_;
   h.known = known;
   h.address = known.record.address;
   if (type) {
@@ -135,7 +136,7 @@
   return h;
 }
 
-void Books::learnType(Host& h, const MachineType& type) {
+void Books::learnType(Machine& h, const MachineType& type) {
   h.size = type.size;
   h.fetchGbPerS = type.fetchGbPerS;
   h.images = ImageCache(type.cacheGb);
@@ -144,23 +145,23 @@
   reindex(h);
 }
 
-void Books::removeHost(const HostId& id) {
-  auto it = hosts_.find(id);
-  if (it == hosts_.end()) return;
+void Books::removeMachine(const MachineId& id) {
+  auto it = machines_.find(id);
+  if (it == machines_.end()) return;
   auto& h = it->second;
   h.leaving = true;
   reindex(h);
   --h.pool->machines;
   for (auto& [_, set] : holders_) set.erase(h.no);
-  hosts_.erase(it);
+  machines_.erase(it);
 }
 
-Host* Books::host(const HostId& id) {
-  auto it = hosts_.find(id);
-  return it == hosts_.end() ? nullptr : &it->second;
+Machine* Books::machine(const MachineId& id) {
+  auto it = machines_.find(id);
+  return it == machines_.end() ? nullptr : &it->second;
 }
 
-void Books::reindex(Host& h) {
+void Books::reindex(Machine& h) {
   std::optional<double> should;
   if (h.open()) should = h.free().cores;
   if (h.indexedFree == should) return;
@@ -177,62 +178,62 @@
   h.indexedFree = should;
 }
 
-void Books::cached(Host& h, const ImageId& image, double gb) {
+void Books::cached(Machine& h, const ImageId& image, double gb) {
   for (const auto& gone : h.images.touch(image, gb)) holders_[gone].erase(h.no);
   holders_[image][h.no] = &h;
 }
 
 // --- placements ---
 
-Placement& Books::place(Job& job, std::uint32_t index, Host& host, Attempt attempt, Time now) {
-  auto& p = host.placements[TaskId{job.id, index}];
+Placement& Books::place(Job& job, std::uint32_t index, Machine& machine, Attempt attempt, Time now) {
+  auto& p = machine.placements[TaskId{job.id, index}];
   p.job = &job;
   p.attempt = attempt;
   p.placedAt = now;
   const auto& s = *job.spec;
-  host.used += s.each;
-  if (s.shape == Shape::Service) host.replicaCores += s.each.cores;
+  machine.used += s.each;
+  if (s.shape == Shape::Service) machine.replicaCores += s.each.cores;
   use_[s.team] += s.each;
   usedByRank_[static_cast<std::size_t>(s.rank)] += s.each.cores;
-  ++job.zones[host.zone()];
+  ++job.zones[machine.zone()];
   auto& t = job.tasks[index];
   t.state = TaskState::Placed;
-  t.host = &host;
+  t.machine = &machine;
   ++job.placed;
   job.begun = true;
   job.placedLast = now;
-  reindex(host);
+  reindex(machine);
   return p;
 }
 
-void Books::release(Host& host, std::map<TaskId, Placement>::iterator it, Time now) {
+void Books::release(Machine& machine, std::map<TaskId, Placement>::iterator it, Time now) {
   Job& job = *it->second.job;
   const auto& s = *job.spec;
-  host.used -= s.each;
-  if (s.shape == Shape::Service) host.replicaCores -= s.each.cores;
+  machine.used -= s.each;
+  if (s.shape == Shape::Service) machine.replicaCores -= s.each.cores;
   use_[s.team] -= s.each;
   usedByRank_[static_cast<std::size_t>(s.rank)] -= s.each.cores;
-  auto zone = job.zones.find(host.zone());
+  auto zone = job.zones.find(machine.zone());
   if (--zone->second == 0) job.zones.erase(zone);
   --job.placed;
   if (it->second.committed) --job.committed;
   if (it->second.phase == wire::TaskPhase::Running && it->second.shown) --job.running;
-  job.tasks[it->first.index].host = nullptr;
-  host.placements.erase(it);
-  if (host.placements.empty()) {
-    host.used = {};
-    host.replicaCores = 0;
-    host.idleSince = now;
+  job.tasks[it->first.index].machine = nullptr;
+  machine.placements.erase(it);
+  if (machine.placements.empty()) {
+    machine.used = {};
+    machine.replicaCores = 0;
+    machine.idleSince = now;
   }
-  reindex(host);
+  reindex(machine);
 }
 
-void Books::gone(Host& host, const TaskId& task, Time now) {
-  auto it = host.placements.find(task);
-  if (it == host.placements.end()) return;
+void Books::gone(Machine& machine, const TaskId& task, Time now) {
+  auto it = machine.placements.find(task);
+  if (it == machine.placements.end()) return;
   Job& job = *it->second.job;
-  job.lost += it->second.shown && host.spot();
-  release(host, it, now);
+  job.lost += it->second.shown && machine.spot();
+  release(machine, it, now);
   auto& t = job.tasks[task.index];
   t.state = TaskState::Waiting;
   forgetFact(t);
@@ -240,11 +241,11 @@
   job.waiting.push_front(task.index);
 }
 
-void Books::taskDone(Host& host, const TaskId& task, Time now) {
-  auto it = host.placements.find(task);
-  if (it == host.placements.end()) return;
+void Books::taskDone(Machine& machine, const TaskId& task, Time now) {
+  auto it = machine.placements.find(task);
+  if (it == machine.placements.end()) return;
   Job& job = *it->second.job;
-  release(host, it, now);
+  release(machine, it, now);
   job.tasks[task.index].state = TaskState::Done;
   ++job.done;
 }
@@ -281,9 +282,9 @@
 
 bool Books::withinLimit(const Job& job) const {
   if (!job.team) return false;
-  if (job.delegation) return true;  // the owner's share counts it (invariant 18)
+  if (job.delegation) return true;  // the owner's shard counts it (invariant 18)
   if (job.atOnce)
-    return job.placed + job.remote < *job.atOnce;  // its team's own share counts it (invariant 17)
+    return job.placed + job.remote < *job.atOnce;  // its team's own shard counts it (invariant 17)
   auto sum = teamUse(job.spec->team) + job.spec->each;
   sum.ram = 0;
   return sum.fitsIn({job.team->coresMax, job.team->gpusMax, 0});
@@ -337,7 +338,7 @@
     const auto& t = j->tasks[id.index];
     // When the whole job is done, its own record says so.
     if (t.state == TaskState::Done) return j->status == JobStatus::Open && !t.doneCommitted && !j->finished();
-    return t.state == TaskState::Placed && !t.host->placements.at(id).committed;
+    return t.state == TaskState::Placed && !t.machine->placements.at(id).committed;
   };
   while (!fresh.empty() && !needed(fresh.front())) fresh.pop_front();
   if (fresh.empty()) return std::nullopt;
@@ -351,7 +352,7 @@
     auto known = d.record.jobs.find(id.job);
     std::size_t more = known == d.record.jobs.end() ? wire::weightOfJob(id.job) : 0;
     std::optional<wire::RunEntry> entry;
-    if (t.state == TaskState::Placed) entry = {id.index, t.host->placements.at(id).attempt, t.host->id};
+    if (t.state == TaskState::Placed) entry = {id.index, t.machine->placements.at(id).attempt, t.machine->id};
     more += entry ? wire::weightOf(*entry) : wire::weightOfDone(id.index);
     if (weight + more > settings_.valueBytes) return false;
     weight += more;
--- a/src/scheduler/shard_state.h
+++ b/src/scheduler/shard_state.h
@@ -1,4 +1,4 @@
-// A share's picture: its jobs, its machines and what may be where, with the indices that decisions look
+// A shard's picture: its jobs, its machines and what may be where, with the indices that decisions look
 // things up in. No I/O and no clock of its own.
 #pragma once
 
@@ -17,27 +17,27 @@
 
 namespace cherryloft {
 
-struct Host;
+struct Machine;
 struct Pool;
 // Machines by their number in the books, so that walks come in the same order every time.
-using HostSet = std::map<std::uint32_t, Host*>;
+using MachineSet = std::map<std::uint32_t, Machine*>;
 
-// Remote: another share has it, by a delegation (invariant 18).
+// Remote: another shard has it, by a delegation (invariant 18).
 enum class TaskState : std::uint8_t { Waiting, Placed, Done, Remote };
 
 struct Task {
   TaskState state = TaskState::Waiting;
   bool doneCommitted = false;
-  bool flying = false;    // a write of its state is on its way
-  PageNo page = kNoPage;  // where the latest write of its state is
-  Host* host = nullptr;   // while placed
+  bool flying = false;         // a write of its state is on its way
+  PageNo page = kNoPage;       // where the latest write of its state is
+  Machine* machine = nullptr;  // while placed
 };
 
 struct Job {
   JobId id;
   std::shared_ptr<const JobSpec> spec;
   const Team* team = nullptr;
-  HostSet* holders = nullptr;  // machines that are taken to cache its image
+  MachineSet* holders = nullptr;  // machines that are taken to cache its image
   Version version;
   WallTime submitted;
   JobStatus status = JobStatus::Open;  // as committed
@@ -56,14 +56,14 @@
   unsigned lost = 0;             // tasks that were to go on and are gone
   Time notBefore{};
   std::optional<std::uint32_t>
-      atOnce;            // of a job of another share's team: its tasks that may be placed at a time
+      atOnce;            // of a job of another shard's team: its tasks that may be placed at a time
   Time anyStartUntil{};  // till then it does not wait for room on machines that have its image
-  // Invariant 18. Of a job that this share owns: what other shares have of it, as committed.
+  // Invariant 18. Of a job that this shard owns: what other shards have of it, as committed.
   std::vector<Delegation> delegations;
-  // Of a job that another share owns: what this share has of it. All its other tasks are Remote.
+  // Of a job that another shard owns: what this shard has of it. All its other tasks are Remote.
   std::optional<Delegation> delegation;
   std::uint32_t remote = 0;            // tasks in state Remote
-  std::optional<Attempt> gangAttempt;  // of a gang parted among shares, for its members here
+  std::optional<Attempt> gangAttempt;  // of a gang parted among shards, for its members here
   bool recalling = false;              // of such a gang: it starts anew once all its tasks are back
 
   bool open() const { return status == JobStatus::Open && !abortAsked; }
@@ -71,7 +71,7 @@
   // Members of a gang complete together: one that is done proves it of all.
   bool gangDone() const { return isGang() && done > 0; }
   bool finished() const { return done == tasks.size() || (gangDone() && remote == 0); }
-  // Every task that this share is to place is placed, and its attempt written.
+  // Every task that this shard is to place is placed, and its attempt written.
   bool allCommitted() const { return waiting.empty() && committed == placed; }
   Resources unfinished() const { return spec->each * static_cast<double>(tasks.size() - done - remote); }
 };
@@ -107,10 +107,10 @@
   std::list<std::pair<ImageId, double>> recent_;  // latest first
 };
 
-struct Host {
-  HostId id;
+struct Machine {
+  MachineId id;
   std::uint32_t no = 0;
-  KnownHost known;
+  MachineEntry known;
   Pool* pool = nullptr;
   Resources size, used;
   double fetchGbPerS = 0;
@@ -139,7 +139,7 @@
 
   bool emptying = false;               // takes no more work, and goes when it is empty unless room gets short
   bool leaving = false;                // takes no more work: to be given up
-  std::optional<std::int32_t> giveTo;  // share, or -1 for the cloud
+  std::optional<std::int32_t> giveTo;  // shard, or -1 for the cloud
   bool returnNow = false;              // to the cloud whatever is on it
   std::string address;                 // as it says itself
   Time idleSince{};
@@ -158,7 +158,7 @@
   // It takes new work.
   bool open() const {
     return heard && !stale && !leaving && !emptying && !reclaimAt &&
-           known.record.phase == wire::HostPhase::InUse && settled() && size.cores > 0;
+           known.record.phase == wire::MachinePhase::InUse && settled() && size.cores > 0;
   }
   // Room that stopping tasks will leave.
   Resources leavingRoom() const;
@@ -173,7 +173,7 @@
   double fetchGbPerS = 0;
   std::size_t machines = 0;  // open or not
   std::size_t booting = 0;   // never heard yet, when last counted
-  using ByRoom = std::map<std::pair<double, std::uint32_t>, Host*>;
+  using ByRoom = std::map<std::pair<double, std::uint32_t>, Machine*>;
   ByRoom byRoom;
 
   // The fullest machine that has so many cores free; those after it have more.
@@ -201,7 +201,7 @@
  public:
   explicit Books(const Settings& settings) : settings_(settings), pages_(settings.valueBytes) {}
 
-  // The share's own job, or what a delegation gives to it of another share's.
+  // The shard's own job, or what a delegation gives to it of another shard's.
   Job& addJob(const JobId& id, const KnownJob& known, const Delegation* delegation = nullptr);
   void removeJob(const JobId& id);
   Job* job(const JobId& id);
@@ -211,17 +211,17 @@
   using TeamJobs = std::map<std::pair<WallTime, JobId>, Job*>;
   const std::map<TeamId, TeamJobs>& teams() const { return byTeam_; }
 
-  Host& addHost(const HostId& id, const KnownHost& known, const MachineType* type, Time now);
-  void removeHost(const HostId& id);
-  Host* host(const HostId& id);
-  std::map<HostId, Host>& hosts() { return hosts_; }
-  const std::map<HostId, Host>& hosts() const { return hosts_; }
+  Machine& addMachine(const MachineId& id, const MachineEntry& known, const MachineType* type, Time now);
+  void removeMachine(const MachineId& id);
+  Machine* machine(const MachineId& id);
+  std::map<MachineId, Machine>& machines() { return machines_; }
+  const std::map<MachineId, Machine>& machines() const { return machines_; }
 
-  Placement& place(Job& job, std::uint32_t index, Host& host, Attempt attempt, Time now);
+  Placement& place(Job& job, std::uint32_t index, Machine& machine, Attempt attempt, Time now);
   // The task is known gone; it waits again unless its job is over.
-  void gone(Host& host, const TaskId& task, Time now);
-  void taskDone(Host& host, const TaskId& task, Time now);
-  // A waiting task goes to another share: it counts toward the team's limit and the zones' rules as if placed
+  void gone(Machine& machine, const TaskId& task, Time now);
+  void taskDone(Machine& machine, const TaskId& task, Time now);
+  // A waiting task goes to another shard: it counts toward the team's limit and the zones' rules as if placed
   // there, until it is back.
   void makeRemote(Job& job, std::uint32_t index, const std::optional<Zone>& zone);
   void remoteBack(Job& job, std::uint32_t index, const std::optional<Zone>& zone, bool done);
@@ -230,17 +230,17 @@
   // All tasks that wait are done though no machine that is left can tell.
   static void doneWaiting(Job& job);
   void setPhase(Placement& p, wire::TaskPhase phase, Time now);
-  void cached(Host& host, const ImageId& image, double gb);
+  void cached(Machine& machine, const ImageId& image, double gb);
   // To be told after anything that Host::open() depends on has changed.
   // Its type was not in the catalog when it came.
-  void learnType(Host& h, const MachineType& type);
-  void reindex(Host& host);
+  void learnType(Machine& h, const MachineType& type);
+  void reindex(Machine& machine);
   const std::list<Pool>& pools() const { return pools_; }
   std::list<Pool>& pools() { return pools_; }
-  const std::vector<Host*>& openHosts() const { return open_; }
+  const std::vector<Machine*>& openMachines() const { return open_; }
 
   Resources teamUse(const TeamId& team) const;
-  // What tasks of the team take on another share's machines, or may take.
+  // What tasks of the team take on another shard's machines, or may take.
   void countElsewhere(const TeamId& team, const Resources& sum) { use_[team] += sum; }
   void uncountElsewhere(const TeamId& team, const Resources& sum) { use_[team] -= sum; }
   // Whether one more task keeps its team within the limit.
@@ -258,7 +258,7 @@
  private:
   void takeOwn(Job& job, const KnownJob& known);
   void takeDelegated(Job& job, const Delegation& delegation);
-  void release(Host& host, std::map<TaskId, Placement>::iterator it, Time now);
+  void release(Machine& machine, std::map<TaskId, Placement>::iterator it, Time now);
   void forgetFact(Task& t);
   bool stands(const TaskId& id, PageNo page);
 
@@ -266,13 +266,13 @@
   Pages pages_;
   std::map<JobId, Job> jobs_;
   std::map<TeamId, TeamJobs> byTeam_;
-  std::map<HostId, Host> hosts_;
+  std::map<MachineId, Machine> machines_;
   std::list<Pool> pools_;
-  std::vector<Host*> open_;
-  std::unordered_map<ImageId, HostSet> holders_;
+  std::vector<Machine*> open_;
+  std::unordered_map<ImageId, MachineSet> holders_;
   std::unordered_map<TeamId, Resources> use_;
   std::array<double, 4> usedByRank_{};
-  std::uint32_t hostCount_ = 0;
+  std::uint32_t machineCount_ = 0;
 };
 
 }  // namespace cherryloft
--- a/src/scheduler/task_failures.cpp
+++ b/src/scheduler/task_failures.cpp
@@ -11,7 +11,7 @@
 constexpr Duration kReviewFailuresEvery{1'000};
 }  // namespace
 
-void Scheduler::ended(Host& h, const wire::ReportedTask& t) {
+void Scheduler::ended(Machine& h, const wire::ReportedTask& t) {
   auto now = io_.now();
   Job& job = *h.placements.at(t.task).job;
   if (t.cause == ExitCause::Done) {
@@ -35,7 +35,7 @@
   log_->debug("{} on {} ended: {}", wire::encodeTask(t.task), h.id.value, static_cast<int>(t.cause));
   switch (t.cause) {
     case ExitCause::Error:
-      if (auto wait = failures_.failed(t.task, h.id, ranFor, books_.hosts().size(), now))
+      if (auto wait = failures_.failed(t.task, h.id, ranFor, books_.machines().size(), now))
         job.notBefore = now + *wait;
       giveUpFaulty(job.id);
       break;
@@ -58,7 +58,7 @@
 // Machines whose failures of the job, beside its success elsewhere, show that the fault is theirs.
 void Scheduler::giveUpFaulty(const JobId& job) {
   for (const auto& id : failures_.faulty(job, io_.now())) {
-    Host* h = books_.host(id);
+    Machine* h = books_.machine(id);
     if (!h || h->leaving) continue;
     log_->info("{} fails jobs that work elsewhere and is given up", id.value);
     h->leaving = true;
@@ -77,7 +77,7 @@
     if (!job) continue;
     auto enough = failures_.contrastAfter(id);
     for (std::uint32_t i = 0; i < job->tasks.size(); ++i) {
-      const Host* h = job->tasks[i].host;
+      const Machine* h = job->tasks[i].machine;
       if (!h) continue;
       const auto& p = h->placements.at({id, i});
       bool runs = p.shown && p.phase == TaskPhase::Running && now - p.runningSince >= enough;
--- a/src/wire/cloud.cpp
+++ b/src/wire/cloud.cpp
@@ -56,35 +56,36 @@
                    {"count", r.count}});
 }
 
-std::string encodeReturn(const std::vector<HostId>& hosts) {
+std::string encodeReturn(const std::vector<MachineId>& machines) {
   Json list = Json::array();
-  for (const auto& h : hosts) list.push_back(h.value);
+  for (const auto& h : machines) list.push_back(h.value);
   return dump(Json{{"hosts", std::move(list)}});
 }
 
-std::optional<std::vector<HostId>> parseRented(const std::string& body) {
+std::optional<std::vector<MachineId>> parseRented(const std::string& body) {
   auto doc = parse(body);
   if (!doc || !doc->is_object() || !doc->contains("hosts")) return std::nullopt;
-  std::vector<HostId> hosts;
+  std::vector<MachineId> machines;
   for (const auto& h : listAt(*doc, "hosts"))
-    if (h.is_string()) hosts.push_back(HostId{h.get<std::string>()});
-  return hosts;
+    if (h.is_string()) machines.push_back(MachineId{h.get<std::string>()});
+  return machines;
 }
 
-std::optional<HostPage> parseHosts(const std::string& body) {
+std::optional<MachinePage> parseMachines(const std::string& body) {
   auto doc = parse(body);
   if (!doc || !doc->is_object() || !doc->contains("hosts")) return std::nullopt;
-  HostPage page;
+  MachinePage page;
   for (const auto& e : listAt(*doc, "hosts")) {
     auto id = textAt(e, "name_id");
     auto state = textAt(e, "status");
     if (!id || !state) return std::nullopt;
-    page.hosts.push_back({HostId{*id}, textAt(e, "addr").value_or(""), textAt(e, "flavour").value_or(""),
-                          Zone{textAt(e, "site").value_or("")}, flagAt(e, "lendable").value_or(false),
-                          *state == "failed"    ? ListedHost::State::Failed
-                          : *state == "running" ? ListedHost::State::Running
-                                                : ListedHost::State::Starting,
-                          numberAt(e, "held_s").value_or(0)});
+    page.machines.push_back({MachineId{*id}, textAt(e, "addr").value_or(""),
+                             textAt(e, "flavour").value_or(""), Zone{textAt(e, "site").value_or("")},
+                             flagAt(e, "lendable").value_or(false),
+                             *state == "failed"    ? ListedMachine::State::Failed
+                             : *state == "running" ? ListedMachine::State::Running
+                                                   : ListedMachine::State::Starting,
+                             numberAt(e, "held_s").value_or(0)});
   }
   page.truncated = flagAt(*doc, "truncated").value_or(false);
   return page;
--- a/src/wire/cloud.h
+++ b/src/wire/cloud.h
@@ -20,13 +20,13 @@
   unsigned count = 1;
 };
 std::string encodeRental(const Rental& r);
-std::string encodeReturn(const std::vector<HostId>& hosts);
+std::string encodeReturn(const std::vector<MachineId>& machines);
 // The names in the answer to a rental.
-std::optional<std::vector<HostId>> parseRented(const std::string& body);
+std::optional<std::vector<MachineId>> parseRented(const std::string& body);
 
-struct ListedHost {
+struct ListedMachine {
   enum class State : std::uint8_t { Starting, Running, Failed };
-  HostId id;
+  MachineId id;
   std::string address;
   std::string type;
   Zone zone;
@@ -34,10 +34,10 @@
   State state = State::Starting;
   double heldS = 0;
 };
-struct HostPage {
-  std::vector<ListedHost> hosts;
+struct MachinePage {
+  std::vector<ListedMachine> machines;
   bool truncated = false;
 };
-std::optional<HostPage> parseHosts(const std::string& body);
+std::optional<MachinePage> parseMachines(const std::string& body);
 
 }  // namespace cherryloft::wire
--- a/src/wire/kvstore.cpp
+++ b/src/wire/kvstore.cpp
@@ -126,7 +126,7 @@
 }
 
 Json encodeDelegation(const Delegation& d) {
-  Json j{{"sh", d.share.value}, {"t", encodeRanges(d.tasks)}};
+  Json j{{"sh", d.shard.value}, {"t", encodeRanges(d.tasks)}};
   if (d.zone) j["zo"] = d.zone->value;
   if (d.attempt) j["try"] = d.attempt->value;
   if (d.recalled) j["back"] = true;
@@ -134,10 +134,10 @@
 }
 
 std::optional<Delegation> parseDelegation(const Json& j) {
-  auto share = countAt(j, "sh");
+  auto shard = countAt(j, "sh");
   auto tasks = parseRanges(listAt(j, "t"));
-  if (!share || !tasks) return std::nullopt;
-  Delegation d{ShareNo{static_cast<std::uint32_t>(*share)}, std::nullopt, std::move(*tasks)};
+  if (!shard || !tasks) return std::nullopt;
+  Delegation d{ShardId{static_cast<std::uint32_t>(*shard)}, std::nullopt, std::move(*tasks)};
   if (auto zone = textAt(j, "zo")) d.zone = Zone{*zone};
   if (auto attempt = countAt(j, "try")) d.attempt = Attempt{*attempt};
   d.recalled = flagAt(j, "back").value_or(false);
@@ -147,7 +147,7 @@
 }  // namespace
 
 std::string encodeJobRecord(const JobRecord& r) {
-  Json j{{"st", static_cast<int>(r.status)}, {"sh", r.share.value}, {"n", r.tasks}};
+  Json j{{"st", static_cast<int>(r.status)}, {"sh", r.shard.value}, {"n", r.tasks}};
   if (r.atOnce) j["most"] = *r.atOnce;
   for (const auto& d : r.delegations) j["parts"].push_back(encodeDelegation(d));
   if (!r.doneElsewhere.empty()) j["done"] = encodeRanges(r.doneElsewhere);
@@ -198,11 +198,11 @@
   auto doc = parse(value);
   if (!doc) return std::nullopt;
   auto status = countAt(*doc, "st");
-  auto share = countAt(*doc, "sh");
+  auto shard = countAt(*doc, "sh");
   auto tasks = countAt(*doc, "n");
-  if (!status || *status > 2 || !share || !tasks) return std::nullopt;
+  if (!status || *status > 2 || !shard || !tasks) return std::nullopt;
   JobRecord r{static_cast<JobStatus>(*status),
-              ShareNo{static_cast<std::uint32_t>(*share)},
+              ShardId{static_cast<std::uint32_t>(*shard)},
               static_cast<std::uint32_t>(*tasks),
               {},
               {},
@@ -277,7 +277,7 @@
         !p[2].is_string())
       return false;
     f.placed.push_back(
-        {p[0].get<std::uint32_t>(), Attempt{p[1].get<std::uint64_t>()}, HostId{p[2].get<std::string>()}});
+        {p[0].get<std::uint32_t>(), Attempt{p[1].get<std::uint64_t>()}, MachineId{p[2].get<std::string>()}});
   }
   return true;
 }
@@ -287,14 +287,14 @@
 std::size_t weightOfJob(const JobId& job) { return job.value.size() + 20; }
 std::size_t weightOfDone(std::uint32_t index) { return 2 * digits(index) + 4; }
 std::size_t weightOf(const RunEntry& e) {
-  return digits(e.index) + digits(e.attempt.value) + e.host.value.size() + 7;
+  return digits(e.index) + digits(e.attempt.value) + e.machine.value.size() + 7;
 }
 
 std::string encodePage(const PageRecord& r) {
   Json jobs = Json::object();
   for (const auto& [id, f] : r.jobs) {
     Json placed = Json::array();
-    for (const auto& p : f.placed) placed.push_back({p.index, p.attempt.value, p.host.value});
+    for (const auto& p : f.placed) placed.push_back({p.index, p.attempt.value, p.machine.value});
     Json j = Json::object();
     if (!f.done.empty()) j["d"] = encodeRanges(f.done);
     if (!placed.empty()) j["p"] = std::move(placed);
@@ -316,7 +316,7 @@
   Json members = Json::array();
   for (const auto& m : r.members) members.push_back({m.id.value, static_cast<int>(m.phase), m.address});
   return dump(Json{{"v", kLayout},
-                   {"sh", r.share.value},
+                   {"sh", r.shard.value},
                    {"tk", r.token.value},
                    {"ty", r.type},
                    {"zo", r.zone.value},
@@ -328,10 +328,10 @@
 std::optional<GroupRecord> parseGroup(const std::string& value) {
   auto doc = parseLayout(value);
   if (!doc) return std::nullopt;
-  auto share = countAt(*doc, "sh");
+  auto shard = countAt(*doc, "sh");
   auto token = countAt(*doc, "tk");
-  if (!share || !token) return std::nullopt;
-  GroupRecord r{ShareNo{static_cast<std::uint32_t>(*share)},
+  if (!shard || !token) return std::nullopt;
+  GroupRecord r{ShardId{static_cast<std::uint32_t>(*shard)},
                 Epoch{*token},
                 textAt(*doc, "ty").value_or(""),
                 Zone{textAt(*doc, "zo").value_or("")},
@@ -342,8 +342,8 @@
     if (!m.is_array() || m.size() != 3 || !m[0].is_string() || !m[1].is_number_unsigned() ||
         m[1].get<std::uint64_t>() > 2 || !m[2].is_string())
       return std::nullopt;
-    r.members.push_back(
-        {HostId{m[0].get<std::string>()}, static_cast<HostPhase>(m[1].get<int>()), m[2].get<std::string>()});
+    r.members.push_back({MachineId{m[0].get<std::string>()}, static_cast<MachinePhase>(m[1].get<int>()),
+                         m[2].get<std::string>()});
   }
   return r;
 }
--- a/src/wire/kvstore.h
+++ b/src/wire/kvstore.h
@@ -47,14 +47,14 @@
 
 struct JobRecord {
   JobStatus status = JobStatus::Open;
-  ShareNo share;
+  ShardId shard;
   std::uint32_t tasks = 0;
   WallTime submitted;
   std::optional<JobSpec> spec;  // kept unless done
-  // Of a job that another share than its team's runs: so many of its tasks may be somewhere at once. The
-  // team's own share counts them as in use (invariant 17). 0 once it is aborted and nothing of it is left.
+  // Of a job that another shard than its team's runs: so many of its tasks may be somewhere at once. The
+  // team's own shard counts them as in use (invariant 17). 0 once it is aborted and nothing of it is left.
   std::optional<std::uint32_t> atOnce{};
-  // Tasks that other shares place for the job's share, and those that they have completed (invariant 18).
+  // Tasks that other shards place for the job's shard, and those that they have completed (invariant 18).
   std::vector<Delegation> delegations{};
   std::vector<std::uint32_t> doneElsewhere{};  // ascending
 };
@@ -67,7 +67,7 @@
 struct RunEntry {
   std::uint32_t index = 0;
   Attempt attempt;
-  HostId host;
+  MachineId machine;
 };
 // What a page says of one job.
 struct RunFacts {
@@ -87,11 +87,11 @@
 std::size_t weightOf(const RunEntry& e);
 inline constexpr std::size_t kPageFrame = 24;  // of a page without jobs
 
-enum class HostPhase : std::uint8_t { InUse, Draining, Returning };
-struct HostRecord {
-  ShareNo share;
+enum class MachinePhase : std::uint8_t { InUse, Draining, Returning };
+struct MachineRecord {
+  ShardId shard;
   Epoch token;
-  HostPhase phase = HostPhase::InUse;
+  MachinePhase phase = MachinePhase::InUse;
   std::string type;
   Zone zone;
   bool spot = false;
@@ -99,14 +99,14 @@
   WallTime since;
 };
 
-// Machines that came together and are of one kind share a key, as a fleet has thousands.
+// Machines that came together and are of one kind shard a key, as a fleet has thousands.
 struct GroupMember {
-  HostId id;
-  HostPhase phase = HostPhase::InUse;
+  MachineId id;
+  MachinePhase phase = MachinePhase::InUse;
   std::string address;  // empty until known
 };
 struct GroupRecord {
-  ShareNo share;
+  ShardId shard;
   Epoch token;
   std::string type;
   Zone zone;
--- a/src/wire/workers.cpp
+++ b/src/wire/workers.cpp
@@ -74,12 +74,12 @@
 std::optional<Report> parseReport(const std::string& body) {
   auto doc = parse(body);
   if (!doc) return std::nullopt;
-  auto host = textAt(*doc, "host");
+  auto machine = textAt(*doc, "host");
   auto session = countAt(*doc, "tenure");
   auto serial = countAt(*doc, "serial");
   auto token = countAt(*doc, "epoch");
-  if (!host || host->empty() || !session || !serial || !token) return std::nullopt;
-  Report r{HostId{*host},
+  if (!machine || machine->empty() || !session || !serial || !token) return std::nullopt;
+  Report r{MachineId{*machine},
            textAt(*doc, "addr").value_or(""),
            textAt(*doc, "flavour").value_or(""),
            Zone{textAt(*doc, "site").value_or("")},
--- a/src/wire/workers.h
+++ b/src/wire/workers.h
@@ -22,7 +22,7 @@
 };
 
 struct Report {
-  HostId host;
+  MachineId machine;
   std::string address;
   std::string type;
   Zone zone;
--- a/tests/unit/autoscaling_test.cpp
+++ b/tests/unit/autoscaling_test.cpp
@@ -28,8 +28,8 @@
               store,
               dir,
               1,
-              {[this](const mesh::HostWish& w) { wishes.push_back(w); }, [] { return true; }}};
-  std::vector<mesh::HostWish> wishes;
+              {[this](const mesh::MachineDirective& w) { wishes.push_back(w); }, [] { return true; }}};
+  std::vector<mesh::MachineDirective> wishes;
 
   Leader() {
     dir.leader = KnownOwner{{settings.node, Epoch{7}}, Version{70}};
@@ -45,7 +45,7 @@
   void lead(world::Ms forMs) {
     fleet.leading(true);
     for (auto end = io.clock.now() + forMs; io.clock.now() < end;) {
-      mesh::ShareLoad l;
+      mesh::ShardLoad l;
       l.firm.waiting = 64;
       l.firm.largestTask = 4;
       l.firm.runS = 30;
@@ -80,21 +80,21 @@
   EXPECT_EQ(std::set<std::string>(all.begin(), all.end()).size(), all.size());
 }
 
-// A move takes its time, as its record waits for a turn: the share that waits for it is not sent ever more
+// A move takes its time, as its record waits for a turn: the shard that waits for it is not sent ever more
 // machines.
 TEST_F(Leader, MachinesOnTheirWayToAShareCountThere) {
-  mesh::ShareLoad from;
-  from.share = 1;
+  mesh::ShardLoad from;
+  from.shard = 1;
   for (int i = 0; i < 20; ++i) {
-    HostId id{"host-" + std::to_string(i)};
-    KnownHost& h = dir.hosts[id];
-    h.record.share = ShareNo{1};
+    MachineId id{"host-" + std::to_string(i)};
+    MachineEntry& h = dir.machines[id];
+    h.record.shard = ShardId{1};
     h.record.type = "m";
     h.record.zone = settings.zones[0];
     h.group = "host/" + id.value;
-    from.hosts.push_back({id.value, "m", settings.zones[0].value, false, 16, 30, true});
+    from.machines.push_back({id.value, "m", settings.zones[0].value, false, 16, 30, true});
   }
-  mesh::ShareLoad to;
+  mesh::ShardLoad to;
   to.firm.waiting = 60;
   to.firm.largestTask = 4;
   to.firm.runS = 30;
@@ -102,12 +102,13 @@
   for (int s = 0; s < 20; ++s) {
     fleet.load(to);
     for (const auto& w : wishes)
-      for (auto& h : from.hosts)
-        if (h.host == w.host) h.usable = false, h.draining = true;
+      for (auto& h : from.machines)
+        if (h.machine == w.machine) h.usable = false, h.draining = true;
     fleet.load(from);
     io.clock.run(io.clock.now() + 1000);
   }
-  auto moves = std::count_if(wishes.begin(), wishes.end(),
-                             [](const auto& w) { return w.kind == mesh::HostWish::Move && w.toShare == 0; });
+  auto moves = std::count_if(wishes.begin(), wishes.end(), [](const auto& w) {
+    return w.kind == mesh::MachineDirective::Move && w.toShard == 0;
+  });
   EXPECT_EQ(moves, 4);  // of 16 cores each, for 60
 }
--- a/tests/unit/failure_attribution_test.cpp
+++ b/tests/unit/failure_attribution_test.cpp
@@ -11,15 +11,15 @@
 const Time kStart{Duration{100'000}};
 
 TaskId task(const std::string& job, std::uint32_t index = 0) { return {JobId{job}, index}; }
-HostId host(int n) { return HostId{"host-" + std::to_string(n)}; }
+MachineId machine(int n) { return MachineId{"host-" + std::to_string(n)}; }
 
 class Failures : public ::testing::Test {
  protected:
   std::optional<Duration> fail(const std::string& job, int on, std::uint32_t index = 0) {
-    return history_.failed(task(job, index), host(on), Duration{500}, kMachines, now_);
+    return history_.failed(task(job, index), machine(on), Duration{500}, kMachines, now_);
   }
-  void complete(const std::string& job, int on) { history_.completed(JobId{job}, host(on), now_); }
-  std::vector<HostId> faulty(const std::string& job) { return history_.faulty(JobId{job}, now_); }
+  void complete(const std::string& job, int on) { history_.completed(JobId{job}, machine(on), now_); }
+  std::vector<MachineId> faulty(const std::string& job) { return history_.faulty(JobId{job}, now_); }
 
   FailureHistory history_{kReport};
   Time now_ = kStart;
@@ -44,7 +44,7 @@
   fail("b", 1);
   EXPECT_TRUE(faulty("b").empty());
   complete("b", 3);
-  EXPECT_EQ(faulty("b"), std::vector<HostId>{host(1)});
+  EXPECT_EQ(faulty("b"), std::vector<MachineId>{machine(1)});
 }
 
 // Guards against never finding a machine that fails one small job after the other.
@@ -54,7 +54,7 @@
   history_.forget(JobId{"a"});
   fail("b", 1);
   complete("b", 2);
-  EXPECT_EQ(faulty("b"), std::vector<HostId>{host(1)});
+  EXPECT_EQ(faulty("b"), std::vector<MachineId>{machine(1)});
 }
 
 TEST_F(Failures, ATaskThatKeepsRunningElsewhereIsContrastEnough) {
@@ -63,9 +63,9 @@
   fail("b", 1);
   EXPECT_EQ(history_.contrastAfter(JobId{"a"}), Duration{1'000} + 2 * kReport);
   EXPECT_EQ(history_.undecided().size(), 2U);
-  history_.keptRunning(JobId{"a"}, host(2), now_);
-  history_.keptRunning(JobId{"b"}, host(2), now_);
-  EXPECT_EQ(faulty("a"), std::vector<HostId>{host(1)});
+  history_.keptRunning(JobId{"a"}, machine(2), now_);
+  history_.keptRunning(JobId{"b"}, machine(2), now_);
+  EXPECT_EQ(faulty("a"), std::vector<MachineId>{machine(1)});
   EXPECT_TRUE(history_.undecided().empty());
 }
 
@@ -107,29 +107,29 @@
   EXPECT_EQ(fail("a", 3), Duration{2'000});
   for (int machine = 4; machine < 9; ++machine) fail("a", machine);
   EXPECT_EQ(fail("a", 9), Duration{60'000});
-  history_.keptRunning(JobId{"a"}, host(9), now_);
+  history_.keptRunning(JobId{"a"}, machine(9), now_);
   EXPECT_FALSE(history_.suspect(JobId{"a"}));
   EXPECT_FALSE(fail("a", 0));
 }
 
-// Guards against a faulty machine, which is idle most of the time, being moved to a share that does not know
+// Guards against a faulty machine, which is idle most of the time, being moved to a shard that does not know
 // it.
 TEST_F(Failures, AMachineThatHasJustFailedIsUnsettled) {
-  EXPECT_FALSE(history_.unsettled(host(1), now_));
+  EXPECT_FALSE(history_.unsettled(machine(1), now_));
   fail("a", 1);
-  EXPECT_TRUE(history_.unsettled(host(1), now_));
-  EXPECT_FALSE(history_.unsettled(host(1), now_ + Duration{16'000}));
+  EXPECT_TRUE(history_.unsettled(machine(1), now_));
+  EXPECT_FALSE(history_.unsettled(machine(1), now_ + Duration{16'000}));
   complete("b", 1);
-  EXPECT_FALSE(history_.unsettled(host(1), now_));
+  EXPECT_FALSE(history_.unsettled(machine(1), now_));
 }
 
 TEST_F(Failures, AJobKeepsOffAMachineThatFailedItForAWhile) {
   fail("a", 1);
-  EXPECT_TRUE(history_.avoids(JobId{"a"}, host(1), kMachines, now_));
-  EXPECT_FALSE(history_.avoids(JobId{"a"}, host(2), kMachines, now_));
-  EXPECT_FALSE(history_.avoids(JobId{"a"}, host(1), 1, now_)) << "there is no other machine to try";
+  EXPECT_TRUE(history_.avoids(JobId{"a"}, machine(1), kMachines, now_));
+  EXPECT_FALSE(history_.avoids(JobId{"a"}, machine(2), kMachines, now_));
+  EXPECT_FALSE(history_.avoids(JobId{"a"}, machine(1), 1, now_)) << "there is no other machine to try";
   now_ += Duration{46'000};
-  EXPECT_FALSE(history_.avoids(JobId{"a"}, host(1), kMachines, now_));
+  EXPECT_FALSE(history_.avoids(JobId{"a"}, machine(1), kMachines, now_));
 }
 
 }  // namespace
--- a/tests/unit/group_commit_test.cpp
+++ b/tests/unit/group_commit_test.cpp
@@ -1,4 +1,4 @@
-// How creations of keys share transactions.
+// How creations of keys shard transactions.
 #include "kvstore/group_commit.h"
 
 #include <gtest/gtest.h>
--- a/tests/unit/keep_alive_proxy_test.cpp
+++ b/tests/unit/keep_alive_proxy_test.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 constexpr Duration kGrace{18'000}, kTtl{3'000};
-constexpr ShareNo kShare{2};
+constexpr ShardId kShare{2};
 constexpr Epoch kEpoch{7};
 
 Time at(std::int64_t s) { return Time{Duration{s * 1000}}; }
@@ -60,7 +60,7 @@
   EXPECT_FALSE(may(113));  // not long after its last word that it answers nobody
   EXPECT_TRUE(may(116));
   EXPECT_FALSE(deputy.mayAnswer(kShare, Epoch{8}, seen, false, at(116)));
-  EXPECT_FALSE(deputy.mayAnswer(ShareNo{1}, kEpoch, seen, false, at(116)));
+  EXPECT_FALSE(deputy.mayAnswer(ShardId{1}, kEpoch, seen, false, at(116)));
   EXPECT_TRUE(may(130));
   EXPECT_FALSE(may(131));  // 110 and the hold and the grace
   // The owner assumes nothing while the last word holds, and then all that may be.
--- a/tests/unit/machine_group_rewrite_test.cpp
+++ b/tests/unit/machine_group_rewrite_test.cpp
@@ -12,15 +12,15 @@
 constexpr std::size_t kValueBytes = 1024;
 
 wire::GroupRecord groupOf(unsigned members) {
-  wire::GroupRecord group{ShareNo{1}, Epoch{7}, "m", Zone{"a"}, false, WallTime{1700}, {}};
+  wire::GroupRecord group{ShardId{1}, Epoch{7}, "m", Zone{"a"}, false, WallTime{1700}, {}};
   for (unsigned i = 0; i < members; ++i)
     group.members.push_back(
-        {HostId{"host-" + std::to_string(100000 + i)}, wire::HostPhase::InUse, "10.1.0.2:9000"});
+        {MachineId{"host-" + std::to_string(100000 + i)}, wire::MachinePhase::InUse, "10.1.0.2:9000"});
   return group;
 }
 
-std::multiset<HostId> membersIn(const std::vector<VersionedWrite>& writes) {
-  std::multiset<HostId> ids;
+std::multiset<MachineId> membersIn(const std::vector<VersionedWrite>& writes) {
+  std::multiset<MachineId> ids;
   for (const auto& [write, _] : writes) {
     auto group = wire::parseGroup(*write.value);
     for (const auto& member : group.value().members) ids.insert(member.id);
@@ -55,7 +55,7 @@
     EXPECT_EQ(version, Version{0});
   }
   auto moved = membersIn(rewrite.writes);
-  EXPECT_EQ(std::set<HostId>(moved.begin(), moved.end()).size(), moved.size());
+  EXPECT_EQ(std::set<MachineId>(moved.begin(), moved.end()).size(), moved.size());
   // What is left then fits.
   std::erase_if(group.members, [&](const auto& member) { return moved.count(member.id) > 0; });
   EXPECT_LE(wire::encodeGroup(group).size(), kValueBytes);
--- a/tests/unit/membership_test.cpp
+++ b/tests/unit/membership_test.cpp
@@ -42,10 +42,10 @@
                         silentLog(),
                         store,
                         dir,
-                        {[](const LeaseValidity&) {}, [](const ShareTakeover&) {}, [](ShareNo) {},
-                         [](bool) {}, [](ShareNo, NodeId) {}}};
+                        {[](const LeaseValidity&) {}, [](const ShardTakeover&) {}, [](ShardId) {},
+                         [](bool) {}, [](ShardId, NodeId) {}}};
   Held() {
-    for (const auto& p : {keys::kJobs, keys::kHosts, keys::kShares, keys::kNodes})
+    for (const auto& p : {keys::kJobs, keys::kMachines, keys::kShards, keys::kNodes})
       store.mirror(p, [](const wire::KeyChange&) {});
   }
   // What the counter gains in 10 s, once four holds are gone.
--- a/tests/unit/placement_pages_test.cpp
+++ b/tests/unit/placement_pages_test.cpp
@@ -1,4 +1,4 @@
-// Which page of a share is written next.
+// Which page of a shard is written next.
 #include <gtest/gtest.h>
 
 #include "scheduler/placement_pages.h"
--- a/tests/unit/policy_test.cpp
+++ b/tests/unit/policy_test.cpp
@@ -85,7 +85,7 @@
 TEST(Fleet, RentsTheCheapestThatFitsAndLetsTheDearestGo) {
   Catalog catalog{{"s", {8, 0, 16}, 30, 1, 0.48, 0.13, 30, {Zone{"a"}}},
                   {"l", {32, 0, 128}, 50, 1, 2.18, 0.61, 20, {Zone{"a"}, Zone{"b"}}}};
-  ShareFleet f;
+  ShardFleet f;
   f.lendable = {0, 32, 0, 0, 0, 4, 0, 1, {}, {}};
   auto t = targets(f, catalog, 0, 0);
   auto w = rent(f, t, catalog, {});
@@ -98,15 +98,15 @@
   f.lendable.ramPerCore = 3;       // now memory decides: the small type holds few tasks
   EXPECT_EQ(rent(f, t, catalog, {})->offer.type, "l");
   f.lendable = {};
-  f.hosts = {{"l", Zone{"a"}, true, 32, true, 60, 0, 100},
-             {"l", Zone{"a"}, false, 32, true, 60, 0, 100},
-             {"s", Zone{"a"}, false, 8, true, 2, 0, 100}};
+  f.machines = {{"l", Zone{"a"}, true, 32, true, 60, 0, 100},
+                {"l", Zone{"a"}, false, 32, true, 60, 0, 100},
+                {"s", Zone{"a"}, false, 8, true, 2, 0, 100}};
   auto go = letGo(f, targets(f, catalog, 0, 0), catalog, 10, 1000);
   ASSERT_TRUE(go);
   EXPECT_EQ(*go, 1U);
-  f.hosts[1].ageS = 30;  // the cloud charges a minute whatever happens
+  f.machines[1].ageS = 30;  // the cloud charges a minute whatever happens
   EXPECT_NE(letGo(f, targets(f, catalog, 0, 0), catalog, 10, 1000), std::optional<std::size_t>(1));
-  f.hosts[1].ageS = 100;
+  f.machines[1].ageS = 100;
   f.firm.used = 40;  // all ordinary machines are needed
   EXPECT_NE(letGo(f, targets(f, catalog, 0, 0), catalog, 10, 1000), std::optional<std::size_t>(1));
 }
@@ -115,13 +115,13 @@
 // kept thousands of cores for minutes after their work had ended.
 TEST(Fleet, EmptiesSeveralBusyMachinesWhenFarTooLarge) {
   Catalog catalog{{"l", {32, 0, 128}, 50, 1, 2.18, 0.61, 20, {Zone{"a"}}}};
-  ShareFleet f;
+  ShardFleet f;
   f.firm.used = 160;
-  FleetHost busy{"l", Zone{"a"}, false, 32, true, -1, 8, 100};
-  f.hosts.assign(30, busy);
-  f.hosts[0].idleS = 5;
-  f.hosts[1].pinned = true;
-  f.hosts[2].usedCores = 1;
+  FleetMachine busy{"l", Zone{"a"}, false, 32, true, -1, 8, 100};
+  f.machines.assign(30, busy);
+  f.machines[0].idleS = 5;
+  f.machines[1].pinned = true;
+  f.machines[2].usedCores = 1;
   auto t = targets(f, catalog, 0, 0);
   auto chosen = toEmpty(f, t, catalog, 60, 4);
   ASSERT_EQ(chosen.size(), 4U);
@@ -131,10 +131,10 @@
   auto all = toEmpty(f, t, catalog, 60, 20);
   EXPECT_GE(coresOf(f) - 32.0 * static_cast<double>(all.size()), t.total);
   // Near the target, and in a small fleet, one at a time, and none while an idle machine can go.
-  f.hosts.resize(12, busy);
-  f.hosts[0].idleS = -1;
+  f.machines.resize(12, busy);
+  f.machines[0].idleS = -1;
   EXPECT_EQ(toEmpty(f, t, catalog, 60, 4).size(), 1U);
-  f.hosts[0].idleS = 5;
+  f.machines[0].idleS = 5;
   EXPECT_TRUE(toEmpty(f, t, catalog, 60, 4).empty());
 }
 
@@ -143,8 +143,8 @@
   d.types = {};
   auto s = parseSettings(d.settingsOf(1), {});
   EXPECT_EQ(s.node.value, "loft-1");
-  EXPECT_EQ(s.homeShare(NodeId{"loft-2"}).value, 2U);
-  EXPECT_EQ(s.shareOfTeam(TeamId{"team-1"}).value, 1U);
+  EXPECT_EQ(s.homeShard(NodeId{"loft-2"}).value, 2U);
+  EXPECT_EQ(s.shardOfTeam(TeamId{"team-1"}).value, 1U);
   // Invariant 6: all of it fits before a cancellation is due.
   EXPECT_LE(inSeconds(s.holdTtl() + s.grace()) + s.leaseS, s.cancelS - 1);
   EXPECT_EQ(s.blindFor(), s.holdTtl() + s.grace());
--- a/tests/unit/recorded_examples_test.cpp
+++ b/tests/unit/recorded_examples_test.cpp
@@ -42,13 +42,13 @@
 }
 
 TEST(Recorded, JobRecords) {
-  wire::JobRecord open{JobStatus::Open, ShareNo{2}, 16, WallTime{1700}, spec(), {}};
+  wire::JobRecord open{JobStatus::Open, ShardId{2}, 16, WallTime{1700}, spec(), {}};
   EXPECT_EQ(wire::encodeJobRecord(open),
             "{\"at\":1700,\"n\":16,\"sh\":2,\"spec\":{\"class\":\"train\",\"due\":900.0,\"each\":[8.0,1.0,64."
             "0],\"every\":30.0,\"expect\":240.0,\"gb\":6.5,\"image\":\"img-07\",\"lend\":true,\"onezone\":"
             "false,\"rank\":2,\"save\":4.0,\"shape\":0,\"spread\":false,\"team\":\"vision\",\"types\":["
             "\"g8\"],\"zone\":\"a\"},\"st\":0}");
-  wire::JobRecord done{JobStatus::Done, ShareNo{2}, 16, WallTime{1700}, {}, {}};
+  wire::JobRecord done{JobStatus::Done, ShardId{2}, 16, WallTime{1700}, {}, {}};
   EXPECT_EQ(wire::encodeJobRecord(done), "{\"n\":16,\"sh\":2,\"st\":1}");
   auto transferred = open;
   transferred.atOnce = 5;
@@ -61,9 +61,9 @@
 }
 
 TEST(Recorded, JobRecordsWithDelegations) {
-  wire::JobRecord open{JobStatus::Open, ShareNo{2}, 16, WallTime{1700}, spec(), {}};
-  open.delegations.push_back({ShareNo{1}, Zone{"a"}, {4, 5, 9}, Attempt{99}, true});
-  open.delegations.push_back({ShareNo{0}, std::nullopt, {7}});
+  wire::JobRecord open{JobStatus::Open, ShardId{2}, 16, WallTime{1700}, spec(), {}};
+  open.delegations.push_back({ShardId{1}, Zone{"a"}, {4, 5, 9}, Attempt{99}, true});
+  open.delegations.push_back({ShardId{0}, std::nullopt, {7}});
   open.doneElsewhere = {0, 1, 3};
   auto text = wire::encodeJobRecord(open);
   EXPECT_NE(text.find("\"done\":[[0,1],[3,3]]"), std::string::npos) << text;
@@ -81,8 +81,8 @@
 
 // A delegation that can't be read must not be taken for none: its tasks would be placed twice.
 TEST(Recorded, JobRecordWithUnreadableDelegationIsRefused) {
-  wire::JobRecord open{JobStatus::Open, ShareNo{2}, 16, WallTime{1700}, spec(), {}};
-  open.delegations.push_back({ShareNo{1}, std::nullopt, {4}});
+  wire::JobRecord open{JobStatus::Open, ShardId{2}, 16, WallTime{1700}, spec(), {}};
+  open.delegations.push_back({ShardId{1}, std::nullopt, {4}});
   auto text = wire::encodeJobRecord(open);
   auto at = text.find("[[4,4]]");
   ASSERT_NE(at, std::string::npos);
@@ -91,15 +91,15 @@
 
 TEST(Recorded, Pages) {
   wire::PageRecord page;
-  page.jobs[JobId{"wk-000412"}] = {{0, 1, 2, 7}, {{4, Attempt{99}, HostId{"host-000231"}}}};
+  page.jobs[JobId{"wk-000412"}] = {{0, 1, 2, 7}, {{4, Attempt{99}, MachineId{"host-000231"}}}};
   EXPECT_EQ(wire::encodePage(page),
             "{\"j\":{\"wk-000412\":{\"d\":[[0,2],[7,7]],\"p\":[[4,99,\"host-000231\"]]}},\"v\":2}");
 }
 
 TEST(Recorded, MachineGroups) {
-  wire::GroupRecord group{ShareNo{1}, Epoch{12}, "g8", Zone{"a"}, true, WallTime{1700}, {}};
-  group.members.push_back({HostId{"host-000231"}, wire::HostPhase::InUse, "10.1.0.232:9000"});
-  group.members.push_back({HostId{"host-000232"}, wire::HostPhase::Returning, ""});
+  wire::GroupRecord group{ShardId{1}, Epoch{12}, "g8", Zone{"a"}, true, WallTime{1700}, {}};
+  group.members.push_back({MachineId{"host-000231"}, wire::MachinePhase::InUse, "10.1.0.232:9000"});
+  group.members.push_back({MachineId{"host-000232"}, wire::MachinePhase::Returning, ""});
   EXPECT_EQ(wire::encodeGroup(group),
             "{\"at\":1700,\"m\":[[\"host-000231\",0,\"10.1.0.232:9000\"],[\"host-000232\",2,\"\"]],\"sh\":1,"
             "\"sp\":true,\"tk\":12,\"ty\":\"g8\",\"v\":2,\"zo\":\"a\"}");
@@ -128,9 +128,9 @@
 }
 
 TEST(Recorded, FramesAboutMachinesAndRoom) {
-  EXPECT_EQ(frameOf(mesh::HostSeen{"{}"}), "0101000000020000000500000002000000000000007b7d");
-  mesh::ShareLoad load{1, 12, {8, 4, 0.5, 0.25, 60, 2, 16, 4, {"g8"}, {"a"}}, {}, {}};
-  load.hosts.push_back({"host-000231", "g8", "a", true, 4, 1.5, true, false, true, false, 61.5});
+  EXPECT_EQ(frameOf(mesh::UnrecordedMachineSeen{"{}"}), "0101000000020000000500000002000000000000007b7d");
+  mesh::ShardLoad load{1, 12, {8, 4, 0.5, 0.25, 60, 2, 16, 4, {"g8"}, {"a"}}, {}, {}};
+  load.machines.push_back({"host-000231", "g8", "a", true, 4, 1.5, true, false, true, false, 61.5});
   EXPECT_EQ(frameOf(load),
             "01010000000200000006000000010000000c0000000000000000000000000020400000000000001040000000000000e0"
             "3f000000000000d03f0000000000004e4000000000000000400000000000003040000000000000104001000000000000"
@@ -138,7 +138,7 @@
             "000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000"
             "00000000000000000000000001000000000000000b00000000000000686f73742d303030323331020000000000000067"
             "38010000000000000061010000000000001040000000000000f83f010001000000000000c04e40");
-  EXPECT_EQ(frameOf(mesh::HostWish{1, "host-000231", mesh::HostWish::Move, 2}),
+  EXPECT_EQ(frameOf(mesh::MachineDirective{1, "host-000231", mesh::MachineDirective::Move, 2}),
             "01010000000200000007000000010000000b00000000000000686f73742d3030303233310100000002000000");
   EXPECT_EQ(frameOf(mesh::RoomWanted{1, {"wk-000412"}}),
             "010100000002000000090000000100000001000000000000000900000000000000776b2d303030343132");
--- a/tests/unit/scale_out_test.cpp
+++ b/tests/unit/scale_out_test.cpp
@@ -26,15 +26,15 @@
   Directory directory;
   Leadership leadership{true, io.now()};
   FleetContext context{settings, io, silentLog(), store, directory, leadership};
-  MachineRecords records{context, [](const HostId&) { return false; }};
+  MachineRecords records{context, [](const MachineId&) { return false; }};
   Rentals rentals{context, records, 1};
   policy::Wish wish{{"m", settings.zones[0], false}, 2, 16};
 
   RentalsTest() { directory.leader = KnownOwner{{settings.node, Epoch{7}}, Version{70}}; }
-  std::size_t ordered(ShareNo share) const {
-    policy::ShareFleet fleet;
-    rentals.addOrdered(share, fleet);
-    return fleet.hosts.size();
+  std::size_t ordered(ShardId shard) const {
+    policy::ShardFleet fleet;
+    rentals.addOrdered(shard, fleet);
+    return fleet.machines.size();
   }
 };
 
@@ -43,15 +43,15 @@
 }  // namespace
 
 TEST_F(RentalsTest, AnOrderCountsForItsShareUntilItIsAnswered) {
-  rentals.start(ShareNo{1}, wish);
-  EXPECT_EQ(ordered(ShareNo{1}), 1U);
-  EXPECT_EQ(ordered(ShareNo{0}), 0U);
+  rentals.start(ShardId{1}, wish);
+  EXPECT_EQ(ordered(ShardId{1}), 1U);
+  EXPECT_EQ(ordered(ShardId{0}), 0U);
   io.answer(0, 400, "{}");
-  EXPECT_EQ(ordered(ShareNo{1}), 0U);
+  EXPECT_EQ(ordered(ShardId{1}), 0U);
 }
 
 TEST_F(RentalsTest, WithoutAnAnswerTheSameClaimIsSentAgain) {
-  rentals.start(ShareNo{1}, wish);
+  rentals.start(ShardId{1}, wish);
   auto done = io.open.at(0);
   done({HttpResult::Outcome::Unknown, {}});
   io.clock.run(io.clock.now() + 2'000);
@@ -60,12 +60,12 @@
 }
 
 TEST_F(RentalsTest, AnOfferWithoutCapacityIsRefusedForEverLonger) {
-  rentals.start(ShareNo{1}, wish);
+  rentals.start(ShardId{1}, wish);
   io.answer(0, 503, kNoCapacity);
   EXPECT_EQ(rentals.refused().count(wish.offer), 1U);
   io.clock.run(io.clock.now() + 9'100);
   EXPECT_TRUE(rentals.refused().empty());
-  rentals.start(ShareNo{1}, wish);
+  rentals.start(ShardId{1}, wish);
   EXPECT_NE(io.claim(0), io.claim(1));
   io.answer(1, 503, kNoCapacity);
   io.clock.run(io.clock.now() + 15'000);
--- a/tests/unit/shard_state_test.cpp
+++ b/tests/unit/shard_state_test.cpp
@@ -1,4 +1,4 @@
-// What a share's pages say, as the limits of the state service become smaller.
+// What a shard's pages say, as the limits of the state service become smaller.
 #include "scheduler/shard_state.h"
 
 #include <gtest/gtest.h>
@@ -30,22 +30,22 @@
   auto settings = parseSettings(d.settingsOf(0), {});
   Books books(settings);
   MachineType type{"m", {100, 0, 100}, 50, 1, 1, 0.4, 5, {Zone{"a"}}};
-  KnownHost record;
+  MachineEntry record;
   record.record.type = "m";
   record.record.zone = Zone{"a"};
-  auto& host = books.addHost(HostId{"host-" + std::string(180, '1')}, record, &type, Time{});
+  auto& machine = books.addMachine(MachineId{"host-" + std::string(180, '1')}, record, &type, Time{});
   auto& job = books.addJob(JobId{"wk-1"}, knownJob("wk-1"));
   constexpr PageNo kLarge = 0;
   // Few enough facts for the page to count as half empty, and each of them long.
   std::deque<TaskId> standing;
   for (std::uint32_t i = 0; i < 6; ++i) {
-    auto& placement = books.place(job, i, host, Attempt{UINT64_MAX}, Time{});
+    auto& placement = books.place(job, i, machine, Attempt{UINT64_MAX}, Time{});
     Books::commit(placement);
     books.restored({job.id, i}, kLarge);
     standing.push_back({job.id, i});
   }
   // The new fact is short: it would fit beside those that still do.
-  auto& other = books.addHost(HostId{"host-2"}, record, &type, Time{});
+  auto& other = books.addMachine(MachineId{"host-2"}, record, &type, Time{});
   std::deque<TaskId> fresh{{job.id, 20}};
   books.place(job, 20, other, Attempt{1}, Time{});
   std::set<PageNo> taken;
--- a/tests/unit/wire_test.cpp
+++ b/tests/unit/wire_test.cpp
@@ -84,7 +84,7 @@
   spec.types = std::vector<std::string>{"m"};
   spec.zone = Zone{"a"};
   spec.dueS = 90;
-  JobRecord r{JobStatus::Open, ShareNo{2}, spec.tasks, WallTime{1234}, spec};
+  JobRecord r{JobStatus::Open, ShardId{2}, spec.tasks, WallTime{1234}, spec};
   auto back = parseJobRecord(spec.id, encodeJobRecord(r));
   ASSERT_TRUE(back && back->spec);
   EXPECT_EQ(encodeJobRecord(*back), encodeJobRecord(r));
@@ -93,7 +93,7 @@
   r.status = JobStatus::Aborted;
   back = parseJobRecord(spec.id, encodeJobRecord(r));
   EXPECT_TRUE(back && back->spec);
-  JobRecord done{JobStatus::Done, ShareNo{2}, 16, {}, {}};
+  JobRecord done{JobStatus::Done, ShardId{2}, 16, {}, {}};
   back = parseJobRecord(spec.id, encodeJobRecord(done));
   ASSERT_TRUE(back);
   EXPECT_EQ(back->status, JobStatus::Done);
@@ -106,7 +106,7 @@
   auto& facts = r.jobs[JobId{"wk-000412"}];
   for (std::uint32_t i = 0; i < 60; ++i)
     if (i != 30) facts.done.push_back(i);
-  facts.placed.push_back({30, Attempt{(std::uint64_t{7} << 24) + 9}, HostId{"host-000001"}});
+  facts.placed.push_back({30, Attempt{(std::uint64_t{7} << 24) + 9}, MachineId{"host-000001"}});
   r.jobs[JobId{"wk-000413"}].done = {7};
   auto text = encodePage(r);
   EXPECT_LT(text.size(), 130U);
@@ -127,8 +127,8 @@
   s.tasks = 4000;
   s.each = {8, 1, 64};
   s.oneZone = true;
-  wire::JobRecord aborted{JobStatus::Aborted, ShareNo{2}, s.tasks, WallTime{1700}, s, {}};
-  aborted.delegations.push_back({ShareNo{1}, std::nullopt, {}});
+  wire::JobRecord aborted{JobStatus::Aborted, ShardId{2}, s.tasks, WallTime{1700}, s, {}};
+  aborted.delegations.push_back({ShardId{1}, std::nullopt, {}});
   for (std::uint32_t i = 1; i < s.tasks; i += 2) aborted.delegations[0].tasks.push_back(i);
   auto value = wire::encodeWithin(aborted, 2048);
   EXPECT_LE(value.size(), 2048U);
@@ -165,7 +165,7 @@
       f.done.push_back(static_cast<std::uint32_t>(rng() % 100'000));
       weight += weightOfDone(f.done.back());
       f.placed.push_back(
-          {static_cast<std::uint32_t>(rng() % 100'000), Attempt{rng()}, HostId{"host-000001"}});
+          {static_cast<std::uint32_t>(rng() % 100'000), Attempt{rng()}, MachineId{"host-000001"}});
       weight += weightOf(f.placed.back());
     }
   }
@@ -174,9 +174,9 @@
 
 TEST(Records, GroupFitsTheValueThatItsSizeWasChosenFor) {
   for (std::size_t bytes : {1024U, 4096U, 16384U}) {
-    GroupRecord g{ShareNo{31}, Epoch{999'999}, "a-machine-type", Zone{"a-zone-name"}, true, WallTime{1}, {}};
+    GroupRecord g{ShardId{31}, Epoch{999'999}, "a-machine-type", Zone{"a-zone-name"}, true, WallTime{1}, {}};
     for (std::size_t i = 0; i < membersIn(bytes); ++i)
-      g.members.push_back({HostId{"host-000001"}, HostPhase::Returning, "10.255.255.255:65535"});
+      g.members.push_back({MachineId{"host-000001"}, MachinePhase::Returning, "10.255.255.255:65535"});
     auto text = encodeGroup(g);
     EXPECT_LE(text.size(), bytes);
     auto back = parseGroup(text);
--- a/tests/world/cloud.cpp
+++ b/tests/world/cloud.cpp
@@ -33,14 +33,14 @@
 Cloud::Rented& Cloud::create(const std::string& type, const std::string& zone, bool spot) {
   char id[32];
   std::snprintf(id, sizeof id, "host-%06u", ++count_);
-  auto& r = hosts_[id];
+  auto& r = machines_[id];
   r.machine = {id, type, zone, spot};
   r.since = clock_.now();
   return r;
 }
 
 void Cloud::up(const std::string& id) {
-  auto& r = hosts_.at(id);
+  auto& r = machines_.at(id);
   if (r.goneAt >= 0) return;
   r.upAt = clock_.now();
   auto t =
@@ -54,70 +54,70 @@
   up(id);
 }
 
-void Cloud::die(const std::string& host) {
-  auto& r = hosts_.at(host);
+void Cloud::die(const std::string& machine) {
+  auto& r = machines_.at(machine);
   if (r.worker) r.worker->die();
-  clock_.after(30'000, [this, host] {
-    auto& gone = hosts_.at(host);
+  clock_.after(30'000, [this, machine] {
+    auto& gone = machines_.at(machine);
     if (gone.goneAt < 0) gone.failedAt = clock_.now();
   });
 }
 
-void Cloud::reclaim(const std::string& host, Ms notice) {
-  auto& r = hosts_.at(host);
+void Cloud::reclaim(const std::string& machine, Ms notice) {
+  auto& r = machines_.at(machine);
   if (notice > 0 && r.worker) r.worker->notice(clock_.now() + notice);
-  clock_.after(notice, [this, host] {
-    auto& gone = hosts_.at(host);
+  clock_.after(notice, [this, machine] {
+    auto& gone = machines_.at(machine);
     if (gone.worker) gone.worker->die();
     if (gone.goneAt < 0) gone.goneAt = clock_.now();
   });
 }
 
-void Cloud::reboot(const std::string& host, Ms after) {
-  if (auto& w = hosts_.at(host).worker) w->die();
-  clock_.after(after, [this, host] { up(host); });
+void Cloud::reboot(const std::string& machine, Ms after) {
+  if (auto& w = machines_.at(machine).worker) w->die();
+  clock_.after(after, [this, machine] { up(machine); });
 }
 
-std::string Cloud::zoneOf(const std::string& host) const {
-  auto it = hosts_.find(host);
-  return it == hosts_.end() ? "" : it->second.machine.zone;
+std::string Cloud::zoneOf(const std::string& machine) const {
+  auto it = machines_.find(machine);
+  return it == machines_.end() ? "" : it->second.machine.zone;
 }
 
 std::vector<std::string> Cloud::allUp() const {
   std::vector<std::string> out;
-  for (const auto& [id, r] : hosts_)
+  for (const auto& [id, r] : machines_)
     if (r.worker && r.goneAt < 0 && r.failedAt < 0) out.push_back(id);
   return out;
 }
 
 std::vector<Room> Cloud::rooms() const {
   std::vector<Room> out;
-  for (const auto& [id, r] : hosts_)
+  for (const auto& [id, r] : machines_)
     if (r.worker && r.worker->alive() && r.goneAt < 0 && r.failedAt < 0) out.push_back(r.worker->room());
   return out;
 }
 
 std::vector<std::string> Cloud::inZone(const std::string& zone) const {
   std::vector<std::string> out;
-  for (const auto& [id, r] : hosts_)
+  for (const auto& [id, r] : machines_)
     if (r.machine.zone == zone && r.worker && r.goneAt < 0) out.push_back(id);
   return out;
 }
 
-Worker* Cloud::worker(const std::string& host) {
-  auto it = hosts_.find(host);
-  return it == hosts_.end() ? nullptr : it->second.worker.get();
+Worker* Cloud::worker(const std::string& machine) {
+  auto it = machines_.find(machine);
+  return it == machines_.end() ? nullptr : it->second.worker.get();
 }
 
 Worker* Cloud::nth(unsigned n) {
-  for (auto& [_, r] : hosts_)
+  for (auto& [_, r] : machines_)
     if (r.worker && r.goneAt < 0 && r.failedAt < 0 && n-- == 0) return r.worker.get();
   return nullptr;
 }
 
 std::size_t Cloud::held() const {
   return static_cast<std::size_t>(
-      std::count_if(hosts_.begin(), hosts_.end(), [](const auto& h) { return h.second.goneAt < 0; }));
+      std::count_if(machines_.begin(), machines_.end(), [](const auto& h) { return h.second.goneAt < 0; }));
 }
 
 HttpResponse Cloud::rent(const std::string& body) {
@@ -129,7 +129,7 @@
   bool spot = doc["lendable"].get<bool>();
   auto t = std::find_if(types_.begin(), types_.end(), [&](const auto& x) { return x.name == type; });
   if (t == types_.end()) return {400, "{}", false, 0};
-  auto have = std::count_if(hosts_.begin(), hosts_.end(), [&](const auto& h) {
+  auto have = std::count_if(machines_.begin(), machines_.end(), [&](const auto& h) {
     const auto& m = h.second.machine;
     return h.second.goneAt < 0 && m.type == type && m.zone == zone && m.spot == spot;
   });
@@ -152,8 +152,8 @@
 HttpResponse Cloud::giveBack(const std::string& body) {
   auto doc = Json::parse(body);
   for (const auto& name : doc["hosts"]) {
-    auto it = hosts_.find(name.get<std::string>());
-    if (it == hosts_.end()) continue;
+    auto it = machines_.find(name.get<std::string>());
+    if (it == machines_.end()) continue;
     if (it->second.worker) it->second.worker->die();
     if (it->second.goneAt < 0) it->second.goneAt = clock_.now();
   }
@@ -168,7 +168,7 @@
   auto limit = std::stoul(q.count("limit") ? q["limit"] : "500");
   Json out = Json::array();
   bool truncated = false;
-  for (const auto& [id, h] : hosts_) {
+  for (const auto& [id, h] : machines_) {
     if (q.count("since") && id <= q["since"]) continue;
     if (h.since > then || (h.goneAt >= 0 && h.goneAt <= then)) continue;
     if (out.size() >= limit) {
--- a/tests/world/cloud.h
+++ b/tests/world/cloud.h
@@ -116,15 +116,15 @@
   void outage(Ms until) { outageUntil_ = until; }
   void noBoot(Ms until) { noBootUntil_ = until; }
   void noCapacity(Ms until) { noCapacityUntil_ = until; }
-  void die(const std::string& host);
-  void reclaim(const std::string& host, Ms notice);
+  void die(const std::string& machine);
+  void reclaim(const std::string& machine, Ms notice);
   // Its worker ends with all it has, and another one begins from the start.
-  void reboot(const std::string& host, Ms after);
-  std::string zoneOf(const std::string& host) const;
+  void reboot(const std::string& machine, Ms after);
+  std::string zoneOf(const std::string& machine) const;
   std::vector<std::string> allUp() const;
   std::vector<Room> rooms() const;
   std::vector<std::string> inZone(const std::string& zone) const;
-  Worker* worker(const std::string& host);
+  Worker* worker(const std::string& machine);
   // The n-th machine that is up, in order of names; null if there are fewer.
   Worker* nth(unsigned n);
   const GangCounts& gangs() const { return gangs_.counts(); }
@@ -155,7 +155,7 @@
   std::vector<CloudType> types_;
   unsigned controllers_;
   GangBoard gangs_;
-  std::map<std::string, Rented> hosts_;
+  std::map<std::string, Rented> machines_;
   std::map<std::string, HttpResponse> claims_;
   unsigned count_ = 0;
   std::size_t rented_ = 0;
--- a/tests/world/old_reports.cpp
+++ b/tests/world/old_reports.cpp
@@ -9,9 +9,9 @@
 constexpr double kWithinMs = 1500;  // of the moment at which the new leader's record is written
 }  // namespace
 
-void World::keepReports(const std::string& hosts, Ms until) {
-  net.overhear([this, hosts, until](const std::string& from, const HttpRequest& r) {
-    if (clock.now() < until && r.target == "/checkin" && Net::matches(hosts, from))
+void World::keepReports(const std::string& machines, Ms until) {
+  net.overhear([this, machines, until](const std::string& from, const HttpRequest& r) {
+    if (clock.now() < until && r.target == "/checkin" && Net::matches(machines, from))
       keptReports_[from].push_back({clock.now(), r});
   });
   store.whenLeaderBegins([this] { deliverOldReports(); });
@@ -20,7 +20,7 @@
 // Of each machine one of its reports, the same to every controller, each copy at its own moment.
 void World::deliverOldReports() {
   for (const auto& entry : keptReports_) {
-    const auto& host = entry.first;
+    const auto& machine = entry.first;
     const auto& kept = entry.second;
     auto old = std::count_if(kept.begin(), kept.end(),
                              [&](const KeptReport& k) { return clock.now() - k.sentAt >= kOld; });
@@ -29,7 +29,7 @@
     for (const auto& node : settings.nodes) {
       auto to = "node" + std::to_string(&node - settings.nodes.data());
       clock.after(static_cast<Ms>(clock.uniform(0, kWithinMs)),
-                  [this, host, to, report] { net.deliverCopy(host, to, report); });
+                  [this, machine, to, report] { net.deliverCopy(machine, to, report); });
       ++oldReports_;
     }
   }
--- a/tests/world/world.h
+++ b/tests/world/world.h
@@ -103,7 +103,7 @@
   void closeLooks(double cancelled, Ms until) { closeLooks_ = {cancelled, until}; }
   // Until then reports of the machines that match are kept (old_reports.cpp). Whenever a controller begins to
   // lead, one old report of each machine reaches every controller.
-  void keepReports(const std::string& hosts, Ms until);
+  void keepReports(const std::string& machines, Ms until);
   std::size_t oldReports() const { return oldReports_; }
   // A job that the checker takes for accepted though no controller has heard of it.
   void plantUnsent(const TaskNature& nature);
