--- a/apps/cherryloft/main.cpp
+++ b/apps/cherryloft/main.cpp
@@ -58,12 +58,12 @@
   try {
     auto settings = readSettings(config, tuning);
     if (check) {
-      std::cout << "settings of " << settings.node.value << " are good\n";
+      std::cout << "settings of " << settings.controller.value << " are good\n";
       return 0;
     }
     std::signal(SIGPIPE, SIG_IGN);
     const char* level = std::getenv("LOG_LEVEL");
-    return runDaemon(settings, makeLog(settings.node.value, level ? level : "error"));
+    return runDaemon(settings, makeLog(settings.controller.value, level ? level : "error"));
   } catch (const std::exception& e) {
     std::cerr << "cherryloft: " << e.what() << "\n";
     return 2;
--- a/src/autoscaler/autoscaler.cpp
+++ b/src/autoscaler/autoscaler.cpp
@@ -11,15 +11,15 @@
 
 }  // namespace
 
-Fleet::Fleet(const Settings& settings, Io& io, Log log, StateStore& store, const Directory& dir,
-             std::uint64_t seed, Outlet out)
+Fleet::Fleet(const Settings& settings, Runtime& runtime, Log log, KeyValueStore& store,
+             const ClusterView& view, std::uint64_t seed, Callbacks out)
     : settings_(settings),
-      io_(io),
+      runtime_(runtime),
       log_(log),
-      dir_(dir),
-      out_(std::move(out)),
-      context_{settings, io, std::move(log), store, dir, leadership_},
-      calls_(settings.cloudRps, io.now()),
+      view_(view),
+      callbacks_(std::move(out)),
+      context_{settings, runtime, std::move(log), store, view, leadership_},
+      calls_(settings.cloudRps, runtime.now()),
       catalog_(context_),
       prices_(catalog_.prices()),
       records_(context_, [this](const MachineId& id) { return returns_.returned(id); }),
@@ -33,7 +33,7 @@
 void Fleet::leading(bool yes) {
   leadership_.active = yes;
   if (!yes) return;
-  leadership_.since = moveAt_ = io_.now();
+  leadership_.since = moveAt_ = runtime_.now();
   loads_.clear();
   list_.restart();
   returns_.restart();
@@ -45,13 +45,13 @@
 void Fleet::load(const mesh::ShardLoad& l) {
   auto& s = loads_[ShardId{l.shard}];
   if (s.load.epoch > l.epoch) return;
-  s = {l, io_.now()};
+  s = {l, runtime_.now()};
 }
 
 void Fleet::tick() {
-  io_.after(kTick, [this] { tick(); });
-  if (!leadership_.active || !out_.entitled()) return;
-  calls_.refill(io_.now());
+  runtime_.after(kTick, [this] { tick(); });
+  if (!leadership_.active || !callbacks_.entitled()) return;
+  calls_.refill(runtime_.now());
   catalog_.useKept();
   catalog_.refresh(calls_);
   list_.refresh(calls_);
@@ -59,13 +59,13 @@
   list_.reviewRecords();
   returns_.markRequested();
   if (records_.current()) adoption_.dealOut();
-  if (!prices_.empty() && io_.now() - leadership_.since >= kSettle) plan();
+  if (!prices_.empty() && runtime_.now() - leadership_.since >= kSettle) plan();
 }
 
 policy::ShardFleet Fleet::fleetOf(ShardId k) const {
   auto state = loads_.find(k);
   const auto* load = state == loads_.end() ? nullptr : &state->second.load;
-  auto fleet = describeShardFleet(k, load, dir_, prices_, io_.wall());
+  auto fleet = describeShardFleet(k, load, view_, prices_, runtime_.wall());
   rentals_.addOrdered(k, fleet);
   return fleet;
 }
--- a/src/autoscaler/autoscaler.h
+++ b/src/autoscaler/autoscaler.h
@@ -16,13 +16,13 @@
 
 class Fleet {
  public:
-  struct Outlet {
+  struct Callbacks {
     std::function<void(const mesh::MachineDirective&)> wish;  // to the owner of the shard
     // Whether our hold is good this very moment: leadership was judged by a clock read before.
     std::function<bool()> entitled;
   };
-  Fleet(const Settings& settings, Io& io, Log log, StateStore& store, const Directory& dir,
-        std::uint64_t seed, Outlet out);
+  Fleet(const Settings& settings, Runtime& runtime, Log log, KeyValueStore& store, const ClusterView& view,
+        std::uint64_t seed, Callbacks out);
   void start();
   void leading(bool yes);
   void load(const mesh::ShardLoad& l);
@@ -53,10 +53,10 @@
   ShardGaps shardGaps() const;
 
   const Settings& settings_;
-  Io& io_;
+  Runtime& runtime_;
   Log log_;
-  const Directory& dir_;
-  Outlet out_;
+  const ClusterView& view_;
+  Callbacks callbacks_;
   Leadership leadership_;
   FleetContext context_;
   CallBudget calls_;
--- a/src/autoscaler/autoscaler_context.h
+++ b/src/autoscaler/autoscaler_context.h
@@ -59,14 +59,14 @@
 // Everything in it outlives the parts.
 struct FleetContext {
   const Settings& settings;
-  Io& io;
+  Runtime& runtime;
   Log log;
-  StateStore& store;
-  const Directory& directory;
+  KeyValueStore& store;
+  const ClusterView& clusterView;
   const Leadership& leadership;
 
   void callCloud(HttpRequest request, HttpDone done) const {
-    io.call(settings.cloud, std::move(request), kCloudDeadline, std::move(done));
+    runtime.call(settings.cloud, std::move(request), kCloudDeadline, std::move(done));
   }
 };
 
--- a/src/autoscaler/cloud_catalog.cpp
+++ b/src/autoscaler/cloud_catalog.cpp
@@ -16,11 +16,11 @@
 }  // namespace
 
 void CloudCatalog::useKept() {
-  if (prices_.empty()) prices_ = context_.directory.catalog;
+  if (prices_.empty()) prices_ = context_.clusterView.catalog;
 }
 
 void CloudCatalog::refresh(CallBudget& calls) {
-  bool due = refreshedAt_ == Time{} || context_.io.now() - refreshedAt_ >= kRefreshEvery;
+  bool due = refreshedAt_ == Time{} || context_.runtime.now() - refreshedAt_ >= kRefreshEvery;
   if (!fetching_ && due && calls.tryTake()) fetch();
 }
 
@@ -32,7 +32,7 @@
 void CloudCatalog::fetched(const HttpResult& result) {
   fetching_ = false;
   auto fresh = result.answered(200) ? wire::parseCatalog(result.response.body) : std::nullopt;
-  auto now = context_.io.now();
+  auto now = context_.runtime.now();
   refreshedAt_ = fresh ? now : now - kRefreshEvery + kRetryAfter;
   if (!fresh) return;
   prices_ = *fresh;
@@ -41,9 +41,9 @@
 
 // Kept so that a cloud outage does not stop a restarted controller from deciding.
 void CloudCatalog::keep(const Catalog& fresh) {
-  const auto& directory = context_.directory;
-  bool same = !directory.catalog.empty() &&
-              encodeWithoutSpotPrices(directory.catalog) == encodeWithoutSpotPrices(fresh);
+  const auto& clusterView = context_.clusterView;
+  bool same = !clusterView.catalog.empty() &&
+              encodeWithoutSpotPrices(clusterView.catalog) == encodeWithoutSpotPrices(fresh);
   if (same) return;
   auto value = wire::encodeCatalog(fresh);
   if (value.size() > context_.settings.valueBytes) {
@@ -51,7 +51,7 @@
     return;
   }
   wire::Transaction transaction;
-  transaction.when[keys::kCatalog] = directory.catalogVersion;
+  transaction.when[keys::kCatalog] = clusterView.catalogVersion;
   transaction.apply.push_back({keys::kCatalog, value, {}});
   context_.store.txn(Urgency::Control, transaction, kKeepDeadline, [this](const TxnResult& result) {
     if (!result.ok()) refreshedAt_ = Time{};
--- a/src/autoscaler/machine_adoption.cpp
+++ b/src/autoscaler/machine_adoption.cpp
@@ -43,12 +43,12 @@
 
 void MachineAdoption::adopt(const MachineId& id, wire::MachineRecord record) {
   if (records_.pending(id)) return;
-  if (waiting_.empty()) dealAt_ = context_.io.now() + kDealTogether;
+  if (waiting_.empty()) dealAt_ = context_.runtime.now() + kDealTogether;
   waiting_.emplace(id, std::move(record));
 }
 
 bool MachineAdoption::unknown(const MachineId& id) const {
-  return context_.directory.machines.count(id) == 0 && !returns_.returned(id);
+  return context_.clusterView.machines.count(id) == 0 && !returns_.returned(id);
 }
 
 // Its report may be a late copy, and the machine gone: it is asked.
@@ -62,16 +62,16 @@
   } catch (const SettingsError&) {
     return;
   }
-  context_.io.call(address, {"GET", "/show", "", false}, kAskDeadline,
-                   [this, id = report.machine](const HttpResult& result) { asked(id, result); });
+  context_.runtime.call(address, {"GET", "/show", "", false}, kAskDeadline,
+                        [this, id = report.machine](const HttpResult& result) { asked(id, result); });
 }
 
 void MachineAdoption::asked(const MachineId& id, const HttpResult& result) {
   auto report = result.answered(200) ? wire::parseReport(result.response.body) : std::nullopt;
-  context_.io.after(kAskAgain, [this, id] { asking_.erase(id); });
+  context_.runtime.after(kAskAgain, [this, id] { asking_.erase(id); });
   if (!context_.leadership.active || !report || report->machine != id || !unknown(id)) return;
   adopt(id, {ShardId{}, Epoch{}, wire::MachinePhase::InUse, report->type, report->zone, report->spot,
-             report->address, context_.io.wall()});
+             report->address, context_.runtime.wall()});
 }
 
 // The small ones first, so that each shard has some of each size: services settle on the smallest.
@@ -89,7 +89,7 @@
 }
 
 void MachineAdoption::dealOut() {
-  if (waiting_.empty() || context_.io.now() < dealAt_) return;
+  if (waiting_.empty() || context_.runtime.now() < dealAt_) return;
   auto order = smallestFirst();
   auto waiting = std::exchange(waiting_, {});
   auto gaps = findGaps_();
@@ -102,7 +102,8 @@
     gap.cores -= type ? type->size.cores : 1;
     ++gap.machinesOfType[record.type];
     records_.markPending(id);
-    wire::GroupRecord fresh{shard, Epoch{}, record.type, record.zone, record.spot, context_.io.wall(), {}};
+    wire::GroupRecord fresh{shard, Epoch{}, record.type, record.zone, record.spot, context_.runtime.wall(),
+                            {}};
     auto& group = groups.try_emplace({shard, record.type, record.zone, record.spot}, fresh).first->second;
     group.members.push_back({id, wire::MachinePhase::InUse, record.address});
   }
--- a/src/autoscaler/machine_inventory.cpp
+++ b/src/autoscaler/machine_inventory.cpp
@@ -15,13 +15,13 @@
 }  // namespace
 
 void MachineList::refresh(CallBudget& calls) {
-  bool due = askedAt_ == Time{} || context_.io.now() - askedAt_ >= kRefreshEvery;
+  bool due = askedAt_ == Time{} || context_.runtime.now() - askedAt_ >= kRefreshEvery;
   if (!fetching_ && due && calls.tryTake()) fetchFrom("", std::make_shared<Machines>());
 }
 
 void MachineList::fetchFrom(const std::string& since, const std::shared_ptr<Machines>& machines) {
   fetching_ = true;
-  askedAt_ = context_.io.now();
+  askedAt_ = context_.runtime.now();
   std::string path = "/hosts?limit=500";
   if (!since.empty()) path += "&since=" + since;
   context_.callCloud({"GET", path, "", false}, [this, machines](const HttpResult& result) {
@@ -42,7 +42,7 @@
   listedAt_ = askedAt_;
   for (const auto& machine : machines) {
     seen_.try_emplace(machine.id, Seen{askedAt_, askedAt_}).first->second.last = askedAt_;
-    if (context_.directory.machines.count(machine.id) == 0)
+    if (context_.clusterView.machines.count(machine.id) == 0)
       reviewUnrecorded(machine);
     else
       reviewRecorded(machine);
@@ -51,15 +51,15 @@
 
 // Rented by a leader that did not live to note it, or there from the start.
 void MachineList::reviewUnrecorded(const wire::ListedMachine& machine) {
-  bool settled = context_.io.now() - context_.leadership.since >= kSettle;
+  bool settled = context_.runtime.now() - context_.leadership.since >= kSettle;
   if (machine.state == wire::ListedMachine::State::Failed || returns_.returned(machine.id) || !settled)
     return;
   adoption_.adopt(machine.id, {ShardId{}, Epoch{}, wire::MachinePhase::InUse, machine.type, machine.zone,
-                               machine.spot, machine.address, context_.io.wall()});
+                               machine.spot, machine.address, context_.runtime.wall()});
 }
 
 void MachineList::reviewRecorded(const wire::ListedMachine& machine) {
-  const auto& record = context_.directory.machines.at(machine.id).record;
+  const auto& record = context_.clusterView.machines.at(machine.id).record;
   if (record.phase == wire::MachinePhase::Returning) return;
   if (machine.state == wire::ListedMachine::State::Failed) returns_.request(machine.id, "failed");
   const auto* type = findType(catalog_.prices(), machine.type);
@@ -77,9 +77,9 @@
 // machine once listed stays listed until it is gone: one that was listed for longer than that is gone for
 // sure, and of the others one waits until no list can be older than the first that named it.
 void MachineList::reviewNoLongerListed() {
-  auto now = context_.io.now();
+  auto now = context_.runtime.now();
   double lagS = context_.settings.listLagS;
-  const auto& machines = context_.directory.machines;
+  const auto& machines = context_.clusterView.machines;
   for (auto it = seen_.begin(); it != seen_.end();) {
     const auto& [id, seen] = *it;
     auto known = machines.find(id);
@@ -96,10 +96,10 @@
 
 // Records of machines that were gone before any list named them.
 void MachineList::reviewNeverListed() {
-  auto listAgeS = inSeconds(context_.io.now() - listedAt_);
-  for (const auto& [id, machine] : context_.directory.machines) {
+  auto listAgeS = inSeconds(context_.runtime.now() - listedAt_);
+  for (const auto& [id, machine] : context_.clusterView.machines) {
     if (machine.record.phase != wire::MachinePhase::InUse || seen_.count(id) > 0) continue;
-    auto ageMs = context_.io.wall().value - machine.record.since.value;
+    auto ageMs = context_.runtime.wall().value - machine.record.since.value;
     double ageAtListS = static_cast<double>(ageMs) / kMsPerSecond - listAgeS;
     if (ageAtListS > 4 * context_.settings.listLagS + kNeverListedPlusS)
       returns_.request(id, "was never listed");
--- a/src/autoscaler/machine_records.cpp
+++ b/src/autoscaler/machine_records.cpp
@@ -33,7 +33,7 @@
 
 void MachineRecords::caughtUp(bool ok) {
   if (!ok) {
-    context_.io.after(kCatchUpAgain, [this, since = context_.leadership.since] {
+    context_.runtime.after(kCatchUpAgain, [this, since = context_.leadership.since] {
       if (since == context_.leadership.since) catchUp();
     });
     return;
@@ -45,7 +45,7 @@
 }
 
 void MachineRecords::create(const wire::GroupRecord& machines) {
-  if (!context_.leadership.active || !context_.directory.leader) return;
+  if (!context_.leadership.active || !context_.clusterView.leader) return;
   auto most = wire::membersIn(context_.settings.valueBytes);
   for (std::size_t from = 0; from < machines.members.size(); from += most) {
     auto to = std::min(from + most, machines.members.size());
@@ -62,12 +62,12 @@
 // conditioned on its version, and none is carried out after a newer one. It could put machines into two
 // groups, or bring back what was returned.
 void MachineRecords::sendNext() {
-  const auto& leader = context_.directory.leader;
+  const auto& leader = context_.clusterView.leader;
   if (!context_.leadership.active || !leader || !current_ || !sent_.empty()) return;
   const auto& settings = context_.settings;
   wire::Transaction transaction;
   transaction.when[keys::kLeader] = leader->version;
-  transaction.when[keys::kGroups] = context_.directory.groupsVersion;
+  transaction.when[keys::kGroups] = context_.clusterView.groupsVersion;
   transaction.apply.push_back({keys::kGroups, wire::encodeCounter(leader->record.epoch), {}});
   std::size_t weight = 0;
   while (!waiting_.empty() && transaction.apply.size() < settings.txnOps &&
@@ -88,7 +88,7 @@
 // Leaves the machines that have no record yet, and notes them as sent.
 void MachineRecords::dropKnown(wire::GroupRecord& group) {
   std::erase_if(group.members, [&](const auto& member) {
-    bool known = context_.directory.machines.count(member.id) > 0 || wasReturned_(member.id);
+    bool known = context_.clusterView.machines.count(member.id) > 0 || wasReturned_(member.id);
     if (known) pending_.erase(member.id);
     return known || !sent_.insert(member.id).second;
   });
@@ -105,7 +105,7 @@
 void MachineRecords::sent(const wire::Transaction& transaction, const TxnResult& result) {
   using Outcome = TxnResult::Outcome;
   if (result.outcome == Outcome::Unknown || result.outcome == Outcome::Refused) {
-    context_.io.after(kSendAgain, [this, transaction, since = context_.leadership.since] {
+    context_.runtime.after(kSendAgain, [this, transaction, since = context_.leadership.since] {
       if (context_.leadership.continues(since)) send(transaction);
     });
     return;
--- a/src/autoscaler/planning.cpp
+++ b/src/autoscaler/planning.cpp
@@ -18,7 +18,7 @@
 }  // namespace
 
 void Fleet::plan() {
-  auto now = io_.now();
+  auto now = runtime_.now();
   std::map<ShardId, policy::ShardFleet> fleets;
   std::map<ShardId, policy::Targets> targets;
   for (std::uint32_t k = 0; k < settings_.size(); ++k) {
@@ -45,7 +45,7 @@
 // A shard with work and no machine at all, while the cloud has none to give: the largest shard cedes one, so
 // that none of its teams starves.
 void Fleet::cede(const std::map<ShardId, policy::ShardFleet>& fleets) {
-  auto now = io_.now();
+  auto now = runtime_.now();
   for (const auto& [to, need] : fleets) {
     bool has =
         std::any_of(need.machines.begin(), need.machines.end(), [](const auto& h) { return h.cores > 0; });
@@ -58,7 +58,7 @@
       if (!h.usable || (h.spot && need.lendable.waiting <= 0)) continue;
       cededAt_[to] = now;
       log_->info("share {} cedes {} to share {}", rich->first.value, h.machine, to.value);
-      out_.wish({rich->first.value, h.machine, mesh::MachineDirective::Cede, to.value});
+      callbacks_.wish({rich->first.value, h.machine, mesh::MachineDirective::Cede, to.value});
       break;
     }
   }
@@ -108,7 +108,7 @@
 }
 
 void Fleet::planShard(ShardId k, const policy::ShardFleet& f, const policy::Targets& t, double spareSpot) {
-  auto now = io_.now();
+  auto now = runtime_.now();
   if (log_->should_log(spdlog::level::debug)) {
     double ordinary = 0, spot = 0;
     for (const auto& h : f.machines)
@@ -121,7 +121,7 @@
     auto& asked = asked_[MachineId{h.machine}];
     if (asked != Time{} && now - asked < kAskAgain) continue;
     asked = now;
-    out_.wish({k.value, h.machine, mesh::MachineDirective::Return, 0});
+    callbacks_.wish({k.value, h.machine, mesh::MachineDirective::Return, 0});
   }
   if (policy::isShort(f, t)) {
     // A machine that was to empty itself is back at once, and paid for already.
@@ -130,7 +130,7 @@
                              [](const auto& h) { return h.emptying && h.idleS <= 0; });
     if (kept != machines.end()) {
       kept->emptying = false;
-      out_.wish({k.value, kept->machine, mesh::MachineDirective::Keep, 0});
+      callbacks_.wish({k.value, kept->machine, mesh::MachineDirective::Keep, 0});
     }
     return;
   }
@@ -149,7 +149,7 @@
     if (asked != Time{} && now - asked < kAskAgain) continue;
     asked = now;
     log_->info("letting go of idle {}", want.id.value);
-    out_.wish({k.value, want.id.value, mesh::MachineDirective::Return, 0});
+    callbacks_.wish({k.value, want.id.value, mesh::MachineDirective::Return, 0});
   }
   emptySome(k, f, t);
 }
@@ -163,7 +163,7 @@
     if (chosen.count(h.machine) == 0) continue;
     h.emptying = true;
     log_->info("share {} empties {}", k.value, h.machine);
-    out_.wish({k.value, h.machine, mesh::MachineDirective::Empty, 0});
+    callbacks_.wish({k.value, h.machine, mesh::MachineDirective::Empty, 0});
   }
 }
 
@@ -172,9 +172,9 @@
 double Fleet::comingTo(ShardId to) {
   double cores = 0;
   std::erase_if(moving_, [&](const auto& m) {
-    auto h = dir_.machines.find(m.first);
-    return h == dir_.machines.end() || h->second.record.shard == m.second.to ||
-           io_.now() - m.second.at > kMoveTakes;
+    auto h = view_.machines.find(m.first);
+    return h == view_.machines.end() || h->second.record.shard == m.second.to ||
+           runtime_.now() - m.second.at > kMoveTakes;
   });
   for (const auto& [_, m] : moving_)
     if (m.to == to) cores += m.cores;
@@ -185,7 +185,7 @@
 // the same is done for one machine a shard and turn, on request (DESIGN.md, exceptions).
 void Fleet::move(const std::map<ShardId, policy::ShardFleet>& fleets,
                  const std::map<ShardId, policy::Targets>& targets, bool beat) {
-  auto now = io_.now();
+  auto now = runtime_.now();
   for (auto to : byPressure(fleets, targets)) {
     const auto& need = fleets.at(to);
     double missing = need.firm.waiting + need.lendable.waiting - comingTo(to);
@@ -206,7 +206,7 @@
         h.idleS = 0;
         moving_[MachineId{h.machine}] = {to, now, type->size.cores};
         log_->info("moving {} from share {} to {}", h.machine, from.value, to.value);
-        out_.wish({from.value, h.machine, mesh::MachineDirective::Move, to.value});
+        callbacks_.wish({from.value, h.machine, mesh::MachineDirective::Move, to.value});
         if (!beat) break;
       }
     }
--- a/src/autoscaler/scale_in.cpp
+++ b/src/autoscaler/scale_in.cpp
@@ -13,17 +13,17 @@
 }  // namespace
 
 void MachineReturns::request(const MachineId& id, const char* why) {
-  if (context_.directory.machines.count(id) == 0 || !toMark_.insert(id).second) return;
+  if (context_.clusterView.machines.count(id) == 0 || !toMark_.insert(id).second) return;
   context_.log->info("{} {}: returning it", id.value, why);
 }
 
 void MachineReturns::markRequested() {
-  const auto& machines = context_.directory.machines;
+  const auto& machines = context_.clusterView.machines;
   std::erase_if(toMark_, [&](const MachineId& id) {
     auto machine = machines.find(id);
     return machine == machines.end() || machine->second.record.phase == wire::MachinePhase::Returning;
   });
-  if (toMark_.empty() || marking_ || !context_.directory.leader) return;
+  if (toMark_.empty() || marking_ || !context_.clusterView.leader) return;
   marking_ = true;
   auto written = rewrite(toMark_, Change::Mark, [this](const TxnResult&) { marking_ = false; });
   if (written.empty()) marking_ = false;
@@ -33,7 +33,7 @@
 void MachineReturns::returnMarked(CallBudget& calls) {
   if (returning_ || !calls.tryTake()) return;
   auto machines = markedMachines();
-  if (machines.empty() || !context_.directory.leader) return calls.giveBack();
+  if (machines.empty() || !context_.clusterView.leader) return calls.giveBack();
   returning_ = true;
   context_.callCloud({"POST", "/hosts/return", wire::encodeReturn(machines), false},
                      [this, machines](const HttpResult& result) { answered(machines, result); });
@@ -43,7 +43,7 @@
 std::vector<MachineId> MachineReturns::markedMachines() const {
   std::vector<MachineId> machines;
   std::set<std::string> groups;
-  for (const auto& [id, machine] : context_.directory.machines) {
+  for (const auto& [id, machine] : context_.clusterView.machines) {
     if (machine.record.phase != wire::MachinePhase::Returning || machines.size() >= kMostReturns) continue;
     if (groups.count(machine.group) == 0 && groups.size() >= context_.settings.txnOps) continue;
     groups.insert(machine.group);
@@ -53,7 +53,7 @@
 }
 
 void MachineReturns::answered(const std::vector<MachineId>& machines, const HttpResult& result) {
-  returning_ = result.answered(200) && context_.leadership.active && context_.directory.leader;
+  returning_ = result.answered(200) && context_.leadership.active && context_.clusterView.leader;
   if (!returning_) return;
   for (const auto& id : machines) noteReturned(id);
   auto written = rewrite({machines.begin(), machines.end()}, Change::Drop,
@@ -63,8 +63,8 @@
 
 void MachineReturns::noteReturned(const MachineId& id) {
   context_.log->info("{} returned", id.value);
-  auto known = context_.directory.machines.find(id);
-  if (known != context_.directory.machines.end()) {
+  auto known = context_.clusterView.machines.find(id);
+  if (known != context_.clusterView.machines.end()) {
     const auto& record = known->second.record;
     freed_({record.type, record.zone, record.spot});
   }
@@ -75,27 +75,27 @@
 // Returns the machines that it changed.
 std::vector<MachineId> MachineReturns::rewrite(const std::set<MachineId>& ids, Change change,
                                                std::function<void(const TxnResult&)> done) {
-  const auto& directory = context_.directory;
+  const auto& clusterView = context_.clusterView;
   std::map<std::string, std::set<MachineId>> byGroup;
   for (const auto& id : ids)
-    if (auto machine = directory.machines.find(id); machine != directory.machines.end())
+    if (auto machine = clusterView.machines.find(id); machine != clusterView.machines.end())
       byGroup[machine->second.group].insert(id);
   TransactionDraft draft(context_.settings.txnOps);
   std::vector<MachineId> written;
-  draft.require(keys::kLeader, directory.leader->version);
-  auto exists = [&](const std::string& key) { return directory.groups.count(key) > 0; };
+  draft.require(keys::kLeader, clusterView.leader->version);
+  auto exists = [&](const std::string& key) { return clusterView.groups.count(key) > 0; };
   // What is dropped frees tasks; what is only marked can wait.
   auto most = change == Change::Drop ? context_.settings.txnOps : context_.store.unhurried();
   for (const auto& [key, changed] : byGroup) {
     if (draft.writes() >= most) break;
-    if (splits_.settling(key, context_.io.now())) continue;
-    auto group = directory.group(key);
+    if (splits_.settling(key, context_.runtime.now())) continue;
+    auto group = clusterView.group(key);
     if (group.members.empty()) continue;
-    auto version = directory.groupVersion(key);
+    auto version = clusterView.groupVersion(key);
     applyChange(group, changed, change);
     auto rewrite = rewriteGroup(key, version, group, context_.settings.valueBytes, most, exists);
     if (draft.writes() + rewrite.writes.size() > most) break;
-    if (!splits_.add(draft, key, version, rewrite, context_.io.now())) break;
+    if (!splits_.add(draft, key, version, rewrite, context_.runtime.now())) break;
     if (rewrite.splits) continue;
     written.insert(written.end(), changed.begin(), changed.end());
   }
--- a/src/autoscaler/scale_in.h
+++ b/src/autoscaler/scale_in.h
@@ -44,7 +44,7 @@
   bool marking_ = false;
   std::set<MachineId> returned_;
   bool returning_ = false;
-  GroupSplits splits_;
+  MachineGroupSplits splits_;
 };
 
 }  // namespace cherryloft
--- a/src/autoscaler/scale_out.cpp
+++ b/src/autoscaler/scale_out.cpp
@@ -20,8 +20,8 @@
 }  // namespace
 
 std::string Rentals::nextClaim() {
-  auto epoch = context_.directory.leader->record.epoch;
-  return "cl-" + context_.settings.node.value + "-" + std::to_string(epoch.value) + "-" +
+  auto epoch = context_.clusterView.leader->record.epoch;
+  return "cl-" + context_.settings.controller.value + "-" + std::to_string(epoch.value) + "-" +
          std::to_string(++claims_);
 }
 
@@ -48,7 +48,7 @@
 std::set<policy::Offer> Rentals::refused() const {
   std::set<policy::Offer> offers;
   for (const auto& [offer, until] : refusedUntil_)
-    if (until > context_.io.now()) offers.insert(offer);
+    if (until > context_.runtime.now()) offers.insert(offer);
   return offers;
 }
 
@@ -74,13 +74,13 @@
 
 void Rentals::rented(const Rental& rental, const std::vector<MachineId>& machines) {
   const auto& request = rental.request;
-  wire::GroupRecord group{rental.shard,       Epoch{}, request.type, request.zone, request.spot,
-                          context_.io.wall(), {}};
+  wire::GroupRecord group{
+      rental.shard, Epoch{}, request.type, request.zone, request.spot, context_.runtime.wall(), {}};
   for (const auto& id : machines) group.members.push_back({id, wire::MachinePhase::InUse, ""});
   records_.create(group);
   auto offer = offerOf(request);
   if (machines.size() < request.count)
-    refusedUntil_[offer] = context_.io.now() + kFirstRefusal;
+    refusedUntil_[offer] = context_.runtime.now() + kFirstRefusal;
   else
     refusedFor_.erase(offer);
 }
@@ -88,12 +88,12 @@
 void Rentals::backOff(const policy::Offer& offer) {
   auto& refusedFor = refusedFor_[offer];
   refusedFor = std::clamp(refusedFor * 2, kFirstRefusal, kMostRefusal);
-  refusedUntil_[offer] = context_.io.now() + refusedFor + Duration{rng_() % kRefusalJitterMs};
+  refusedUntil_[offer] = context_.runtime.now() + refusedFor + Duration{rng_() % kRefusalJitterMs};
 }
 
 // Executed or not: the same claim again tells, and never rents twice.
 void Rentals::sendAgain(const RentalPtr& rental) {
-  context_.io.after(Duration{kSendAgainMs + rng_() % kSendAgainJitterMs}, [this, rental] {
+  context_.runtime.after(Duration{kSendAgainMs + rng_() % kSendAgainJitterMs}, [this, rental] {
     bool open = std::count(open_.begin(), open_.end(), rental) > 0;
     if (context_.leadership.active && open) send(rental);
   });
--- a/src/autoscaler/shard_fleet.cpp
+++ b/src/autoscaler/shard_fleet.cpp
@@ -30,8 +30,8 @@
 
 }  // namespace
 
-policy::ShardFleet describeShardFleet(ShardId shard, const mesh::ShardLoad* load, const Directory& directory,
-                                      const Catalog& prices, WallTime now) {
+policy::ShardFleet describeShardFleet(ShardId shard, const mesh::ShardLoad* load,
+                                      const ClusterView& clusterView, const Catalog& prices, WallTime now) {
   policy::ShardFleet fleet;
   std::map<std::string, const mesh::MachineLoad*> reported;
   if (load) {
@@ -39,7 +39,7 @@
     fleet.lendable = workOf(load->lendable);
     for (const auto& machine : load->machines) reported[machine.machine] = &machine;
   }
-  for (const auto& [id, known] : directory.machines) {
+  for (const auto& [id, known] : clusterView.machines) {
     const auto& record = known.record;
     if (record.shard != shard || record.phase != wire::MachinePhase::InUse) continue;
     const auto* type = findType(prices, record.type);
--- a/src/autoscaler/shard_fleet.h
+++ b/src/autoscaler/shard_fleet.h
@@ -8,7 +8,7 @@
 namespace cherryloft {
 
 // Without a load the shard's owner has not reported yet.
-policy::ShardFleet describeShardFleet(ShardId shard, const mesh::ShardLoad* load, const Directory& directory,
-                                      const Catalog& prices, WallTime now);
+policy::ShardFleet describeShardFleet(ShardId shard, const mesh::ShardLoad* load,
+                                      const ClusterView& clusterView, const Catalog& prices, WallTime now);
 
 }  // namespace cherryloft
--- a/src/base/types.h
+++ b/src/base/types.h
@@ -19,7 +19,7 @@
 using JobId = Strong<struct JobTag, std::string>;
 using MachineId = Strong<struct MachineTag, std::string>;
 using TeamId = Strong<struct TeamTag, std::string>;
-using NodeId = Strong<struct NodeTag, std::string>;
+using ControllerId = Strong<struct ControllerTag, std::string>;
 using Zone = Strong<struct ZoneTag, std::string>;
 using ImageId = Strong<struct ImageTag, std::string>;
 
--- a/src/cluster/cluster_view.cpp
+++ b/src/cluster/cluster_view.cpp
@@ -14,7 +14,7 @@
   return key.compare(0, prefix.size(), prefix) == 0;
 }
 
-void applyShard(Directory& d, const wire::KeyChange& c, const std::string& name) {
+void applyShard(ClusterView& d, const wire::KeyChange& c, const std::string& name) {
   if (c.key == keys::kEpoch) {
     if (auto e = c.value ? wire::parseCounter(*c.value) : std::nullopt)
       d.epoch = *e, d.epochVersion = c.version;
@@ -32,21 +32,21 @@
   auto owner = c.value ? wire::parseOwnerRecord(*c.value) : std::nullopt;
   if (c.key == keys::kLeader) {
     d.leader.reset();
-    if (owner) d.leader = KnownOwner{*owner, c.version};
+    if (owner) d.leader = OwnerEntry{*owner, c.version};
     return;
   }
   ShardId k;
   auto [p, ec] = std::from_chars(name.data(), name.data() + name.size(), k.value);
   if (ec != std::errc{} || p != name.data() + name.size()) return;
   d.shards.erase(k);
-  if (owner) d.shards[k] = KnownOwner{*owner, c.version};
+  if (owner) d.shards[k] = OwnerEntry{*owner, c.version};
 }
 
 }  // namespace
 
 // Machines come, change and go with their group; one that moved shows in its new group from the same
 // revision on, whichever of the two is seen first.
-std::vector<MachineId> Directory::applyGroup(const wire::KeyChange& c, const Log& log) {
+std::vector<MachineId> ClusterView::applyGroup(const wire::KeyChange& c, const Log& log) {
   auto r = c.value ? wire::parseGroup(*c.value) : wire::GroupRecord{};
   if (!r) {
     // Its machines may hold tasks: what was known of them stands.
@@ -76,7 +76,7 @@
   return touched;
 }
 
-wire::GroupRecord Directory::group(const std::string& key) const {
+wire::GroupRecord ClusterView::group(const std::string& key) const {
   wire::GroupRecord r;
   auto it = groups.find(key);
   if (it == groups.end()) return r;
@@ -91,7 +91,7 @@
   return r;
 }
 
-Version Directory::groupVersion(const std::string& key) const {
+Version ClusterView::groupVersion(const std::string& key) const {
   auto members = groups.find(key);
   if (members == groups.end()) return {};
   for (const auto& id : members->second)
@@ -99,7 +99,7 @@
   return {};
 }
 
-std::vector<wire::Order> Directory::endsOfAborted(const wire::Report& r) const {
+std::vector<wire::Order> ClusterView::endsOfAborted(const wire::Report& r) const {
   std::vector<wire::Order> ends;
   for (const auto& t : r.tasks) {
     if (ends.size() >= kMostEnds) break;
@@ -110,7 +110,7 @@
   return ends;
 }
 
-void Directory::ended(const JobId& id, JobStatus status, Version version) {
+void ClusterView::ended(const JobId& id, JobStatus status, Version version) {
   auto it = jobs.find(id);
   if (it == jobs.end() || it->second.status != JobStatus::Open || it->second.version > version) return;
   it->second.status = status;
@@ -118,11 +118,11 @@
   if (status == JobStatus::Done) it->second.spec.reset();
 }
 
-void Directory::ended(const JobId& id, JobStatus status) {
+void ClusterView::ended(const JobId& id, JobStatus status) {
   if (auto it = jobs.find(id); it != jobs.end()) ended(id, status, it->second.version);
 }
 
-std::vector<MachineId> Directory::apply(const wire::KeyChange& c, const Log& log) {
+std::vector<MachineId> ClusterView::apply(const wire::KeyChange& c, const Log& log) {
   if (under(c.key, keys::kJobs)) {
     JobId id{c.key.substr(keys::kJobs.size())};
     auto r = c.value ? wire::parseJobRecord(id, *c.value) : std::nullopt;
@@ -149,12 +149,12 @@
     j.spec = r->spec ? std::make_shared<const JobSpec>(std::move(*r->spec)) : nullptr;
   } else if (under(c.key, keys::kMachines)) {
     return applyGroup(c, log);
-  } else if (under(c.key, keys::kNodes)) {
-    NodeId n{c.key.substr(keys::kNodes.size())};
+  } else if (under(c.key, keys::kControllers)) {
+    ControllerId n{c.key.substr(keys::kControllers.size())};
     if (c.value)
-      nodes[n] = c.version;
+      controllers[n] = c.version;
     else
-      nodes.erase(n);
+      controllers.erase(n);
   } else if (under(c.key, keys::kShards)) {
     applyShard(*this, c, c.key.substr(keys::kShards.size()));
   }
--- a/src/cluster/cluster_view.h
+++ b/src/cluster/cluster_view.h
@@ -14,7 +14,7 @@
 
 namespace cherryloft {
 
-struct KnownJob {
+struct JobEntry {
   JobStatus status = JobStatus::Open;
   ShardId shard;
   std::uint32_t tasks = 0;
@@ -32,26 +32,26 @@
   std::string group;  // that key
 };
 
-struct KnownOwner {
+struct OwnerEntry {
   wire::OwnerRecord record;
   Version version;
 };
 
-struct Directory {
-  std::unordered_map<JobId, KnownJob> jobs;
+struct ClusterView {
+  std::unordered_map<JobId, JobEntry> jobs;
   std::unordered_map<MachineId, MachineEntry> machines;
   std::map<std::string, std::vector<MachineId>> groups;  // host/ keys and the machines in each
-  std::unordered_map<ShardId, KnownOwner> shards;
-  std::unordered_map<NodeId, Version> nodes;  // controllers whose hold lives
-  std::optional<KnownOwner> leader;
+  std::unordered_map<ShardId, OwnerEntry> shards;
+  std::unordered_map<ControllerId, Version> controllers;  // controllers whose lease lives
+  std::optional<OwnerEntry> leader;
   Epoch epoch;  // the last one drawn
   Version epochVersion;
   Catalog catalog;
   Version catalogVersion;
   Version groupsVersion;  // of the latest creation of machine groups
 
-  bool alive(const NodeId& n) const { return nodes.count(n) > 0; }
-  const NodeId* ownerOf(ShardId k) const {
+  bool alive(const ControllerId& n) const { return controllers.count(n) > 0; }
+  const ControllerId* ownerOf(ShardId k) const {
     auto it = shards.find(k);
     return it == shards.end() ? nullptr : &it->second.record.owner;
   }
@@ -75,7 +75,7 @@
 };
 
 namespace keys {
-inline const std::string kJobs = "job/", kMachines = "host/", kShards = "share/", kNodes = "node/";
+inline const std::string kJobs = "job/", kMachines = "host/", kShards = "share/", kControllers = "node/";
 inline const std::string kLeader = "share/leader", kEpoch = "share/epoch", kCatalog = "share/catalog";
 inline const std::string kGroups = "share/groups";  // written with every creation of machine groups
 inline std::string job(const JobId& id) { return kJobs + id.value; }
@@ -84,7 +84,7 @@
   return kMachines + first.value + "." + std::to_string(e.value);
 }
 inline std::string shard(ShardId k) { return kShards + std::to_string(k.value); }
-inline std::string node(const NodeId& n) { return kNodes + n.value; }
+inline std::string controller(const ControllerId& n) { return kControllers + n.value; }
 inline std::string placementPages(ShardId k) { return "run/" + std::to_string(k.value) + "/"; }
 inline std::string page(ShardId k, std::uint32_t n) { return placementPages(k) + std::to_string(n); }
 }  // namespace keys
--- a/src/cluster/keep_alive_proxy.cpp
+++ b/src/cluster/keep_alive_proxy.cpp
@@ -5,7 +5,7 @@
 namespace cherryloft {
 namespace {
 // Between the last word that it answers nobody and a deputy's first answer: long enough for the owner to
-// notice that heartbeats are missing before any lease could end a moment too early in its books.
+// notice that heartbeats are missing before any lease could end a moment too early in its shard state.
 constexpr Duration kQuiet{5'000};
 constexpr Duration kDrift{100};
 
--- a/src/cluster/keep_alive_proxy.h
+++ b/src/cluster/keep_alive_proxy.h
@@ -1,6 +1,6 @@
 // Answering for a sibling that is out of reach (invariant 15). A controller that is cut off together with
 // workers of another's shards may answer their check-ins, without orders, for as long as that other itself
-// might after losing its hold; and the other, or whoever owns the shard after it, counts those workers'
+// might after losing its lease; and the other, or whoever owns the shard after it, counts those workers'
 // leases from the last moment at which that may have happened. It must have seen every cancellation that the
 // other had committed when it said its last word (invariant 16). One link holds both sides' knowledge of one
 // sibling. No I/O and no clock of its own.
--- a/src/cluster/machine_group_rewrite.cpp
+++ b/src/cluster/machine_group_rewrite.cpp
@@ -37,9 +37,9 @@
   return parts;
 }
 
-GroupRewrite rewriteGroup(const std::string& key, Version version, const wire::GroupRecord& group,
-                          std::size_t valueBytes, std::size_t mostWrites, const GroupExists& exists) {
-  GroupRewrite rewrite;
+MachineGroupRewrite rewriteGroup(const std::string& key, Version version, const wire::GroupRecord& group,
+                                 std::size_t valueBytes, std::size_t mostWrites, const GroupExists& exists) {
+  MachineGroupRewrite rewrite;
   auto parts = splitToFit(group, valueBytes);
   if (parts.empty()) rewrite.writes.push_back({{key, std::nullopt, {}}, version});
   if (parts.size() == 1) rewrite.writes.push_back({{key, wire::encodeGroup(group), {}}, version});
@@ -58,7 +58,7 @@
   return writes;
 }
 
-bool GroupSplits::settling(const std::string& key, Time now) {
+bool MachineGroupSplits::settling(const std::string& key, Time now) {
   auto split = since_.find(key);
   if (split == since_.end()) return false;
   if (now - split->second < kSplitSettles) return true;
@@ -66,8 +66,8 @@
   return false;
 }
 
-bool GroupSplits::add(TransactionDraft& draft, const std::string& key, Version version,
-                      const GroupRewrite& rewrite, Time now) {
+bool MachineGroupSplits::add(TransactionDraft& draft, const std::string& key, Version version,
+                             const MachineGroupRewrite& rewrite, Time now) {
   if (!draft.addAll(rewrite.writes)) return false;
   if (!rewrite.splits) return true;
   draft.require(key, version);
--- a/src/cluster/machine_group_rewrite.h
+++ b/src/cluster/machine_group_rewrite.h
@@ -23,7 +23,7 @@
 // Whether a key of the machine groups exists, as far as is known.
 using GroupExists = std::function<bool(const std::string& key)>;
 
-struct GroupRewrite {
+struct MachineGroupRewrite {
   std::vector<VersionedWrite> writes;
   bool splits = false;  // only new groups for some members: the group itself is to be written later
 };
@@ -34,8 +34,8 @@
 // What puts the group under its key, on condition of its version; without members the key is dropped. If the
 // group has outgrown a value: what creates new groups for those of its members that do not fit, as many as
 // one transaction takes. The transaction must require the group's version then.
-GroupRewrite rewriteGroup(const std::string& key, Version version, const wire::GroupRecord& group,
-                          std::size_t valueBytes, std::size_t mostWrites, const GroupExists& exists);
+MachineGroupRewrite rewriteGroup(const std::string& key, Version version, const wire::GroupRecord& group,
+                                 std::size_t valueBytes, std::size_t mostWrites, const GroupExists& exists);
 
 // What creates the group, under keys that are free. It must stand in a transaction with a condition that
 // fails once it was carried out, as the absence of a key does not tell that it was never there.
@@ -43,13 +43,13 @@
                                         const GroupExists& exists);
 
 // Groups whose last members were given groups of their own, and that stay as they are for a while.
-class GroupSplits {
+class MachineGroupSplits {
  public:
   bool settling(const std::string& key, Time now);
   // Adds the rewrite of the group with that version to the transaction. False, and nothing is added, if it
   // does not fit.
-  bool add(TransactionDraft& draft, const std::string& key, Version version, const GroupRewrite& rewrite,
-           Time now);
+  bool add(TransactionDraft& draft, const std::string& key, Version version,
+           const MachineGroupRewrite& rewrite, Time now);
 
  private:
   std::map<std::string, Time> since_;
--- a/src/cluster/membership.cpp
+++ b/src/cluster/membership.cpp
@@ -12,9 +12,14 @@
 constexpr Duration kRounding{20};
 }  // namespace
 
-Membership::Membership(const Settings& settings, Io& io, Log log, StateStore& store, const Directory& dir,
-                       Outlet out)
-    : settings_(settings), io_(io), log_(std::move(log)), store_(store), dir_(dir), out_(std::move(out)) {}
+Membership::Membership(const Settings& settings, Runtime& runtime, Log log, KeyValueStore& store,
+                       const ClusterView& view, Callbacks out)
+    : settings_(settings),
+      runtime_(runtime),
+      log_(std::move(log)),
+      store_(store),
+      view_(view),
+      callbacks_(std::move(out)) {}
 
 void Membership::start() {
   open();
@@ -24,37 +29,38 @@
 void Membership::open() {
   if (opening_) return;
   opening_ = true;
-  auto sent = io_.now();
+  auto sent = runtime_.now();
   store_.openHold(settings_.holdTtl(), [this, sent](std::optional<std::uint64_t> id) {
     opening_ = false;
     if (!id) {
-      io_.after(Duration{200}, [this] { open(); });
+      runtime_.after(Duration{200}, [this] { open(); });
       return;
     }
     hold_ = id;
     silent_ = true;
-    renewed(sent, StateStore::Renewal::Good);
+    renewed(sent, KeyValueStore::Renewal::Good);
     join(*hold_);
   });
 }
 
-// Writes our node/ key under the hold. It must fail when a shard we believe ours was taken meanwhile.
+// Writes our node/ key under the lease. It must fail when a shard we believe ours was taken meanwhile.
 void Membership::join(std::uint64_t hold) {
   if (hold_ != hold) return;
-  auto again = [this, hold] { io_.after(Duration{100}, [this, hold] { join(hold); }); };
+  auto again = [this, hold] { runtime_.after(Duration{100}, [this, hold] { join(hold); }); };
   if (!store_.mirrored()) return again();
-  store_.catchUp(keys::kNodes, [this, hold, again](bool nodesOk) {
+  store_.catchUp(keys::kControllers, [this, hold, again](bool nodesOk) {
     if (!nodesOk) return again();
     store_.catchUp(keys::kShards, [this, hold, again](bool sharesOk) {
       if (hold_ != hold) return;
       if (!sharesOk) return again();
-      review();  // drops what the directory shows as taken
+      review();  // drops what the cluster view shows as taken
       wire::Transaction t;
-      auto me = dir_.nodes.find(settings_.node);
-      t.when[keys::node(settings_.node)] = me == dir_.nodes.end() ? Version{0} : me->second;
-      for (const auto& [k, _] : owned_) t.when[keys::shard(k)] = dir_.shards.at(k).version;
-      t.apply.push_back(
-          {keys::node(settings_.node), "{\"at\":" + std::to_string(io_.wall().value) + "}", hold});
+      auto me = view_.controllers.find(settings_.controller);
+      t.when[keys::controller(settings_.controller)] =
+          me == view_.controllers.end() ? Version{0} : me->second;
+      for (const auto& [k, _] : owned_) t.when[keys::shard(k)] = view_.shards.at(k).version;
+      t.apply.push_back({keys::controller(settings_.controller),
+                         "{\"at\":" + std::to_string(runtime_.wall().value) + "}", hold});
       store_.txn(Urgency::Hold, t, Duration{1'000}, [this, hold, again](TxnResult r) {
         if (hold_ != hold) return;
         if (r.outcome == TxnResult::Outcome::NoHold) {
@@ -65,45 +71,45 @@
         joined_ = true;
         joinVersion_ = r.revision;
         log_->info("joined with hold {}", hold);
-        out_.leaseValidity(leaseValidity());
+        callbacks_.leaseValidity(leaseValidity());
         review();
       });
     });
   });
 }
 
-// Each hold has its own chain of joins and of renewals, and what is said of one that was given up concerns no
-// other.
+// Each lease has its own chain of joins and of renewals, and what is said of one that was given up concerns
+// no other.
 void Membership::renew(std::uint64_t hold) {
   if (hold_ != hold) return;
-  auto sent = io_.now();
+  auto sent = runtime_.now();
   auto patience = std::max(settings_.holdTtl() / 3, Duration{100});
-  store_.renewHold(hold, patience, [this, sent, hold](StateStore::Renewal r) {
+  store_.renewHold(hold, patience, [this, sent, hold](KeyValueStore::Renewal r) {
     if (hold_ == hold) renewed(sent, r);
   });
 }
 
-void Membership::renewed(Time sent, StateStore::Renewal r) {
-  auto now = io_.now();
+void Membership::renewed(Time sent, KeyValueStore::Renewal r) {
+  auto now = runtime_.now();
   switch (r) {
-    case StateStore::Renewal::Good:
+    case KeyValueStore::Renewal::Good:
       extend(sent);
       if (silent_ && joined_) store_.restartWatches();
       silent_ = false;
-      io_.after(std::max(sent + settings_.holdTtl() / 4 - now, Duration{10}),
-                [this, hold = *hold_] { renew(hold); });
+      runtime_.after(std::max(sent + settings_.holdTtl() / 4 - now, Duration{10}),
+                     [this, hold = *hold_] { renew(hold); });
       break;
-    case StateStore::Renewal::NoAnswer:
+    case KeyValueStore::Renewal::NoAnswer:
       silent_ = true;
-      io_.after(Duration{150}, [this, hold = *hold_] { renew(hold); });
+      runtime_.after(Duration{150}, [this, hold = *hold_] { renew(hold); });
       break;
-    case StateStore::Renewal::Gone:
+    case KeyValueStore::Renewal::Gone:
       log_->info("hold {} is gone", *hold_);
       hold_.reset();
       joined_ = false;
       silent_ = true;
       own_.ownsUntil = std::min(own_.ownsUntil, now);
-      out_.leaseValidity(leaseValidity());
+      callbacks_.leaseValidity(leaseValidity());
       open();
       break;
   }
@@ -114,10 +120,10 @@
   auto drift = Duration{static_cast<std::int64_t>(static_cast<double>(ttl.count()) * kDrift)};
   own_.ownsUntil = std::max(own_.ownsUntil, sent + ttl - drift - kRounding);
   own_.answersUntil = std::max(own_.answersUntil, own_.ownsUntil + settings_.grace());
-  out_.leaseValidity(leaseValidity());
+  callbacks_.leaseValidity(leaseValidity());
 }
 
-// Until the node/ key hangs on the hold, the hold keeps nobody from taking our shards.
+// Until the node/ key hangs on the lease, the lease keeps nobody from taking our shards.
 LeaseValidity Membership::leaseValidity() const {
   LeaseValidity s = own_;
   if (!joined_) s.ownsUntil = Time{};
@@ -129,46 +135,46 @@
 unsigned Membership::rankFor(ShardId k) const {
   unsigned rank = 0;
   for (unsigned i = 0; i < settings_.size(); ++i) {
-    const auto& n = settings_.nodes[(k.value + i) % settings_.size()];
-    if (n == settings_.node) return rank;
-    rank += dir_.alive(n);
+    const auto& n = settings_.controllers[(k.value + i) % settings_.size()];
+    if (n == settings_.controller) return rank;
+    rank += view_.alive(n);
   }
   return rank;
 }
 
 void Membership::review() {
-  auto now = io_.now();
+  auto now = runtime_.now();
   if (!reviewSet_) {
     reviewSet_ = true;
-    io_.after(kReviewEvery, [this] {
+    runtime_.after(kReviewEvery, [this] {
       reviewSet_ = false;
       review();
     });
   }
-  for (const auto& n : settings_.nodes) {
-    if (dir_.alive(n))
+  for (const auto& n : settings_.controllers) {
+    if (view_.alive(n))
       aliveSince_.try_emplace(n, now);
     else
       aliveSince_.erase(n);
   }
   // Shares that others took while we were away.
   for (auto it = owned_.begin(); it != owned_.end();) {
-    auto seen = dir_.shards.find(it->first);
-    bool lost = seen != dir_.shards.end() && seen->second.record.epoch > it->second && !mine(seen->second);
+    auto seen = view_.shards.find(it->first);
+    bool lost = seen != view_.shards.end() && seen->second.record.epoch > it->second && !mine(seen->second);
     auto k = it->first;
     if (lost) {
       log_->info("share {} now belongs to {}", k.value, seen->second.record.owner.value);
       it = owned_.erase(it);
-      out_.lost(k);
+      callbacks_.lost(k);
     } else {
       ++it;
     }
   }
   bool able = joined_ && leaseValidity().owns(now);
-  bool leads = able && dir_.leader && mine(*dir_.leader) && dir_.leader->version > joinVersion_;
+  bool leads = able && view_.leader && mine(*view_.leader) && view_.leader->version > joinVersion_;
   if (leads != leads_) {
     leads_ = leads;
-    out_.leading(leads);
+    callbacks_.leading(leads);
   }
   if (!able || taking_) return;
   for (unsigned i = 0; i < settings_.size() && !taking_; ++i) reviewShard(ShardId{i}, now);
@@ -176,16 +182,16 @@
 }
 
 void Membership::reviewShard(ShardId k, Time now) {
-  auto seen = dir_.shards.find(k);
-  const KnownOwner* o = seen == dir_.shards.end() ? nullptr : &seen->second;
+  auto seen = view_.shards.find(k);
+  const OwnerEntry* o = seen == view_.shards.end() ? nullptr : &seen->second;
   if (owned_.count(k) > 0) {
-    const auto& home = settings_.nodes[k.value];
+    const auto& home = settings_.controllers[k.value];
     auto alive = aliveSince_.find(home);
-    if (home == settings_.node || alive == aliveSince_.end()) return;
+    if (home == settings_.controller || alive == aliveSince_.end()) return;
     auto& asked = handBackAsked_[k];
     if (now - alive->second < settings_.tuning.handBackAfter || now - asked < kAskAgain) return;
     asked = now;
-    out_.handBack(k, home);
+    callbacks_.handBack(k, home);
     return;
   }
   if (o && mine(*o)) {
@@ -196,21 +202,21 @@
       take(k, o);
     return;
   }
-  if (o && dir_.alive(o->record.owner)) {
+  if (o && view_.alive(o->record.owner)) {
     orphanSince_.erase(k);
     return;
   }
   auto since = orphanSince_.try_emplace(k, now).first->second;
   auto wait = kStep * rankFor(k);
-  if (!o && settings_.nodes[k.value] != settings_.node) wait += kColdStart;
+  if (!o && settings_.controllers[k.value] != settings_.controller) wait += kColdStart;
   if (now - since >= wait) take(k, o);
 }
 
 void Membership::reviewLeader(Time now) {
-  const KnownOwner* o = dir_.leader ? &*dir_.leader : nullptr;
+  const OwnerEntry* o = view_.leader ? &*view_.leader : nullptr;
   if (leads_) return;
   bool left = o && mine(*o);
-  if (o && !left && dir_.alive(o->record.owner)) {
+  if (o && !left && view_.alive(o->record.owner)) {
     leaderless_.reset();
     return;
   }
@@ -220,15 +226,15 @@
 }
 
 // Makes us the owner in a record, with a new epoch; fails if the former owner is alive after all.
-void Membership::draw(const std::string& key, const KnownOwner* former,
+void Membership::draw(const std::string& key, const OwnerEntry* former,
                       std::function<void(Epoch, Version)> done) {
   wire::Transaction t;
-  Epoch next{dir_.epoch.value + 1};
+  Epoch next{view_.epoch.value + 1};
   t.when[key] = former ? former->version : Version{0};
-  t.when[keys::kEpoch] = dir_.epochVersion;
-  t.when[keys::node(settings_.node)] = joinVersion_;
-  if (former && !mine(*former)) t.when[keys::node(former->record.owner)] = Version{0};
-  t.apply.push_back({key, wire::encodeOwnerRecord({settings_.node, next}), {}});
+  t.when[keys::kEpoch] = view_.epochVersion;
+  t.when[keys::controller(settings_.controller)] = joinVersion_;
+  if (former && !mine(*former)) t.when[keys::controller(former->record.owner)] = Version{0};
+  t.apply.push_back({key, wire::encodeOwnerRecord({settings_.controller, next}), {}});
   t.apply.push_back({keys::kEpoch, wire::encodeCounter(next), {}});
   taking_ = true;
   store_.txn(Urgency::Control, t, Duration{1'500}, [this, next, done = std::move(done)](TxnResult r) {
@@ -240,14 +246,14 @@
 // The directory must show what was just written, or what kept it from being written, before we go on.
 void Membership::refresh() {
   store_.catchUp(keys::kShards, [this](bool) {
-    store_.catchUp(keys::kNodes, [this](bool ok) {
+    store_.catchUp(keys::kControllers, [this](bool ok) {
       taking_ = false;
       if (ok) review();
     });
   });
 }
 
-void Membership::take(ShardId k, const KnownOwner* former) {
+void Membership::take(ShardId k, const OwnerEntry* former) {
   draw(keys::shard(k), former, [this, k](Epoch e, Version s) { adopt(k, e, s); });
 }
 
@@ -256,20 +262,20 @@
   owned_[k] = e;
   used_[k] = e;
   orphanSince_.erase(k);
-  handBackAsked_[k] = io_.now();
-  // The former owner, or a deputy of its, may answer for as long; given by a living one, also for its hold.
-  out_.takenOver({k, e, s, settings_.grace() + settings_.holdTtl()});
+  handBackAsked_[k] = runtime_.now();
+  // The former owner, or a deputy of its, may answer for as long; given by a living one, also for its lease.
+  callbacks_.takenOver({k, e, s, settings_.grace() + settings_.holdTtl()});
 }
 
-void Membership::give(ShardId k, Version version, const NodeId& to, std::function<void(bool)> done) {
-  auto node = dir_.nodes.find(to);
-  if (taking_ || !joined_ || node == dir_.nodes.end()) return done(false);
+void Membership::give(ShardId k, Version version, const ControllerId& to, std::function<void(bool)> done) {
+  auto controller = view_.controllers.find(to);
+  if (taking_ || !joined_ || controller == view_.controllers.end()) return done(false);
   wire::Transaction t;
-  Epoch next{dir_.epoch.value + 1};
+  Epoch next{view_.epoch.value + 1};
   t.when[keys::shard(k)] = version;
-  t.when[keys::kEpoch] = dir_.epochVersion;
-  t.when[keys::node(settings_.node)] = joinVersion_;
-  t.when[keys::node(to)] = node->second;
+  t.when[keys::kEpoch] = view_.epochVersion;
+  t.when[keys::controller(settings_.controller)] = joinVersion_;
+  t.when[keys::controller(to)] = controller->second;
   t.apply.push_back({keys::shard(k), wire::encodeOwnerRecord({to, next}), {}});
   t.apply.push_back({keys::kEpoch, wire::encodeCounter(next), {}});
   taking_ = true;
@@ -283,7 +289,7 @@
 
 void Membership::abandon(ShardId k) {
   if (owned_.erase(k) == 0) return;
-  out_.lost(k);
+  callbacks_.lost(k);
   if (!taking_) {
     taking_ = true;
     refresh();
--- a/src/cluster/membership.h
+++ b/src/cluster/membership.h
@@ -1,4 +1,4 @@
-// Membership: this controller's hold, the shards it owns, and who leads.
+// Membership: this controller's lease, the shards it owns, and who leads.
 #pragma once
 
 #include <set>
@@ -26,50 +26,51 @@
 
 class Membership {
  public:
-  struct Outlet {
+  struct Callbacks {
     std::function<void(const LeaseValidity&)> leaseValidity;
     std::function<void(const ShardTakeover&)> takenOver;
     std::function<void(ShardId)> lost;
     std::function<void(bool)> leading;
-    std::function<void(ShardId, NodeId)> handBack;  // asks the shard's actor to let go
+    std::function<void(ShardId, ControllerId)> handBack;  // asks the shard's actor to let go
   };
 
-  Membership(const Settings& settings, Io& io, Log log, StateStore& store, const Directory& dir, Outlet out);
+  Membership(const Settings& settings, Runtime& runtime, Log log, KeyValueStore& store,
+             const ClusterView& view, Callbacks out);
   void start();
   // The directory changed under shard/ or node/.
   void changed();
   LeaseValidity leaseValidity() const;
   const std::map<ShardId, Epoch>& owned() const { return owned_; }
   // Gives a shard to its home controller; done tells whether it is gone.
-  void give(ShardId k, Version version, const NodeId& to, std::function<void(bool)> done);
-  // The shard's actor found that it does not own it any more, or that its books are in doubt.
+  void give(ShardId k, Version version, const ControllerId& to, std::function<void(bool)> done);
+  // The shard's actor found that it does not own it any more, or that its shard state are in doubt.
   void abandon(ShardId k);
 
  private:
   void open();
   void join(std::uint64_t hold);
   void renew(std::uint64_t hold);
-  void renewed(Time sent, StateStore::Renewal r);
+  void renewed(Time sent, KeyValueStore::Renewal r);
   void extend(Time sent);
   void review();
   void reviewShard(ShardId k, Time now);
   void reviewLeader(Time now);
-  void draw(const std::string& key, const KnownOwner* former, std::function<void(Epoch, Version)> done);
+  void draw(const std::string& key, const OwnerEntry* former, std::function<void(Epoch, Version)> done);
   void refresh();
-  void take(ShardId k, const KnownOwner* former);
+  void take(ShardId k, const OwnerEntry* former);
   void adopt(ShardId k, Epoch e, Version s);
-  bool mine(const KnownOwner& o) const { return o.record.owner == settings_.node; }
+  bool mine(const OwnerEntry& o) const { return o.record.owner == settings_.controller; }
   // How many living controllers come before us in line for a shard.
   unsigned rankFor(ShardId k) const;
 
   const Settings& settings_;
-  Io& io_;
+  Runtime& runtime_;
   Log log_;
-  StateStore& store_;
-  const Directory& dir_;
-  Outlet out_;
+  KeyValueStore& store_;
+  const ClusterView& view_;
+  Callbacks callbacks_;
   std::optional<std::uint64_t> hold_;
-  bool joined_ = false;  // our node/ key hangs on the hold
+  bool joined_ = false;  // our node/ key hangs on the lease
   Version joinVersion_;
   bool opening_ = false;
   bool silent_ = false;
@@ -78,7 +79,7 @@
   std::map<ShardId, Epoch> used_;  // epochs this process has acted under
   std::map<ShardId, Time> orphanSince_;
   std::map<ShardId, Time> handBackAsked_;
-  std::map<NodeId, Time> aliveSince_;
+  std::map<ControllerId, Time> aliveSince_;
   std::optional<Time> leaderless_;
   bool leads_ = false;
   bool taking_ = false;  // an ownership change is on its way, or its outcome is being read
--- a/src/cluster/peers.cpp
+++ b/src/cluster/peers.cpp
@@ -9,13 +9,13 @@
 constexpr Duration kRemesh{2'500};
 }  // namespace
 
-Peers::Peers(const Settings& settings, Io& io, Outlet out)
+Peers::Peers(const Settings& settings, Runtime& runtime, Callbacks out)
     : settings_(settings),
-      io_(io),
-      out_(std::move(out)),
-      self_(settings.homeShard(settings.node).value),
-      life_(static_cast<std::uint64_t>(io.wall().value)) {
-  DeputyLink link(io.now(), settings.grace(), settings.blindFor());
+      runtime_(runtime),
+      callbacks_(std::move(out)),
+      self_(settings.homeShard(settings.controller).value),
+      life_(static_cast<std::uint64_t>(runtime.wall().value)) {
+  DeputyLink link(runtime.now(), settings.grace(), settings.blindFor());
   neighbours_.assign(settings.size(), Neighbour{{}, {}, {}, link});
   // Answers to asks of an earlier process must not match ours.
   askCount_ = life_ << 20;
@@ -25,7 +25,7 @@
 
 bool Peers::hears(std::uint32_t n) const {
   const auto& x = neighbours_[n];
-  return x.heard != Time{} && io_.now() - x.heard < kHeard;
+  return x.heard != Time{} && runtime_.now() - x.heard < kHeard;
 }
 
 bool Peers::hearsAny() const {
@@ -41,9 +41,9 @@
 }
 
 void Peers::sendHeartbeats() {
-  io_.after(kHeartbeatInterval, [this] { sendHeartbeats(); });
-  auto now = io_.now();
-  auto heartbeat = out_.heartbeat();
+  runtime_.after(kHeartbeatInterval, [this] { sendHeartbeats(); });
+  auto now = runtime_.now();
+  auto heartbeat = callbacks_.heartbeat();
   heartbeat.life = life_;
   heartbeat.hears = 0;
   for (std::uint32_t n = 0; n < neighbours_.size(); ++n)
@@ -53,10 +53,10 @@
     // What lies in a held connection would arrive late and in the way of what is new.
     if (!hears(n) && now - neighbours_[n].remeshed > kRemesh) {
       neighbours_[n].remeshed = now;
-      io_.remesh(n);
+      runtime_.remesh(n);
     }
     neighbours_[n].link.fill(heartbeat, hears(n), now);
-    io_.mesh(n, {self_, n, heartbeat});
+    runtime_.mesh(n, {self_, n, heartbeat});
   }
 }
 
@@ -69,24 +69,24 @@
 bool Peers::reaches(std::uint32_t n) const { return hears(n) || via(n); }
 
 bool Peers::deputyFor(std::uint32_t n, ShardId shard, Epoch epoch, Version seen) const {
-  return neighbours_[n].link.mayAnswer(shard, epoch, seen, hears(n), io_.now());
+  return neighbours_[n].link.mayAnswer(shard, epoch, seen, hears(n), runtime_.now());
 }
 
 Time Peers::answeredElsewhere() const {
   Time latest{};
   for (std::uint32_t n = 0; n < neighbours_.size(); ++n)
-    if (n != self_) latest = std::max(latest, neighbours_[n].link.mayHaveAnswered(io_.now()));
+    if (n != self_) latest = std::max(latest, neighbours_[n].link.mayHaveAnswered(runtime_.now()));
   return latest;
 }
 
 void Peers::send(std::uint32_t to, mesh::Payload p) {
   mesh::Frame f{self_, to, std::move(p)};
   if (!hears(to))
-    if (auto n = via(to)) return io_.mesh(*n, f);
-  io_.mesh(to, f);
+    if (auto n = via(to)) return runtime_.mesh(*n, f);
+  runtime_.mesh(to, f);
 }
 
-void Peers::send(const NodeId& to, mesh::Payload p) {
+void Peers::send(const ControllerId& to, mesh::Payload p) {
   auto n = numberOf(to);
   if (n < neighbours_.size() && n != self_) send(n, std::move(p));
 }
@@ -99,7 +99,7 @@
 std::uint64_t Peers::expect(Duration deadline, Answered done) {
   auto id = ++askCount_;
   asks_[id] = std::move(done);
-  io_.after(deadline, [this, id] {
+  runtime_.after(deadline, [this, id] {
     auto it = asks_.find(id);
     if (it == asks_.end()) return;
     auto f = std::move(it->second);
@@ -111,11 +111,11 @@
 
 void Peers::frame(const mesh::Frame& f) {
   if (f.from >= neighbours_.size() || f.to >= neighbours_.size() || f.from == self_) return;
-  if (f.to != self_) return io_.mesh(f.to, f);  // the one hop; the next stop is the last
+  if (f.to != self_) return runtime_.mesh(f.to, f);  // the one hop; the next stop is the last
   if (const auto* heartbeat = std::get_if<mesh::Heartbeat>(&f.payload)) {
     auto& n = neighbours_[f.from];
-    if (!n.link.came(*heartbeat, io_.now())) return;  // held back, and passed by a later one
-    n.heard = io_.now();
+    if (!n.link.came(*heartbeat, runtime_.now())) return;  // held back, and passed by a later one
+    n.heard = runtime_.now();
     n.heartbeat = *heartbeat;
   } else if (const auto* answer = std::get_if<mesh::Answer>(&f.payload)) {
     auto it = asks_.find(answer->id);
@@ -124,7 +124,7 @@
     asks_.erase(it);
     done(answer);
   } else {
-    out_.received(f.from, f.payload);
+    callbacks_.received(f.from, f.payload);
   }
 }
 
--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -142,8 +142,9 @@
   return ShardId{t ? static_cast<std::uint32_t>(t - teams.data()) % size() : 0};
 }
 
-ShardId Settings::homeShard(const NodeId& name) const {
-  return ShardId{static_cast<std::uint32_t>(std::find(nodes.begin(), nodes.end(), name) - nodes.begin())};
+ShardId Settings::homeShard(const ControllerId& name) const {
+  return ShardId{static_cast<std::uint32_t>(std::find(controllers.begin(), controllers.end(), name) -
+                                            controllers.begin())};
 }
 
 Settings parseSettings(const std::string& source, const Tuning& tuning) {
@@ -152,18 +153,18 @@
   if (!doc.is_object()) throw SettingsError("settings: not an object");
   Settings s;
   s.tuning = tuning;
-  s.node = NodeId{text(doc, "node")};
+  s.controller = ControllerId{text(doc, "node")};
   s.front = parseAddress(text(doc, "front"));
   s.mesh = parseAddress(text(doc, "mesh_addr"));
-  s.nodes.push_back(s.node);
+  s.controllers.push_back(s.controller);
   for (const auto& e : list(doc, "siblings")) {
-    s.siblings.push_back({NodeId{text(e, "node")}, parseAddress(text(e, "address"))});
-    s.nodes.push_back(s.siblings.back().node);
+    s.siblings.push_back({ControllerId{text(e, "node")}, parseAddress(text(e, "address"))});
+    s.controllers.push_back(s.siblings.back().controller);
   }
-  std::sort(s.nodes.begin(), s.nodes.end());
-  if (std::adjacent_find(s.nodes.begin(), s.nodes.end()) != s.nodes.end())
+  std::sort(s.controllers.begin(), s.controllers.end());
+  if (std::adjacent_find(s.controllers.begin(), s.controllers.end()) != s.controllers.end())
     throw SettingsError("settings: two controllers have the same name");
-  if (s.nodes.size() > 32) throw SettingsError("settings: more than 32 controllers");
+  if (s.controllers.size() > 32) throw SettingsError("settings: more than 32 controllers");
   const auto& ends = object(doc, "endpoints");
   s.cloud = parseAddress(text(ends, "cloud"));
   s.state = parseAddress(text(ends, "state"));
--- a/src/config/settings.h
+++ b/src/config/settings.h
@@ -25,7 +25,7 @@
 Address parseAddress(const std::string& text);
 
 struct Sibling {
-  NodeId node;
+  ControllerId controller;
   Address address;
 };
 
@@ -51,7 +51,7 @@
 };
 
 struct Settings {
-  NodeId node;
+  ControllerId controller;
   Address front;
   Address mesh;
   std::vector<Sibling> siblings;
@@ -73,9 +73,10 @@
   double clockErrorMs = 250;
   Tuning tuning;
 
-  std::vector<NodeId> nodes;  // all controllers, sorted; the index is the number of the home shard
+  std::vector<ControllerId>
+      controllers;  // all controllers, sorted; the index is the number of the home shard
 
-  unsigned size() const { return static_cast<unsigned>(nodes.size()); }
+  unsigned size() const { return static_cast<unsigned>(controllers.size()); }
   // The life of this controller's hold: the operators' choice, or less where the deployment leaves little
   // room.
   Duration holdTtl() const;
@@ -94,7 +95,7 @@
   // How long work may wait for cheap room and still meet what is aimed at, with a reserve.
   double patienceS() const;
   const Team* team(const TeamId& name) const;
-  ShardId homeShard(const NodeId& name) const;
+  ShardId homeShard(const ControllerId& name) const;
 };
 
 Settings parseSettings(const std::string& source, const Tuning& tuning);
--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -11,34 +11,35 @@
 constexpr Duration kSteerAgain{60'000};  // one sent on to its owner that comes back sooner has
 }  // namespace
 
-Node::Node(const Settings& settings, Io& io, Log log, std::uint64_t seed)
+Controller::Controller(const Settings& settings, Runtime& runtime, Log log, std::uint64_t seed)
     : settings_(settings),
-      io_(io),
+      runtime_(runtime),
       log_(log),
       rng_(seed),
-      store_(settings, io, log, rng_()),
-      peers_(settings, io,
+      store_(settings, runtime, log, rng_()),
+      peers_(settings, runtime,
              {[this](std::uint32_t from, const mesh::Payload& p) { received(from, p); },
               [this] { return heartbeat(); }}),
-      membership_(settings, io, log, store_, dir_,
+      membership_(settings, runtime, log, store_, view_,
                   {[this](const LeaseValidity& s) {
                      for (auto& [_, x] : schedulers_) x->leaseValidity(s);
                    },
                    [this](const ShardTakeover& t) { takenOver(t); }, [this](ShardId k) { lost(k); },
                    [this](bool leads) { fleet_.leading(leads); },
-                   [this](ShardId k, NodeId to) {
+                   [this](ShardId k, ControllerId to) {
                      if (auto* s = scheduler(k)) s->handBack(to);
                    }}),
-      fleet_(settings, io, log, store_, dir_, rng_(),
-             {[this](const mesh::MachineDirective& w) { toShard(ShardId{w.shard}, w, &Scheduler::wish); },
-              [this] { return owns(); }}),
-      api_(settings, io, log, store_, dir_, peers_,
-           {[this](ShardId k) { return scheduler(k); }, [this] { return owns(); },
-            [this](const wire::KeyChange& c) { changed(c); },
-            [this](const JobId& id, JobStatus s) { dir_.ended(id, s); }}) {}
+      fleet_(
+          settings, runtime, log, store_, view_, rng_(),
+          {[this](const mesh::MachineDirective& w) { toShard(ShardId{w.shard}, w, &ShardScheduler::wish); },
+           [this] { return owns(); }}),
+      userApi_(settings, runtime, log, store_, view_, peers_,
+               {[this](ShardId k) { return scheduler(k); }, [this] { return owns(); },
+                [this](const wire::KeyChange& c) { changed(c); },
+                [this](const JobId& id, JobStatus s) { view_.ended(id, s); }}) {}
 
-void Node::start() {
-  for (const auto& prefix : {keys::kJobs, keys::kMachines, keys::kShards, keys::kNodes})
+void Controller::start() {
+  for (const auto& prefix : {keys::kJobs, keys::kMachines, keys::kShards, keys::kControllers})
     store_.mirror(prefix, [this](const wire::KeyChange& c) { changed(c); });
   if (settings_.grace() == Duration{0})
     log_->error(
@@ -51,10 +52,10 @@
   account();
 }
 
-mesh::Heartbeat Node::heartbeat() const {
+mesh::Heartbeat Controller::heartbeat() const {
   mesh::Heartbeat p;
   p.serving = serving();
-  p.ownsForMs = std::max((membership_.leaseValidity().ownsUntil - io_.now()).count(), std::int64_t{0});
+  p.ownsForMs = std::max((membership_.leaseValidity().ownsUntil - runtime_.now()).count(), std::int64_t{0});
   for (const auto& [k, epoch] : membership_.owned())
     if (auto s = schedulers_.find(k); s != schedulers_.end() && s->second->knowsCancellations())
       p.owns.push_back({k.value, epoch.value, s->second->lastAborted().value});
@@ -62,8 +63,8 @@
 }
 
 // What the controller did in the last minute, for operators (OPERATING.md).
-void Node::account() {
-  io_.after(kAccount, [this] { account(); });
+void Controller::account() {
+  runtime_.after(kAccount, [this] { account(); });
   auto t = store_.takeTally();
   std::string line;
   for (const auto& [what, n] : t.requests) line += " " + what + "=" + std::to_string(n);
@@ -73,13 +74,13 @@
   log_->info("last minute: store requests{}; refused {}, out of time {}", line, t.refused, t.outOfTime);
 }
 
-Scheduler* Node::scheduler(ShardId k) {
+ShardScheduler* Controller::scheduler(ShardId k) {
   auto it = schedulers_.find(k);
   return it == schedulers_.end() ? nullptr : it->second.get();
 }
 
-void Node::changed(const wire::KeyChange& c) {
-  auto machines = dir_.apply(c, log_);
+void Controller::changed(const wire::KeyChange& c) {
+  auto machines = view_.apply(c, log_);
   auto under = [&](const std::string& prefix) { return c.key.compare(0, prefix.size(), prefix) == 0; };
   if (under(keys::kJobs)) {
     JobId id{c.key.substr(keys::kJobs.size())};
@@ -93,7 +94,7 @@
   }
 }
 
-Counts Node::counts() const {
+Counts Controller::counts() const {
   Counts sum;
   for (const auto& [_, s] : schedulers_) {
     sum.starts += s->counts().starts;
@@ -105,26 +106,26 @@
 
 // Most of what is asked of the store is asked for a shard, by its owner, and for machines, by the leader; the
 // rest by every living controller.
-double Node::partOfLimits() const {
+double Controller::partOfLimits() const {
   constexpr double kEach = 0.5, kLeader = 0.75;
   double mine = 0, all = 0;
-  for (const auto& n : settings_.nodes) {
-    double weight = dir_.alive(n) || n == settings_.node ? kEach : 0;
-    for (const auto& [_, o] : dir_.shards) weight += o.record.owner == n;
-    if (dir_.leader && dir_.leader->record.owner == n) weight += kLeader;
+  for (const auto& n : settings_.controllers) {
+    double weight = view_.alive(n) || n == settings_.controller ? kEach : 0;
+    for (const auto& [_, o] : view_.shards) weight += o.record.owner == n;
+    if (view_.leader && view_.leader->record.owner == n) weight += kLeader;
     all += weight;
-    if (n == settings_.node) mine = weight;
+    if (n == settings_.controller) mine = weight;
   }
   return mine / all;
 }
 
-void Node::takenOver(const ShardTakeover& t) {
-  Scheduler::Outlet out{
+void Controller::takenOver(const ShardTakeover& t) {
+  ShardScheduler::Callbacks out{
       [this](const JobId& id, JobStatus s, Version version) { jobEnded(id, s, version); },
       [this](const mesh::ShardLoad& l) { sendLoad(l); },
       // A turn of its own: the actor asks for its own end.
       [this, k = t.shard] {
-        io_.after(Duration{0}, [this, k] {
+        runtime_.after(Duration{0}, [this, k] {
           membership_.abandon(k);
           lost(k);
         });
@@ -132,88 +133,89 @@
       [this](const std::string& address, std::function<void(const std::string&)> done) {
         probe(address, std::move(done));
       },
-      [this, k = t.shard](Version version, const NodeId& to, std::function<void(bool)> done) {
+      [this, k = t.shard](Version version, const ControllerId& to, std::function<void(bool)> done) {
         membership_.give(k, version, to, std::move(done));
       },
       [this] { return peers_.answeredElsewhere(); },
       [this, k = t.shard](const mesh::RoomWanted& w) {
         peers_.sendAll(w);
-        toOthersHere(k, w, &Scheduler::roomWanted);
+        toOthersHere(k, w, &ShardScheduler::roomWanted);
       },
-      [this](const mesh::RoomOffer& o) { toShard(ShardId{o.toShard}, o, &Scheduler::roomOffered); },
+      [this](const mesh::RoomOffer& o) { toShard(ShardId{o.toShard}, o, &ShardScheduler::roomOffered); },
       [this, k = t.shard](const mesh::PartialRoomWanted& w) {
         peers_.sendAll(w);
-        toOthersHere(k, w, &Scheduler::partialRoomWanted);
+        toOthersHere(k, w, &ShardScheduler::partialRoomWanted);
       },
       [this](const mesh::PartialRoomOffer& o) {
-        toShard(ShardId{o.toShard}, o, &Scheduler::partialRoomOffered);
+        toShard(ShardId{o.toShard}, o, &ShardScheduler::partialRoomOffered);
       }};
   auto& s = schedulers_[t.shard];
-  s = std::make_unique<Scheduler>(settings_, io_, log_, store_, dir_, t, membership_.leaseValidity(), rng_(),
-                                  out);
+  s = std::make_unique<ShardScheduler>(settings_, runtime_, log_, store_, view_, t,
+                                       membership_.leaseValidity(), rng_(), out);
   s->start();
 }
 
 // What a machine says of itself just now.
-void Node::showOf(const std::string& address, HttpDone done) {
+void Controller::showOf(const std::string& address, HttpDone done) {
   try {
-    io_.call(parseAddress(address), {"GET", "/show", "", false}, kShow, std::move(done));
+    runtime_.call(parseAddress(address), {"GET", "/show", "", false}, kShow, std::move(done));
   } catch (const SettingsError&) {
     done({});
   }
 }
 
 // Asks the siblings that we hear to ask the machine; the first to reach it answers.
-void Node::probe(const std::string& address, std::function<void(const std::string& body)> done) {
+void Controller::probe(const std::string& address, std::function<void(const std::string& body)> done) {
   for (const auto& s : settings_.siblings) {
-    if (!peers_.hears(peers_.numberOf(s.node))) continue;
-    peers_.ask(s.node, mesh::ProbeAsk{0, address}, kShow + Duration{500}, [done](const mesh::Answer* a) {
-      if (a && a->status == 200) done(a->body);
-    });
+    if (!peers_.hears(peers_.numberOf(s.controller))) continue;
+    peers_.ask(s.controller, mesh::ProbeAsk{0, address}, kShow + Duration{500},
+               [done](const mesh::Answer* a) {
+                 if (a && a->status == 200) done(a->body);
+               });
   }
 }
 
-void Node::lost(ShardId k) { schedulers_.erase(k); }
+void Controller::lost(ShardId k) { schedulers_.erase(k); }
 
-void Node::jobEnded(const JobId& id, JobStatus s, Version version) {
-  dir_.ended(id, s, version);
+void Controller::jobEnded(const JobId& id, JobStatus s, Version version) {
+  view_.ended(id, s, version);
   for (auto& [_, x] : schedulers_) x->jobChanged(id);
   // Whoever answers workers or users should know before the user does; no bound hangs on it.
   peers_.sendAll(mesh::JobEnded{id.value, s == JobStatus::Done, version.value});
 }
 
-void Node::sendLoad(const mesh::ShardLoad& l) {
-  if (!dir_.leader) return;
-  if (dir_.leader->record.owner == settings_.node)
+void Controller::sendLoad(const mesh::ShardLoad& l) {
+  if (!view_.leader) return;
+  if (view_.leader->record.owner == settings_.controller)
     fleet_.load(l);
   else
-    peers_.send(dir_.leader->record.owner, l);
+    peers_.send(view_.leader->record.owner, l);
 }
 
 // To the scheduler of a shard, here or at the controller that owns it.
 template <class Message>
-void Node::toShard(ShardId shard, const Message& message, Handler<Message> handler) {
+void Controller::toShard(ShardId shard, const Message& message, Handler<Message> handler) {
   if (auto* s = scheduler(shard))
     (s->*handler)(message);
-  else if (const NodeId* owner = dir_.ownerOf(shard))
+  else if (const ControllerId* owner = view_.ownerOf(shard))
     peers_.send(*owner, message);
 }
 
 // To the schedulers here of all shards but the one that asks; another shard's owner may be this controller.
 template <class Message>
-void Node::toOthersHere(ShardId asking, const Message& message, Handler<Message> handler) {
+void Controller::toOthersHere(ShardId asking, const Message& message, Handler<Message> handler) {
   for (auto& [shard, s] : schedulers_)
     if (shard != asking) (s.get()->*handler)(message);
 }
 
-void Node::received(std::uint32_t from, const mesh::Payload& p) {
+void Controller::received(std::uint32_t from, const mesh::Payload& p) {
   auto answer = [this, from](mesh::Answer a) { peers_.send(from, std::move(a)); };
   if (const auto* ask = std::get_if<mesh::JobAsk>(&p)) {
-    api_.asked(*ask, answer);
+    userApi_.asked(*ask, answer);
   } else if (const auto* relayed = std::get_if<mesh::CheckInAsk>(&p)) {
     auto report = wire::parseReport(relayed->body);
-    auto machine = report ? dir_.machines.find(report->machine) : dir_.machines.end();
-    Scheduler* s = machine == dir_.machines.end() ? nullptr : scheduler(machine->second.record.shard);
+    auto machine = report ? view_.machines.find(report->machine) : view_.machines.end();
+    ShardScheduler* s = machine == view_.machines.end() ? nullptr : scheduler(machine->second.record.shard);
     if (!s) return answer({relayed->id, 503, ""});
     auto a = s->checkIn(*report);
     answer({relayed->id, a.status, std::move(a.body)});
@@ -227,16 +229,16 @@
     fleet_.load(*load);
   } else if (const auto* over = std::get_if<mesh::JobEnded>(&p)) {
     JobId id{over->job};
-    dir_.ended(id, over->done ? JobStatus::Done : JobStatus::Aborted, Version{over->version});
+    view_.ended(id, over->done ? JobStatus::Done : JobStatus::Aborted, Version{over->version});
     for (auto& [_, s] : schedulers_) s->jobChanged(id);
   } else if (const auto* w = std::get_if<mesh::MachineDirective>(&p)) {
     if (auto* s = scheduler(ShardId{w->shard})) s->wish(*w);
   } else if (const auto* wanted = std::get_if<mesh::RoomWanted>(&p)) {
-    toOthersHere(ShardId{wanted->shard}, *wanted, &Scheduler::roomWanted);
+    toOthersHere(ShardId{wanted->shard}, *wanted, &ShardScheduler::roomWanted);
   } else if (const auto* offer = std::get_if<mesh::RoomOffer>(&p)) {
     if (auto* s = scheduler(ShardId{offer->toShard})) s->roomOffered(*offer);
   } else if (const auto* partial = std::get_if<mesh::PartialRoomWanted>(&p)) {
-    toOthersHere(ShardId{partial->shard}, *partial, &Scheduler::partialRoomWanted);
+    toOthersHere(ShardId{partial->shard}, *partial, &ShardScheduler::partialRoomWanted);
   } else if (const auto* some = std::get_if<mesh::PartialRoomOffer>(&p)) {
     if (auto* s = scheduler(ShardId{some->toShard})) s->partialRoomOffered(*some);
   }
@@ -244,9 +246,9 @@
 
 // --- requests ---
 
-bool Node::serving() const { return store_.mirrored() && !dir_.catalog.empty(); }
+bool Controller::serving() const { return store_.mirrored() && !view_.catalog.empty(); }
 
-void Node::up(Responder done) {
+void Controller::up(Responder done) {
   // Out of service only if the store is lost to us alone: were it lost to all, taking all out would help
   // nobody. One that hears no sibling either can't know, and can't take requests whichever it is.
   bool cutOff = !settings_.siblings.empty() && !peers_.hearsAny();
@@ -255,7 +257,7 @@
   done({ok ? 200 : 503, ok ? "{}" : R"({"error":"not serving"})", false, 0});
 }
 
-void Node::request(HttpRequest r, Responder done) {
+void Controller::request(HttpRequest r, Responder done) {
   auto only = [&](const char* method) {
     if (r.method == method) return true;
     done(wire::userError(405, "method not allowed"));
@@ -269,7 +271,7 @@
   } else if (path == "/v1/jobs") {
     if (!only("POST")) return;
     if (!store_.mirrored()) return done(wire::userUnavailable("starting"));
-    api_.submit(r.body, std::move(done));
+    userApi_.submit(r.body, std::move(done));
   } else if (path.compare(0, 9, "/v1/jobs/") == 0) {
     jobs(r, std::move(done));
   } else {
@@ -277,7 +279,7 @@
   }
 }
 
-void Node::jobs(const HttpRequest& r, Responder done) {
+void Controller::jobs(const HttpRequest& r, Responder done) {
   static const std::string kCancelPath = "/withdraw";
   auto id = r.target.substr(9, r.target.find('?') - 9);
   bool cancel = id.size() > kCancelPath.size() && id.ends_with(kCancelPath);
@@ -286,21 +288,21 @@
   if (!wire::isJobId(id)) return done(wire::userError(404, "no such job"));
   if (!store_.mirrored()) return done(wire::userUnavailable("starting"));
   if (cancel)
-    api_.cancel(JobId{id}, std::move(done));
+    userApi_.cancel(JobId{id}, std::move(done));
   else
-    api_.poll(JobId{id}, std::move(done));
+    userApi_.poll(JobId{id}, std::move(done));
 }
 
-void Node::checkIn(const std::string& body, Responder done) {
+void Controller::checkIn(const std::string& body, Responder done) {
   auto unavailable = [&](const char* why) { done(wire::userError(503, why)); };
   auto report = wire::parseReport(body);
   if (!report) return done(wire::userError(400, "malformed report"));
-  auto machine = dir_.machines.find(report->machine);
-  if (machine == dir_.machines.end()) {
-    if (dir_.leader && dir_.leader->record.owner == settings_.node)
+  auto machine = view_.machines.find(report->machine);
+  if (machine == view_.machines.end()) {
+    if (view_.leader && view_.leader->record.owner == settings_.controller)
       fleet_.unrecordedMachineSeen(*report);
-    else if (dir_.leader)
-      peers_.send(dir_.leader->record.owner, mesh::UnrecordedMachineSeen{body});
+    else if (view_.leader)
+      peers_.send(view_.leader->record.owner, mesh::UnrecordedMachineSeen{body});
     return unavailable("unknown machine");
   }
   auto shard = machine->second.record.shard;
@@ -308,10 +310,10 @@
     auto a = s->checkIn(*report);
     return done({a.status, std::move(a.body), false, 0});
   }
-  const NodeId* owner = dir_.ownerOf(shard);
-  if (!owner || *owner == settings_.node || !dir_.alive(*owner))
+  const ControllerId* owner = view_.ownerOf(shard);
+  if (!owner || *owner == settings_.controller || !view_.alive(*owner))
     return unavailable("share is being taken over");
-  auto now = io_.now();
+  auto now = runtime_.now();
   // Its lease and its orders come first: the check-in is relayed at once. Only a worker that stays is sent on
   // to its owner, and one that comes back from there is relayed for long.
   auto& guest = guests_[report->machine];
@@ -340,11 +342,11 @@
 }
 
 // The worker's token must be that owner's own: whoever came after it has not asked us to stand in.
-bool Node::mayAnswerFor(const NodeId& owner, const wire::Report& r) const {
-  auto machine = dir_.machines.find(r.machine);
-  if (machine == dir_.machines.end() || !membership_.leaseValidity().answers(io_.now())) return false;
-  auto shard = dir_.shards.find(machine->second.record.shard);
-  if (shard == dir_.shards.end() || shard->second.record.owner != owner) return false;
+bool Controller::mayAnswerFor(const ControllerId& owner, const wire::Report& r) const {
+  auto machine = view_.machines.find(r.machine);
+  if (machine == view_.machines.end() || !membership_.leaseValidity().answers(runtime_.now())) return false;
+  auto shard = view_.shards.find(machine->second.record.shard);
+  if (shard == view_.shards.end() || shard->second.record.owner != owner) return false;
   auto epoch = shard->second.record.epoch;
   return epochOf(r.token) == std::max(machine->second.record.token, epoch) &&
          peers_.deputyFor(peers_.numberOf(owner), shard->first, epoch, store_.revisionOf(keys::kJobs));
@@ -352,10 +354,10 @@
 
 // The owner of the worker's shard is out of reach. Cut off together with the worker we keep its lease up for
 // a while (invariant 15): what it runs goes on. It gets no orders but to end what is aborted, which is final.
-HttpResponse Node::answerFor(const NodeId& owner, const wire::Report& r) {
+HttpResponse Controller::answerFor(const ControllerId& owner, const wire::Report& r) {
   if (!mayAnswerFor(owner, r)) return wire::userError(503, "the owner does not answer");
   peers_.answeredFor(peers_.numberOf(owner));
-  return {200, wire::encodeOrders(r.token, dir_.endsOfAborted(r)), false, 0};
+  return {200, wire::encodeOrders(r.token, view_.endsOfAborted(r)), false, 0};
 }
 
 }  // namespace cherryloft
--- a/src/controller/controller.h
+++ b/src/controller/controller.h
@@ -12,9 +12,9 @@
 
 namespace cherryloft {
 
-class Node {
+class Controller {
  public:
-  Node(const Settings& settings, Io& io, Log log, std::uint64_t seed);
+  Controller(const Settings& settings, Runtime& runtime, Log log, std::uint64_t seed);
   void start();
   void request(HttpRequest r, Responder done);
   void frame(const mesh::Frame& f) { peers_.frame(f); }
@@ -23,10 +23,10 @@
 
  private:
   void account();
-  bool owns() const { return membership_.leaseValidity().owns(io_.now()); }
+  bool owns() const { return membership_.leaseValidity().owns(runtime_.now()); }
   mesh::Heartbeat heartbeat() const;
-  bool mayAnswerFor(const NodeId& owner, const wire::Report& r) const;
-  HttpResponse answerFor(const NodeId& owner, const wire::Report& r);
+  bool mayAnswerFor(const ControllerId& owner, const wire::Report& r) const;
+  HttpResponse answerFor(const ControllerId& owner, const wire::Report& r);
   double partOfLimits() const;
   void changed(const wire::KeyChange& c);
   void received(std::uint32_t from, const mesh::Payload& p);
@@ -37,31 +37,31 @@
   void jobEnded(const JobId& id, JobStatus s, Version version);
   void sendLoad(const mesh::ShardLoad& l);
   template <class Message>
-  using Handler = void (Scheduler::*)(const Message&);
+  using Handler = void (ShardScheduler::*)(const Message&);
   template <class Message>
   void toShard(ShardId shard, const Message& message, Handler<Message> handler);
   template <class Message>
   void toOthersHere(ShardId asking, const Message& message, Handler<Message> handler);
-  Scheduler* scheduler(ShardId k);
+  ShardScheduler* scheduler(ShardId k);
   void jobs(const HttpRequest& r, Responder done);
   void checkIn(const std::string& body, Responder done);
   void up(Responder done);
   bool serving() const;
 
   const Settings& settings_;
-  Io& io_;
+  Runtime& runtime_;
   Log log_;
   std::mt19937_64 rng_;
-  Directory dir_;
-  StateStore store_;
+  ClusterView view_;
+  KeyValueStore store_;
   Peers peers_;
   Membership membership_;
   Fleet fleet_;
-  Api api_;
-  std::map<ShardId, std::unique_ptr<Scheduler>> schedulers_;
+  UserApi userApi_;
+  std::map<ShardId, std::unique_ptr<ShardScheduler>> schedulers_;
   // Workers of other controllers' shards that report here.
   struct Guest {
-    NodeId owner;
+    ControllerId owner;
     Time since{}, last{}, steered{};
   };
   std::map<MachineId, Guest> guests_;
--- a/src/controller/user_api.h
+++ b/src/controller/user_api.h
@@ -8,16 +8,16 @@
 
 namespace cherryloft {
 
-class Api {
+class UserApi {
  public:
-  struct Outlet {
-    std::function<Scheduler*(ShardId)> scheduler;        // ours for that shard, or null
-    std::function<bool()> hasStore;                      // our hold is valid
+  struct Callbacks {
+    std::function<ShardScheduler*(ShardId)> scheduler;   // ours for that shard, or null
+    std::function<bool()> hasStore;                      // our lease is valid
     std::function<void(const wire::KeyChange&)> learnt;  // a record read or written here
     std::function<void(const JobId&, JobStatus)> ended;  // the owner's word that a job is over
   };
-  Api(const Settings& settings, Io& io, Log log, StateStore& store, const Directory& dir, Peers& peers,
-      Outlet out);
+  UserApi(const Settings& settings, Runtime& runtime, Log log, KeyValueStore& store, const ClusterView& view,
+          Peers& peers, Callbacks out);
 
   void submit(const std::string& body, Responder done);
   void poll(const JobId& id, Responder done);
@@ -26,21 +26,21 @@
   void asked(const mesh::JobAsk& ask, std::function<void(mesh::Answer)> done);
 
  private:
-  const KnownJob* known(const JobId& id) const;
+  const JobEntry* known(const JobId& id) const;
   void accept(JobSpec spec, Responder done);
   void refuse(const JobId& id, int status, const std::string& why, Responder done);
   void strongRead(const JobId& id, Responder done);
-  HttpResponse ended(const JobId& id, const KnownJob& job) const;
+  HttpResponse ended(const JobId& id, const JobEntry& job) const;
   HttpResponse relayed(const JobId& id, const mesh::Answer& a);
   void cancelKnown(const JobId& id, ShardId shard, Responder done);
 
   const Settings& settings_;
-  Io& io_;
+  Runtime& runtime_;
   Log log_;
-  StateStore& store_;
-  const Directory& dir_;
+  KeyValueStore& store_;
+  const ClusterView& view_;
   Peers& peers_;
-  Outlet out_;
+  Callbacks callbacks_;
 };
 
 }  // namespace cherryloft
--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -15,9 +15,9 @@
 constexpr unsigned kListenTries = 50;
 constexpr Duration kListenAgain{100};
 
-class LoopIo : public Io {
+class LoopRuntime : public Runtime {
  public:
-  LoopIo(Loop& loop, HttpClient& client) : loop_(loop), client_(client) {}
+  LoopRuntime(Loop& loop, HttpClient& client) : loop_(loop), client_(client) {}
   void attach(mesh::Transport* t) { transport_ = t; }
   Time now() const override { return loop_.now(); }
   WallTime wall() const override { return loop_.wall(); }
@@ -46,23 +46,24 @@
   Loop loop;
   auto kept = settings.keptSockets();
   HttpClient client(loop, kIdlePerAddress, kept / 4, kept / 2, {settings.state, settings.cloud});
-  LoopIo io(loop, client);
+  LoopRuntime runtime(loop, client);
   std::vector<Address> addresses(settings.size());
-  for (const auto& s : settings.siblings) addresses[settings.homeShard(s.node).value] = s.address;
+  for (const auto& s : settings.siblings) addresses[settings.homeShard(s.controller).value] = s.address;
   auto seed = settings.tuning.seed;
   if (seed == 0)
-    seed = std::hash<std::string>{}(settings.node.value) ^ static_cast<std::uint64_t>(loop.wall().value);
-  Node node(settings, io, log, seed);
+    seed =
+        std::hash<std::string>{}(settings.controller.value) ^ static_cast<std::uint64_t>(loop.wall().value);
+  Controller controller(settings, runtime, log, seed);
   int front = listening(settings.front);
   mesh::Transport transport(loop, listening(settings.mesh), addresses,
-                            settings.homeShard(settings.node).value,
-                            [&node](const mesh::Frame& f) { node.frame(f); });
-  io.attach(&transport);
+                            settings.homeShard(settings.controller).value,
+                            [&controller](const mesh::Frame& f) { controller.frame(f); });
+  runtime.attach(&transport);
   HttpServer server(
       loop, log, front, settings.fdLimit - kept,
-      [&node](HttpRequest r, Responder done) { node.request(std::move(r), std::move(done)); },
-      &Node::fromWorker);
-  node.start();
+      [&controller](HttpRequest r, Responder done) { controller.request(std::move(r), std::move(done)); },
+      &Controller::fromWorker);
+  controller.start();
   log->info("serving on {}", settings.front.text());
   loop.run();
   return 0;
--- a/src/daemon/daemon.h
+++ b/src/daemon/daemon.h
@@ -1,4 +1,4 @@
-// Puts a Node on the libev loop with real sockets.
+// Puts a Controller on the libev loop with real sockets.
 #pragma once
 
 #include "config/settings.h"
--- a/src/kvstore/group_commit.cpp
+++ b/src/kvstore/group_commit.cpp
@@ -15,23 +15,23 @@
 }  // namespace
 
 void GroupCommit::create(wire::Write write, Duration deadline, std::function<void(TxnResult)> done) {
-  waiting_.push_back({std::move(write), io_.now() + deadline, std::move(done)});
+  waiting_.push_back({std::move(write), runtime_.now() + deadline, std::move(done)});
   commitNext();
 }
 
 void GroupCommit::commitNext() {
   if (committing_ || waiting_.empty()) return;
-  budget_.refill(io_.now());
+  budget_.refill(runtime_.now());
   // As many as there are changes to spend: a batch that waits for more would be passed by all else.
   auto affordable = static_cast<std::size_t>(std::max(budget_.changes(), 0.0));
   auto most = std::min<std::size_t>(settings_.txnOps, affordable);
-  if (most == 0 || budget_.paused(io_.now())) {
+  if (most == 0 || budget_.paused(runtime_.now())) {
     refuseExpired();
     return commitLater();
   }
   auto batch = takeBatch(most);
   committing_ = true;
-  auto wait = std::clamp(batch->giveUp - io_.now(), Duration{1}, kMostWait);
+  auto wait = std::clamp(batch->giveUp - runtime_.now(), Duration{1}, kMostWait);
   client_.txn(Urgency::Control, batch->transaction, wait,
               [this, batch](const TxnResult& result) { committed(*batch, result); });
 }
@@ -67,7 +67,7 @@
   std::set<std::string> taken(result.failed.begin(), result.failed.end());
   std::vector<Creation> again;
   for (auto& creation : batch.creations) {
-    bool retry = conflict && taken.count(creation.write.key) == 0 && creation.giveUp > io_.now();
+    bool retry = conflict && taken.count(creation.write.key) == 0 && creation.giveUp > runtime_.now();
     if (retry)
       again.push_back(std::move(creation));
     else
@@ -79,7 +79,7 @@
 }
 
 void GroupCommit::refuseExpired() {
-  while (!waiting_.empty() && waiting_.front().giveUp <= io_.now()) {
+  while (!waiting_.empty() && waiting_.front().giveUp <= runtime_.now()) {
     auto creation = std::move(waiting_.front());
     waiting_.pop_front();
     ++tally_.outOfTime;
@@ -89,7 +89,7 @@
 
 void GroupCommit::commitLater() {
   if (std::exchange(commitPending_, true)) return;
-  io_.after(kLookAgain, [this] {
+  runtime_.after(kLookAgain, [this] {
     commitPending_ = false;
     commitNext();
   });
--- a/src/kvstore/group_commit.h
+++ b/src/kvstore/group_commit.h
@@ -13,8 +13,9 @@
 // One transaction is on its way at a time; what comes meanwhile goes into the next.
 class GroupCommit {
  public:
-  GroupCommit(const Settings& settings, Io& io, StoreClient& client, RequestBudget& budget, StoreTally& tally)
-      : settings_(settings), io_(io), client_(client), budget_(budget), tally_(tally) {}
+  GroupCommit(const Settings& settings, Runtime& runtime, KeyValueClient& client, RequestBudget& budget,
+              RequestTally& tally)
+      : settings_(settings), runtime_(runtime), client_(client), budget_(budget), tally_(tally) {}
   // Always ends in one call of done. A conflict of another key in the transaction does not count.
   void create(wire::Write write, Duration deadline, std::function<void(TxnResult)> done);
   // How many have not had their turn.
@@ -38,10 +39,10 @@
   void commitLater();
 
   const Settings& settings_;
-  Io& io_;
-  StoreClient& client_;
+  Runtime& runtime_;
+  KeyValueClient& client_;
   RequestBudget& budget_;
-  StoreTally& tally_;
+  RequestTally& tally_;
   std::deque<Creation> waiting_;
   bool committing_ = false;
   bool commitPending_ = false;
--- a/src/kvstore/key_value_client.cpp
+++ b/src/kvstore/key_value_client.cpp
@@ -12,7 +12,7 @@
 
 std::string prefixOf(const std::string& key) { return key.substr(0, key.find('/') + 1); }
 
-// A transaction whose keys hang on a hold is small: 400 tells that the hold is gone.
+// A transaction whose keys hang on a lease is small: 400 tells that the lease is gone.
 TxnResult txnAnswered(const HttpResponse& response, bool onHold) {
   TxnResult out;
   switch (response.status) {
@@ -77,8 +77,8 @@
 
 }  // namespace
 
-void StoreClient::txn(Urgency urgency, const wire::Transaction& transaction, Duration deadline,
-                      std::function<void(TxnResult)> done) {
+void KeyValueClient::txn(Urgency urgency, const wire::Transaction& transaction, Duration deadline,
+                         std::function<void(TxnResult)> done) {
   for (const auto& write : transaction.apply) ++tally_.changes[prefixOf(write.key)];
   HttpRequest request{"POST", "/txn", wire::encodeTransaction(transaction), false};
   auto changes = static_cast<unsigned>(transaction.apply.size());
@@ -89,18 +89,18 @@
       [done = std::move(done), onHold](const HttpResult& result) { done(txnResultOf(result, onHold)); });
 }
 
-void StoreClient::get(Urgency urgency, const std::string& key, Duration deadline,
-                      std::function<void(GetResult)> done) {
+void KeyValueClient::get(Urgency urgency, const std::string& key, Duration deadline,
+                         std::function<void(GetResult)> done) {
   queue_.push(urgency, {"get", {"GET", "/keys/" + key, "", false}, 0}, deadline,
               [done = std::move(done)](const HttpResult& result) { done(getResultOf(result)); });
 }
 
-void StoreClient::list(Urgency urgency, const std::string& prefix, std::function<void(ListResult)> done) {
+void KeyValueClient::list(Urgency urgency, const std::string& prefix, std::function<void(ListResult)> done) {
   listFrom(urgency, prefix, "", std::make_shared<ListResult>(), std::move(done));
 }
 
-void StoreClient::listFrom(Urgency urgency, const std::string& prefix, const std::string& since,
-                           std::shared_ptr<ListResult> pages, std::function<void(ListResult)> done) {
+void KeyValueClient::listFrom(Urgency urgency, const std::string& prefix, const std::string& since,
+                              std::shared_ptr<ListResult> pages, std::function<void(ListResult)> done) {
   std::string path = "/keys?prefix=" + prefix + "&limit=1000";
   if (!since.empty()) path += "&since=" + since;
   auto listed = [this, urgency, prefix, pages, done = std::move(done)](const HttpResult& result) mutable {
@@ -117,15 +117,15 @@
   queue_.push(urgency, {"list", {"GET", path, "", false}, 0}, kListDeadline, std::move(listed));
 }
 
-void StoreClient::follow(const std::string& prefix, Version since, Duration wait, Duration deadline,
-                         std::function<void(FollowResult)> done) {
+void KeyValueClient::follow(const std::string& prefix, Version since, Duration wait, Duration deadline,
+                            std::function<void(FollowResult)> done) {
   std::string path = "/follow?prefix=" + prefix + "&since=" + std::to_string(since.value) +
                      "&wait_ms=" + std::to_string(wait.count());
   queue_.push(Urgency::Control, {"follow", {"GET", path, "", false}, 0}, deadline,
               [done = std::move(done)](const HttpResult& result) { done(followResultOf(result)); });
 }
 
-void StoreClient::openHold(Duration ttl, std::function<void(std::optional<std::uint64_t>)> done) {
+void KeyValueClient::openHold(Duration ttl, std::function<void(std::optional<std::uint64_t>)> done) {
   auto body = "{\"ttl_ms\":" + std::to_string(ttl.count()) + "}";
   queue_.push(Urgency::Hold, {"hold", {"POST", "/holds", body, false}, 0}, kOpenHoldDeadline,
               [done = std::move(done)](const HttpResult& result) {
@@ -133,7 +133,7 @@
               });
 }
 
-void StoreClient::renewHold(std::uint64_t hold, Duration deadline, std::function<void(HoldRenewal)> done) {
+void KeyValueClient::renewHold(std::uint64_t hold, Duration deadline, std::function<void(HoldRenewal)> done) {
   auto path = "/holds/" + std::to_string(hold) + "/renew";
   queue_.push(Urgency::Hold, {"hold", {"POST", path, "{}", false}, 0}, deadline,
               [done = std::move(done)](const HttpResult& result) { done(renewalOf(result)); });
--- a/src/kvstore/key_value_client.h
+++ b/src/kvstore/key_value_client.h
@@ -16,7 +16,7 @@
   enum class Outcome : std::uint8_t {
     Ok,
     Conflict,  // not executed, failed names the keys
-    NoHold,    // not executed, the hold is gone
+    NoHold,    // not executed, the lease is gone
     Refused,   // not executed, may be sent again
     Rejected,  // not executed, and never will be as it is: beyond the limits of the service
     Unknown,   // may have been executed, or may be yet
@@ -51,9 +51,9 @@
   wire::KeyPage news;
 };
 
-class StoreClient {
+class KeyValueClient {
  public:
-  StoreClient(RequestQueue& queue, StoreTally& tally) : queue_(queue), tally_(tally) {}
+  KeyValueClient(RequestQueue& queue, RequestTally& tally) : queue_(queue), tally_(tally) {}
   void txn(Urgency urgency, const wire::Transaction& transaction, Duration deadline,
            std::function<void(TxnResult)> done);
   void get(Urgency urgency, const std::string& key, Duration deadline, std::function<void(GetResult)> done);
@@ -69,7 +69,7 @@
                 std::shared_ptr<ListResult> pages, std::function<void(ListResult)> done);
 
   RequestQueue& queue_;
-  StoreTally& tally_;
+  RequestTally& tally_;
 };
 
 }  // namespace cherryloft
--- a/src/kvstore/key_value_store.cpp
+++ b/src/kvstore/key_value_store.cpp
@@ -18,93 +18,93 @@
 
 }  // namespace
 
-StateStore::StateStore(const Settings& settings, Io& io, Log log, std::uint64_t seed)
+KeyValueStore::KeyValueStore(const Settings& settings, Runtime& runtime, Log log, std::uint64_t seed)
     : settings_(settings),
-      io_(io),
+      runtime_(runtime),
       log_(std::move(log)),
       rng_(seed),
-      budget_(settings, io.now()),
-      queue_(settings, io, budget_, tally_, rng_),
+      budget_(settings, runtime.now()),
+      queue_(settings, runtime, budget_, tally_, rng_),
       client_(queue_, tally_),
-      creations_(settings, io, client_, budget_, tally_) {}
+      creations_(settings, runtime, client_, budget_, tally_) {}
 
-bool StateStore::crowded() const {
+bool KeyValueStore::crowded() const {
   return budget_.changes() < kShortOfChanges * budget_.changesPerSecond() || creations_.waiting() > 0;
 }
 
-std::size_t StateStore::unhurried() const {
+std::size_t KeyValueStore::unhurried() const {
   return crowded() ? std::max(settings_.txnOps / kUnhurriedPart, kLeastUnhurried) : settings_.txnOps;
 }
 
-Duration StateStore::workEvery() const {
+Duration KeyValueStore::workEvery() const {
   return seconds(std::min(kForWork / std::max(budget_.changesPerSecond(), kLeastRate), kMostWorkS));
 }
 
-std::optional<int> StateStore::creationsBackedUp() const {
+std::optional<int> KeyValueStore::creationsBackedUp() const {
   double rate = std::max(budget_.changesPerSecond() * kForCreations, kLeastRate);
   double waitS = static_cast<double>(creations_.waiting()) / rate;
   if (waitS <= kCreationsWaitS) return std::nullopt;
   return static_cast<int>(std::ceil(waitS));
 }
 
-void StateStore::txn(Urgency u, const wire::Transaction& t, Duration deadline,
-                     std::function<void(TxnResult)> done) {
+void KeyValueStore::txn(Urgency u, const wire::Transaction& t, Duration deadline,
+                        std::function<void(TxnResult)> done) {
   client_.txn(u, t, deadline, std::move(done));
 }
 
-void StateStore::create(wire::Write w, Duration deadline, std::function<void(TxnResult)> done) {
+void KeyValueStore::create(wire::Write w, Duration deadline, std::function<void(TxnResult)> done) {
   creations_.create(std::move(w), deadline, std::move(done));
 }
 
-void StateStore::get(Urgency u, const std::string& key, Duration deadline,
-                     std::function<void(GetResult)> done) {
+void KeyValueStore::get(Urgency u, const std::string& key, Duration deadline,
+                        std::function<void(GetResult)> done) {
   client_.get(u, key, deadline, std::move(done));
 }
 
-void StateStore::list(Urgency u, const std::string& prefix, std::function<void(ListResult)> done) {
+void KeyValueStore::list(Urgency u, const std::string& prefix, std::function<void(ListResult)> done) {
   client_.list(u, prefix, std::move(done));
 }
 
-void StateStore::openHold(Duration ttl, std::function<void(std::optional<std::uint64_t>)> done) {
+void KeyValueStore::openHold(Duration ttl, std::function<void(std::optional<std::uint64_t>)> done) {
   client_.openHold(ttl, std::move(done));
 }
 
-void StateStore::renewHold(std::uint64_t hold, Duration deadline, std::function<void(Renewal)> done) {
+void KeyValueStore::renewHold(std::uint64_t hold, Duration deadline, std::function<void(Renewal)> done) {
   client_.renewHold(hold, deadline, std::move(done));
 }
 
-void StateStore::mirror(const std::string& prefix, Changed changed) {
-  mirrors_.push_back(std::make_unique<Mirror>(io_, client_, rng_, prefix, std::move(changed)));
+void KeyValueStore::mirror(const std::string& prefix, Changed changed) {
+  mirrors_.push_back(std::make_unique<Mirror>(runtime_, client_, rng_, prefix, std::move(changed)));
   mirrors_.back()->restart();
 }
 
-bool StateStore::mirrored() const {
+bool KeyValueStore::mirrored() const {
   return std::all_of(mirrors_.begin(), mirrors_.end(), [](const auto& m) { return m->read(); });
 }
 
-Mirror* StateStore::find(const std::string& prefix) const {
+Mirror* KeyValueStore::find(const std::string& prefix) const {
   auto it =
       std::find_if(mirrors_.begin(), mirrors_.end(), [&](const auto& m) { return m->prefix() == prefix; });
   return it == mirrors_.end() ? nullptr : it->get();
 }
 
-Time StateStore::freshAt(const std::string& prefix) const {
+Time KeyValueStore::freshAt(const std::string& prefix) const {
   const auto* mirror = find(prefix);
   return mirror ? mirror->freshAt() : Time{};
 }
 
-Version StateStore::revisionOf(const std::string& prefix) const {
+Version KeyValueStore::revisionOf(const std::string& prefix) const {
   const auto* mirror = find(prefix);
   return mirror ? mirror->revision() : Version{};
 }
 
-void StateStore::catchUp(const std::string& prefix, std::function<void(bool)> done) {
+void KeyValueStore::catchUp(const std::string& prefix, std::function<void(bool)> done) {
   auto* mirror = find(prefix);
   if (!mirror) return done(false);
   mirror->catchUp(std::move(done));
 }
 
-void StateStore::restartWatches() {
+void KeyValueStore::restartWatches() {
   for (auto& mirror : mirrors_) mirror->restart();
 }
 
--- a/src/kvstore/key_value_store.h
+++ b/src/kvstore/key_value_store.h
@@ -18,13 +18,13 @@
 
 namespace cherryloft {
 
-class StateStore {
+class KeyValueStore {
  public:
   using Changed = Mirror::Changed;
   using Renewal = HoldRenewal;
-  using Tally = StoreTally;
+  using Tally = RequestTally;
 
-  StateStore(const Settings& settings, Io& io, Log log, std::uint64_t seed);
+  KeyValueStore(const Settings& settings, Runtime& runtime, Log log, std::uint64_t seed);
 
   void txn(Urgency u, const wire::Transaction& t, Duration deadline, std::function<void(TxnResult)> done);
   // This controller's part of the limits, as the load of all is not parted equally.
@@ -63,13 +63,13 @@
   Mirror* find(const std::string& prefix) const;
 
   const Settings& settings_;
-  Io& io_;
+  Runtime& runtime_;
   Log log_;
   std::mt19937_64 rng_;
   Tally tally_;
   RequestBudget budget_;
   RequestQueue queue_;
-  StoreClient client_;
+  KeyValueClient client_;
   GroupCommit creations_;
   std::vector<std::unique_ptr<Mirror>> mirrors_;
 };
--- a/src/kvstore/request_queue.cpp
+++ b/src/kvstore/request_queue.cpp
@@ -18,12 +18,12 @@
   // More questions than can have their turn in time: what can't is told at once, and never fills our memory.
   double inTime = std::max(budget_.requestsPerSecond() * inSeconds(deadline), 1.0);
   if (urgency == Urgency::User && static_cast<double>(queue.size()) > inTime) return drop(std::move(done));
-  queue.push_back({std::move(request), io_.now() + deadline, std::move(done)});
+  queue.push_back({std::move(request), runtime_.now() + deadline, std::move(done)});
   sendAffordable();
 }
 
 void RequestQueue::sendAffordable() {
-  auto now = io_.now();
+  auto now = runtime_.now();
   budget_.refill(now);
   for (std::size_t urgency = 0; urgency < queues_.size(); ++urgency) {
     auto& queue = queues_[urgency];
@@ -46,26 +46,26 @@
 void RequestQueue::send(Queued next) {
   budget_.spend(next.request.changes);
   ++tally_.requests[next.request.purpose];
-  auto deadline = std::max(next.giveUp - io_.now(), Duration{1});
+  auto deadline = std::max(next.giveUp - runtime_.now(), Duration{1});
   auto answered = [this, done = std::move(next.done)](HttpResult result) {
     if (result.answered(kTooManyRequests)) {
       ++tally_.refused;
-      budget_.pauseUntil(io_.now() + kPause + Duration{rng_() % kPauseJitterMs});
+      budget_.pauseUntil(runtime_.now() + kPause + Duration{rng_() % kPauseJitterMs});
     }
     done(std::move(result));
   };
-  io_.call(settings_.state, std::move(next.request.request), deadline, std::move(answered));
+  runtime_.call(settings_.state, std::move(next.request.request), deadline, std::move(answered));
 }
 
 // It was not sent: told from the loop, as its sender may not expect the word at once.
 void RequestQueue::drop(HttpDone done) {
   ++tally_.outOfTime;
-  io_.after(Duration{0}, [done = std::move(done)] { done({HttpResult::Outcome::NotSent, {}}); });
+  runtime_.after(Duration{0}, [done = std::move(done)] { done({HttpResult::Outcome::NotSent, {}}); });
 }
 
 void RequestQueue::sendLater() {
   if (std::exchange(sendPending_, true)) return;
-  io_.after(kLookAgain, [this] {
+  runtime_.after(kLookAgain, [this] {
     sendPending_ = false;
     sendAffordable();
   });
--- a/src/kvstore/request_queue.h
+++ b/src/kvstore/request_queue.h
@@ -16,7 +16,7 @@
 enum class Urgency : std::uint8_t { Hold, Control, Work, User, Count };
 
 // What was asked of the service, by purpose.
-struct StoreTally {
+struct RequestTally {
   std::map<std::string, std::uint64_t> requests, changes;
   std::uint64_t refused = 0;  // 429
   std::uint64_t outOfTime = 0;
@@ -30,9 +30,9 @@
 
 class RequestQueue {
  public:
-  RequestQueue(const Settings& settings, Io& io, RequestBudget& budget, StoreTally& tally,
+  RequestQueue(const Settings& settings, Runtime& runtime, RequestBudget& budget, RequestTally& tally,
                std::mt19937_64& rng)
-      : settings_(settings), io_(io), budget_(budget), tally_(tally), rng_(rng) {}
+      : settings_(settings), runtime_(runtime), budget_(budget), tally_(tally), rng_(rng) {}
   // Always ends in one call of done, at the latest when the deadline is over.
   void push(Urgency urgency, StoreRequest request, Duration deadline, HttpDone done);
 
@@ -48,9 +48,9 @@
   void sendLater();
 
   const Settings& settings_;
-  Io& io_;
+  Runtime& runtime_;
   RequestBudget& budget_;
-  StoreTally& tally_;
+  RequestTally& tally_;
   std::mt19937_64& rng_;
   std::array<std::deque<Queued>, static_cast<std::size_t>(Urgency::Count)> queues_;
   bool sendPending_ = false;
--- a/src/kvstore/watch_cache.cpp
+++ b/src/kvstore/watch_cache.cpp
@@ -25,14 +25,14 @@
 
 void Mirror::retry() {
   backoff_ = std::clamp(backoff_ * 2, kFirstBackoff, kMostBackoff);
-  io_.after(backoff_ + Duration{rng_() % kBackoffJitterMs}, [this, round = round_] {
+  runtime_.after(backoff_ + Duration{rng_() % kBackoffJitterMs}, [this, round = round_] {
     if (round == round_) restart();
   });
 }
 
 void Mirror::readAll() {
   auto round = ++round_;
-  client_.list(Urgency::Control, prefix_, [this, round, asked = io_.now()](const ListResult& result) {
+  client_.list(Urgency::Control, prefix_, [this, round, asked = runtime_.now()](const ListResult& result) {
     if (round == round_) listed(asked, result);
   });
 }
@@ -71,7 +71,7 @@
 void Mirror::follow() {
   auto round = ++round_;
   client_.follow(prefix_, revision_, kFollowWait, kFollowDeadline,
-                 [this, round, asked = io_.now()](const FollowResult& result) {
+                 [this, round, asked = runtime_.now()](const FollowResult& result) {
                    if (round == round_) followed(asked, result);
                  });
 }
@@ -117,7 +117,7 @@
 
 void Mirror::catchUp(std::function<void(bool)> done) {
   if (!read_) return done(false);
-  auto caughtUp = [this, asked = io_.now(), done = std::move(done)](const FollowResult& result) {
+  auto caughtUp = [this, asked = runtime_.now(), done = std::move(done)](const FollowResult& result) {
     using Outcome = FollowResult::Outcome;
     if (result.outcome == Outcome::TooOld && read_) readAgain();
     if (result.outcome != Outcome::News) return done(false);
--- a/src/kvstore/watch_cache.h
+++ b/src/kvstore/watch_cache.h
@@ -17,8 +17,12 @@
   // Is told every key at first and each change after that, in order.
   using Changed = std::function<void(const wire::KeyChange&)>;
 
-  Mirror(Io& io, StoreClient& client, std::mt19937_64& rng, std::string prefix, Changed changed)
-      : io_(io), client_(client), rng_(rng), prefix_(std::move(prefix)), changed_(std::move(changed)) {}
+  Mirror(Runtime& runtime, KeyValueClient& client, std::mt19937_64& rng, std::string prefix, Changed changed)
+      : runtime_(runtime),
+        client_(client),
+        rng_(rng),
+        prefix_(std::move(prefix)),
+        changed_(std::move(changed)) {}
   // Begins, or begins anew the request that is open: one from before a silence may never be answered.
   void restart();
   // Calls done once all that was committed before this call is in view; with false if that can't be told.
@@ -42,8 +46,8 @@
   void apply(Time asked, const wire::KeyPage& news);
   bool take(const wire::KeyChange& change);
 
-  Io& io_;
-  StoreClient& client_;
+  Runtime& runtime_;
+  KeyValueClient& client_;
   std::mt19937_64& rng_;
   std::string prefix_;
   Changed changed_;
--- a/src/log/log.h
+++ b/src/log/log.h
@@ -11,8 +11,8 @@
 
 using Log = std::shared_ptr<spdlog::logger>;
 
-inline Log makeLog(const std::string& node, const std::string& level) {
-  auto log = std::make_shared<spdlog::logger>(node, std::make_shared<spdlog::sinks::stderr_sink_st>());
+inline Log makeLog(const std::string& controller, const std::string& level) {
+  auto log = std::make_shared<spdlog::logger>(controller, std::make_shared<spdlog::sinks::stderr_sink_st>());
   log->set_level(level == "debug"  ? spdlog::level::debug
                  : level == "info" ? spdlog::level::info
                                    : spdlog::level::err);
--- a/src/net/loop.cpp
+++ b/src/net/loop.cpp
@@ -79,22 +79,22 @@
 void Loop::stop() { ev_break(loop_, EVBREAK_ALL); }
 
 Socket::Socket(Loop& loop, int fd, Ready ready) : loop_(loop), fd_(fd), ready_(std::move(ready)) {
-  ev_init(&io_, &Socket::fired);
-  io_.data = this;
+  ev_init(&runtime_, &Socket::fired);
+  runtime_.data = this;
 }
 
 Socket::~Socket() {
-  ev_io_stop(loop_.raw(), &io_);
+  ev_io_stop(loop_.raw(), &runtime_);
   ::close(fd_);
 }
 
 void Socket::watch(int events) {
   if (events == events_) return;
-  ev_io_stop(loop_.raw(), &io_);
+  ev_io_stop(loop_.raw(), &runtime_);
   events_ = events;
   if (events == 0) return;
-  ev_io_set(&io_, fd_, events);
-  ev_io_start(loop_.raw(), &io_);
+  ev_io_set(&runtime_, fd_, events);
+  ev_io_start(loop_.raw(), &runtime_);
 }
 
 void Socket::fired(struct ev_loop*, ev_io* w, int events) {
--- a/src/net/loop.h
+++ b/src/net/loop.h
@@ -67,7 +67,7 @@
   int fd_;
   int events_ = 0;
   Ready ready_;
-  ev_io io_;
+  ev_io runtime_;
 };
 
 }  // namespace cherryloft
--- a/src/net/tcp.cpp
+++ b/src/net/tcp.cpp
@@ -123,17 +123,17 @@
 void Stream::send(std::string bytes) {
   if (!socket_) return;
   if (queued() == 0) {
-    out_ = std::move(bytes);
+    callbacks_ = std::move(bytes);
     written_ = 0;
   } else {
-    out_ += bytes;
+    callbacks_ += bytes;
   }
   if (!connecting_) flush();
 }
 
 void Stream::flush() {
   while (socket_ && queued() > 0) {
-    auto n = ::send(fd_, out_.data() + written_, queued(), MSG_NOSIGNAL);
+    auto n = ::send(fd_, callbacks_.data() + written_, queued(), MSG_NOSIGNAL);
     if (n > 0) {
       written_ += static_cast<std::size_t>(n);
     } else if (n < 0 && errno == EINTR) {
@@ -145,7 +145,7 @@
     }
   }
   if (queued() == 0) {
-    out_.clear();
+    callbacks_.clear();
     written_ = 0;
     if (finishing_) return end();
   }
--- a/src/net/tcp.h
+++ b/src/net/tcp.h
@@ -36,7 +36,7 @@
   void close();
   bool open() const { return socket_ != nullptr; }
   bool connected() const { return !connecting_; }
-  std::size_t queued() const { return out_.size() - written_; }
+  std::size_t queued() const { return callbacks_.size() - written_; }
 
  private:
   void ready(int events);
@@ -49,7 +49,7 @@
   int fd_;
   bool connecting_;
   bool finishing_ = false;
-  std::string out_;
+  std::string callbacks_;
   std::size_t written_ = 0;
   Sink sink_;
   Ended ended_;
--- a/src/runtime/runtime.h
+++ b/src/runtime/runtime.h
@@ -8,9 +8,9 @@
 
 namespace cherryloft {
 
-class Io {
+class Runtime {
  public:
-  virtual ~Io() = default;
+  virtual ~Runtime() = default;
   virtual Time now() const = 0;
   virtual WallTime wall() const = 0;
   virtual void after(Duration d, std::function<void()> f) = 0;
--- a/src/scheduler/commands.cpp
+++ b/src/scheduler/commands.cpp
@@ -20,7 +20,7 @@
 }  // namespace
 
 // No task is named twice.
-void Scheduler::addOrders(std::vector<Order>& list, std::vector<Order> more) {
+void ShardScheduler::addOrders(std::vector<Order>& list, std::vector<Order> more) {
   std::set<std::pair<TaskId, Attempt>> named;
   for (const auto& o : list) named.insert({o.task, o.attempt});
   for (auto& o : more)
@@ -28,13 +28,13 @@
 }
 
 // How long a task that was stopped may save. A member of a gang that has saved waits for the others.
-Duration Scheduler::mostSaving(const Job& job) const {
+Duration ShardScheduler::mostSaving(const Job& job) const {
   return seconds(2 * job.spec->snapshotS + kSavingSlackS + (job.isGang() ? settings_.gangPeerS : 0));
 }
 
 // What the worker should do; for a check-in also what is repeated until it shows.
-std::vector<Order> Scheduler::orders(Machine& h, const wire::Report* checkIn) {
-  auto now = io_.now();
+std::vector<Order> ShardScheduler::orders(Machine& h, const wire::Report* checkIn) {
+  auto now = runtime_.now();
   std::vector<Order> out;
   if (!h.heard) return out;
   for (auto& [task, p] : h.placements) {
@@ -63,9 +63,9 @@
   return out;
 }
 
-// Entries of the last report that the books do not place there. Forgets go in answers to check-ins only:
-// by then no copy of their start can still arrive (invariant 3).
-void Scheduler::strayOrders(Machine& h, std::vector<Order>& out) {
+// Entries of the last report that the shard state do not place there. Forgets go in answers to check-ins
+// only: by then no copy of their start can still arrive (invariant 3).
+void ShardScheduler::strayOrders(Machine& h, std::vector<Order>& out) {
   bool mayForget = h.settled() && !h.directBusy;
   for (const auto& t : h.reported) {
     if (out.size() >= kMostOrders) return;
@@ -75,7 +75,7 @@
       out.push_back({Order::Verb::Stop, t.task, t.attempt, 0});
       continue;
     }
-    const Job* job = books_.job(t.task.job);
+    const Job* job = state_.job(t.task.job);
     if (job && t.task.index < job->tasks.size()) {
       const auto& task = job->tasks[t.task.index];
       // Done is committed before the last trace of it is forgotten (invariant 8).
@@ -85,8 +85,8 @@
   }
 }
 
-void Scheduler::direct(Machine& h) {
-  auto now = io_.now();
+void ShardScheduler::direct(Machine& h) {
+  auto now = runtime_.now();
   if (!owns()) return;
   if (h.directBusy) {
     h.directAgain = true;
@@ -115,22 +115,22 @@
   asking_ += ask;
   ++commanding_;
   Sent sent{h.token(), h.heard ? h.session : h.hint, std::pair(h.session, h.serial), ask};
-  io_.call(to, {"POST", "/commands", wire::encodeCommands(sent.token, sent.session, list), false},
-           kDirectDeadline, guarded([this, id = h.id, sent](HttpResult r) { directed(id, sent, r); }));
+  runtime_.call(to, {"POST", "/commands", wire::encodeCommands(sent.token, sent.session, list), false},
+                kDirectDeadline, guarded([this, id = h.id, sent](HttpResult r) { directed(id, sent, r); }));
 }
 
-// Machines that are gone from the books by now are left out.
-void Scheduler::directAll(const std::set<MachineId>& machines) {
+// Machines that are gone from the shard state by now are left out.
+void ShardScheduler::directAll(const std::set<MachineId>& machines) {
   for (const auto& id : machines)
-    if (Machine* h = books_.machine(id)) direct(*h);
+    if (Machine* h = state_.machine(id)) direct(*h);
 }
 
-void Scheduler::directed(const MachineId& id, const Sent& sent, const HttpResult& r) {
+void ShardScheduler::directed(const MachineId& id, const Sent& sent, const HttpResult& r) {
   if (sent.ask) --asking_;
   --commanding_;
-  Machine* h = books_.machine(id);
+  Machine* h = state_.machine(id);
   if (!h) return;
-  auto now = io_.now();
+  auto now = runtime_.now();
   h->directBusy = false;
   auto report = r.answered(200) || r.answered(409) ? wire::parseReport(r.response.body) : std::nullopt;
   if (report && report->machine == id) {
@@ -139,7 +139,7 @@
     bool older = std::pair(report->session, report->serial) <= sent.known;
     if (older || report->session <= h->expiredSession) reborn(*h, *report);
     apply(*h, *report, false);
-    h = books_.machine(id);
+    h = state_.machine(id);
     if (!h) return;
     // The first command could not know the session.
     bool missed = report->session != sent.session;
@@ -162,18 +162,18 @@
   bool relayed = h->askedInVain >= kAskedInVain && now - h->lastHeard < reportDue();
   h->directNotBefore = now + (relayed ? kAfterRelayed : kAfterUnknown);
   proven(*h, false);
-  books_.reindex(*h);
+  state_.reindex(*h);
 }
 
 // Perhaps only we can't reach it: then its check-ins are relayed, and it is not to be given up.
-void Scheduler::askThroughSiblings(Machine& h) {
+void ShardScheduler::askThroughSiblings(Machine& h) {
   Sent sent{h.token(), h.session, std::pair(h.session, h.serial), false};
-  out_.probe(h.address, guarded([this, id = h.id, sent](const std::string& body) {
-               auto report = wire::parseReport(body);
-               Machine* h = books_.machine(id);
-               if (!h || !report || report->machine != id || report->token > h->token()) return;
-               if (std::pair(report->session, report->serial) > sent.known) apply(*h, *report, false);
-             }));
+  callbacks_.probe(h.address, guarded([this, id = h.id, sent](const std::string& body) {
+                     auto report = wire::parseReport(body);
+                     Machine* h = state_.machine(id);
+                     if (!h || !report || report->machine != id || report->token > h->token()) return;
+                     if (std::pair(report->session, report->serial) > sent.known) apply(*h, *report, false);
+                   }));
 }
 
 }  // namespace cherryloft
--- a/src/scheduler/commits.cpp
+++ b/src/scheduler/commits.cpp
@@ -9,23 +9,23 @@
 constexpr std::size_t kKeyWeight = 200;
 }  // namespace
 
-wire::JobRecord Scheduler::doneRecord(const Job& job) const {
+wire::JobRecord ShardScheduler::doneRecord(const Job& job) const {
   return {JobStatus::Done, takeover_.shard, static_cast<std::uint32_t>(job.tasks.size()), job.submitted, {}};
 }
 
-wire::JobRecord Scheduler::abortedRecord(const Job& job) const {
+wire::JobRecord ShardScheduler::abortedRecord(const Job& job) const {
   auto tasks = static_cast<std::uint32_t>(job.tasks.size());
   return {JobStatus::Aborted, takeover_.shard, tasks, job.submitted, *job.spec, job.atOnce, job.delegations};
 }
 
 // The end of another shard's job is for its owner to write.
-void Scheduler::endIfFinished(const Job& job) {
+void ShardScheduler::endIfFinished(const Job& job) {
   if (job.status == JobStatus::Open && !job.delegation && job.finished()) ending_.insert(job.id);
 }
 
-void Scheduler::addTerminal(TransactionDraft& draft) {
+void ShardScheduler::addTerminal(TransactionDraft& draft) {
   for (auto it = ending_.begin(); it != ending_.end();) {
-    Job* job = books_.job(*it);
+    Job* job = state_.job(*it);
     if (!job || job->status != JobStatus::Open) {
       it = ending_.erase(it);
       continue;
@@ -40,19 +40,19 @@
 }
 
 // How many placements and completions one transaction can tell.
-std::size_t Scheduler::roundWidth() const {
+std::size_t ShardScheduler::roundWidth() const {
   constexpr std::size_t fact = 40;  // bytes, about, with what still stands of the page
   auto pages = std::clamp<std::size_t>(kMostWeight / settings_.valueBytes, 1, settings_.txnOps - 1);
   return pages * std::max<std::size_t>(settings_.valueBytes / fact, 1);
 }
 
-void Scheduler::addPages(TransactionDraft& draft) {
+void ShardScheduler::addPages(TransactionDraft& draft) {
   std::set<PageNo> taken;
   while (!fresh_.empty() && draft.hasRoom(settings_.valueBytes + kKeyWeight)) {
-    auto d = books_.draft(fresh_, taken);
+    auto d = state_.draft(fresh_, taken);
     if (!d) continue;
     draft.add({keys::page(takeover_.shard, d->number), wire::encodePage(d->record), {}},
-              books_.pages().at(d->number).version);
+              state_.pages().at(d->number).version);
     flight_->pages.push_back(d->number);
     for (const auto& [job, facts] : d->record.jobs) {
       for (const auto& e : facts.placed)
@@ -62,11 +62,11 @@
   }
 }
 
-void Scheduler::commit() {
-  if (committing_ || !owns() || io_.now() < commitNotBefore_) return;
+void ShardScheduler::commit() {
+  if (committing_ || !owns() || runtime_.now() < commitNotBefore_) return;
   if (!flight_) {
     // While changes are short, what comes within a moment shards a transaction; completions can wait longer.
-    auto now = io_.now();
+    auto now = runtime_.now();
     bool urgent = startsFresh_ || !ending_.empty();
     auto due = lastCommit_ + (urgent ? 1 : 3) * store_.workEvery();
     if (store_.crowded() && now < due && !(fresh_.empty() && ending_.empty())) return commitAt(due);
@@ -84,7 +84,7 @@
     // moment. The next owner learns from reports what is done, as nothing is forgotten before it is written
     // (invariant 8), and placements that were not written were not sent.
     if (!givingTo_) addPages(draft);
-    auto& pages = books_.pages();
+    auto& pages = state_.pages();
     auto spare = pages.spare({flight_->pages.begin(), flight_->pages.end()});
     bool drops = spare && !draft.empty() &&
                  draft.add({keys::page(takeover_.shard, *spare), std::nullopt, {}}, pages.at(*spare).version);
@@ -96,14 +96,14 @@
       if (givingTo_ && !gaveUpShare_) {
         // Nothing is on its way: let go. From here on this actor decides nothing.
         gaveUpShare_ = true;
-        out_.give(takeover_.version, *givingTo_, guarded([this](bool given) {
-                    gaveUpShare_ = false;
-                    givingTo_.reset();
-                    if (given)
-                      out_.abandon();
-                    else
-                      wake(true);
-                  }));
+        callbacks_.give(takeover_.version, *givingTo_, guarded([this](bool given) {
+                          gaveUpShare_ = false;
+                          givingTo_.reset();
+                          if (given)
+                            callbacks_.abandon();
+                          else
+                            wake(true);
+                        }));
       }
       return;
     }
@@ -112,16 +112,16 @@
   store_.txn(Urgency::Work, flight_->txn, Duration{2'000}, guarded([this](TxnResult r) { committed(r); }));
 }
 
-void Scheduler::commitAt(Time due) {
+void ShardScheduler::commitAt(Time due) {
   if (commitSet_) return;
   commitSet_ = true;
-  io_.after(due - io_.now(), guarded([this] {
-              commitSet_ = false;
-              commit();
-            }));
+  runtime_.after(due - runtime_.now(), guarded([this] {
+                   commitSet_ = false;
+                   commit();
+                 }));
 }
 
-void Scheduler::committed(const TxnResult& r) {
+void ShardScheduler::committed(const TxnResult& r) {
   committing_ = false;
   using O = TxnResult::Outcome;
   switch (r.outcome) {
@@ -131,27 +131,27 @@
     case O::Unknown:
       // The same again under the same conditions: either it is done now, or the conflict tells that it was
       // done before, or that the shard is another's.
-      commitNotBefore_ = io_.now() + Duration{60 + rng_() % 120};
-      io_.after(Duration{190}, guarded([this] { commit(); }));
+      commitNotBefore_ = runtime_.now() + Duration{60 + rng_() % 120};
+      runtime_.after(Duration{190}, guarded([this] { commit(); }));
       return;
     case O::Rejected:
       log_->error("share {}: the state service takes no transaction of that size", takeover_.shard.value);
-      return out_.abandon();
+      return callbacks_.abandon();
     case O::Conflict:
     case O::NoHold:
       log_->info("share {}: conflict on {}", takeover_.shard.value,
                  r.failed.empty() ? "?" : r.failed.front());
-      return out_.abandon();
+      return callbacks_.abandon();
   }
 }
 
-void Scheduler::takeEffect(const TxnResult& r) {
+void ShardScheduler::takeEffect(const TxnResult& r) {
   auto f = std::move(*flight_);
   flight_.reset();
-  for (auto n : f.pages) books_.pages().at(n).version = r.revision;
-  for (auto n : f.dropped) books_.pages().drop(n);
+  for (auto n : f.pages) state_.pages().at(n).version = r.revision;
+  for (auto n : f.dropped) state_.pages().drop(n);
   for (const auto& id : f.done)
-    if (Job* j = books_.job(id.job)) {
+    if (Job* j = state_.job(id.job)) {
       j->tasks[id.index].doneCommitted = true;
       j->tasks[id.index].flying = false;
     }
@@ -160,13 +160,13 @@
   for (const auto& written : f.returned) returnCommitted(written, r.revision);
   std::set<MachineId> machines;
   for (const auto& [machineId, task, attempt] : f.placed) {
-    if (Job* j = books_.job(task.job)) j->tasks[task.index].flying = false;
-    Machine* h = books_.machine(machineId);
+    if (Job* j = state_.job(task.job)) j->tasks[task.index].flying = false;
+    Machine* h = state_.machine(machineId);
     if (!h) continue;
     auto it = h->placements.find(task);
     if (it == h->placements.end() || it->second.attempt != attempt || it->second.committed) continue;
-    Books::commit(it->second);
-    spans_.toCommitted.add(io_.now() - it->second.placedAt);
+    ShardState::commit(it->second);
+    spans_.toCommitted.add(runtime_.now() - it->second.placedAt);
     if (!it->second.wanted || !h->open()) {
       // Never sent, so it is nowhere.
       lose(*h, task);
@@ -174,38 +174,38 @@
       continue;
     }
     machines.insert(machineId);
-    if (const Job* job = books_.job(task.job); job && job->isGang() && job->allCommitted())
+    if (const Job* job = state_.job(task.job); job && job->isGang() && job->allCommitted())
       for (const auto& member : job->tasks)
         if (member.machine) machines.insert(member.machine->id);
   }
   for (const auto& [id, status] : f.ended) {
-    Job* j = books_.job(id);
+    Job* j = state_.job(id);
     j->status = status;
     j->version = r.revision;
     log_->info("job {} {}", id.value, status == JobStatus::Done ? "done" : "aborted");
-    out_.ended(id, status, r.revision);
+    callbacks_.ended(id, status, r.revision);
     answerCancelWaiters(*j, status);
     if (status == JobStatus::Aborted) {
       lastAborted_ = std::max(lastAborted_, r.revision);
       j->waiting.clear();
       stopTasks(*j, machines);
     }
-    if (Job* left = books_.job(id)) cleanUp(*left);
+    if (Job* left = state_.job(id)) cleanUp(*left);
   }
   // Only now: a start must not go out beside the end of its own job.
   directAll(machines);
   wake(false);
 }
 
-void Scheduler::answerCancelWaiters(Job& job, JobStatus s) {
+void ShardScheduler::answerCancelWaiters(Job& job, JobStatus s) {
   auto waiting = std::move(job.cancelWaiters);
   job.cancelWaiters.clear();
   for (auto& w : waiting) w(s);
 }
 
-// Orders the end of all that is placed of a job, and names the machines. A job that is over leaves the books
-// with the last task that was never sent.
-void Scheduler::stopTasks(const Job& job, std::set<MachineId>& machines) {
+// Orders the end of all that is placed of a job, and names the machines. A job that is over leaves the shard
+// state with the last task that was never sent.
+void ShardScheduler::stopTasks(const Job& job, std::set<MachineId>& machines) {
   std::vector<std::pair<Machine*, TaskId>> placed;
   for (std::uint32_t i = 0; i < job.tasks.size(); ++i)
     if (Machine* h = job.tasks[i].machine) placed.emplace_back(h, TaskId{job.id, i});
@@ -215,20 +215,20 @@
   }
 }
 
-// A job that is over leaves the books once none of its tasks can be anywhere. What pages say of it is of no
-// more use then, and goes when they are written anew.
-void Scheduler::cleanUp(Job& job) {
+// A job that is over leaves the shard state once none of its tasks can be anywhere. What pages say of it is
+// of no more use then, and goes when they are written anew.
+void ShardScheduler::cleanUp(Job& job) {
   if (job.status == JobStatus::Open || job.placed > 0) return;
   auto id = job.id;
   bool remains = !job.delegation && job.remote > 0;  // with other shards
   if (job.status == JobStatus::Aborted && job.atOnce && !remains) left_.push_back(leftOf(job));
   if (remains) {
     auto sum = job.spec->each * static_cast<double>(job.remote);
-    elsewhere_[id] = {job.spec->team, sum, true, std::nullopt};  // the books count it already
+    elsewhere_[id] = {job.spec->team, sum, true, std::nullopt};  // the shard state count it already
   }
   delegatedHere_.erase(id);
   failures_.forget(id);
-  books_.removeJob(id);
+  state_.removeJob(id);
 }
 
 }  // namespace cherryloft
--- a/src/scheduler/delegation.cpp
+++ b/src/scheduler/delegation.cpp
@@ -33,7 +33,7 @@
 
 // --- the owner ---
 
-void Scheduler::reviewDelegations(Time now) {
+void ShardScheduler::reviewDelegations(Time now) {
   if (now - delegationsReviewed_ < kReviewEvery) return;
   delegationsReviewed_ = now;
   std::erase_if(partialOffers_,
@@ -50,11 +50,11 @@
     else
       wanted.jobs.push_back(partialRequest(*job));
   }
-  if (!wanted.jobs.empty()) out_.wantPartialRoom(wanted);
+  if (!wanted.jobs.empty()) callbacks_.wantPartialRoom(wanted);
 }
 
 // How many of its tasks are to go, and how many of them each zone may take where that matters.
-mesh::PartialRoomRequest Scheduler::partialRequest(const Job& job) const {
+mesh::PartialRoomRequest ShardScheduler::partialRequest(const Job& job) const {
   auto wanted = static_cast<std::uint32_t>(std::min<std::size_t>(job.waiting.size(), kMostDelegated));
   mesh::PartialRoomRequest request{job.id.value, std::min(wanted, tasksWithinLimit(job)), {}};
   if (!boundToZones(*job.spec)) {
@@ -69,18 +69,18 @@
   return request;
 }
 
-void Scheduler::partialRoomOffered(const mesh::PartialRoomOffer& offer) {
+void ShardScheduler::partialRoomOffered(const mesh::PartialRoomOffer& offer) {
   JobId id{offer.job};
-  if (!loaded_ || !owns() || !books_.job(id) || offer.room.tasks == 0) return;
+  if (!loaded_ || !owns() || !state_.job(id) || offer.room.tasks == 0) return;
   auto& offers = partialOffers_[id];
   ShardId shard{offer.shard};
   std::erase_if(offers, [&](const PartialOffer& o) { return o.shard == shard; });
-  offers.push_back({shard, zoneNamed(offer.room.zone), offer.room.tasks, io_.now()});
+  offers.push_back({shard, zoneNamed(offer.room.zone), offer.room.tasks, runtime_.now()});
 }
 
 // Hands tasks to those who offered room, the largest offer first. A gang goes only if all of it finds room,
 // with what there is here.
-bool Scheduler::planDelegations(Job& job, Time now) {
+bool ShardScheduler::planDelegations(Job& job, Time now) {
   auto found = partialOffers_.find(job.id);
   if (found == partialOffers_.end()) return false;
   auto offers = std::move(found->second);
@@ -116,13 +116,13 @@
   return false;
 }
 
-void Scheduler::delegate(Job& job, const PartialOffer& offer, std::uint32_t most) {
+void ShardScheduler::delegate(Job& job, const PartialOffer& offer, std::uint32_t most) {
   Delegation d{offer.shard, offer.zone, {}, job.gangAttempt};
   most = std::min({most, offer.tasks, kMostDelegated});
   while (d.tasks.size() < most && (!offer.zone || zoneAllows(job, *offer.zone))) {
     auto index = job.waiting.front();
     job.waiting.pop_front();
-    books_.makeRemote(job, index, offer.zone);
+    state_.makeRemote(job, index, offer.zone);
     d.tasks.push_back(index);
   }
   if (d.tasks.empty()) return;
@@ -134,7 +134,7 @@
 }
 
 // A member of a gang is gone: the others can't go on without it, wherever they are.
-void Scheduler::planRecall(Job& job) {
+void ShardScheduler::planRecall(Job& job) {
   if (std::exchange(job.recalling, true)) return;
   auto& write = delegationWrites_[job.id];
   write.job = job.id;
@@ -142,7 +142,7 @@
 }
 
 // Of a gang whose members here are not placed a former owner may have tried some: it starts anew as a whole.
-void Scheduler::resumeDelegations(Job& job) {
+void ShardScheduler::resumeDelegations(Job& job) {
   if (job.delegation && job.delegation->recalled) recallDelegated(job);
   if (job.delegation || job.remote == 0 || job.spec->shape != Shape::Gang) return;
   bool recalled = std::any_of(job.delegations.begin(), job.delegations.end(),
@@ -153,23 +153,25 @@
     gangBroken(job);
 }
 
-void Scheduler::undoPlan(Job& job, const std::vector<Delegation>& planned) {
+void ShardScheduler::undoPlan(Job& job, const std::vector<Delegation>& planned) {
   for (const auto& d : planned)
-    for (auto index : d.tasks) books_.remoteBack(job, index, d.zone, false);
+    for (auto index : d.tasks) state_.remoteBack(job, index, d.zone, false);
   std::sort(job.waiting.begin(), job.waiting.end());
 }
 
 // Whatever the delegates give back, done or not, the record must stay within a value.
-bool Scheduler::staysWithinValue(const wire::JobRecord& record) const {
+bool ShardScheduler::staysWithinValue(const wire::JobRecord& record) const {
   std::size_t tasks = 0;
   for (const auto& d : record.delegations) tasks += d.tasks.size();
   return wire::encodeJobRecord(record).size() + tasks * kTaskBytes <= settings_.valueBytes;
 }
 
-// The job's record as it is known, with the change; nothing while the directory lags behind our own writes.
-std::optional<wire::JobRecord> Scheduler::recordWith(const Job& job, const DelegationWrite& change) const {
-  auto known = dir_.jobs.find(job.id);
-  bool current = known != dir_.jobs.end() && known->second.version == job.version &&
+// The job's record as it is known, with the change; nothing while the cluster view lags behind our own
+// writes.
+std::optional<wire::JobRecord> ShardScheduler::recordWith(const Job& job,
+                                                          const DelegationWrite& change) const {
+  auto known = view_.jobs.find(job.id);
+  bool current = known != view_.jobs.end() && known->second.version == job.version &&
                  known->second.status == JobStatus::Open;
   if (!current || !job.open() || !job.cancelWaiters.empty()) return std::nullopt;
   wire::JobRecord record{
@@ -186,9 +188,9 @@
   return record;
 }
 
-void Scheduler::addDelegations(TransactionDraft& draft) {
+void ShardScheduler::addDelegations(TransactionDraft& draft) {
   for (auto it = delegationWrites_.begin(); it != delegationWrites_.end();) {
-    Job* job = books_.job(it->first);
+    Job* job = state_.job(it->first);
     if (!job || !job->open()) {
       if (job) undoPlan(*job, it->second.planned);
       it = delegationWrites_.erase(it);
@@ -214,15 +216,15 @@
 }
 
 // The directory may have shown it before the answer came, and what the delegates wrote since.
-void Scheduler::delegationsCommitted(const DelegationWrite& written, Version version) {
-  Job* job = books_.job(written.job);
+void ShardScheduler::delegationsCommitted(const DelegationWrite& written, Version version) {
+  Job* job = state_.job(written.job);
   if (!job || job->version >= version) return;
   job->version = version;
   job->delegations.insert(job->delegations.end(), written.planned.begin(), written.planned.end());
 }
 
 // What delegates gave back, done or not.
-void Scheduler::ownedJobChanged(Job& job, const KnownJob& known) {
+void ShardScheduler::ownedJobChanged(Job& job, const JobEntry& known) {
   if (known.status != JobStatus::Open || job.status != JobStatus::Open || job.version >= known.version)
     return;
   job.version = known.version;
@@ -233,7 +235,7 @@
     for (auto index : before.tasks) {
       if ((now && now->covers(index)) || job.tasks[index].state != TaskState::Remote) continue;
       bool done = std::binary_search(known.doneElsewhere.begin(), known.doneElsewhere.end(), index);
-      books_.remoteBack(job, index, before.zone, done);
+      state_.remoteBack(job, index, before.zone, done);
       if (done) fresh_.push_back({job.id, index});  // for a page, so that the record need not keep it
       notDone |= !done;
       any = true;
@@ -251,15 +253,15 @@
 
 // --- the delegate ---
 
-void Scheduler::partialRoomWanted(const mesh::PartialRoomWanted& wanted) {
-  auto now = io_.now();
+void ShardScheduler::partialRoomWanted(const mesh::PartialRoomWanted& wanted) {
+  auto now = runtime_.now();
   if (!loaded_ || !owns() || givingTo_ || gaveUpShare_ || now - partialOfferedAt_ < kBetweenOffers) return;
   for (const auto& request : wanted.jobs) {
     JobId id{request.job};
-    auto known = dir_.jobs.find(id);
+    auto known = view_.jobs.find(id);
     bool theirs =
-        known != dir_.jobs.end() && known->second.shard == ShardId{wanted.shard} && known->second.spec;
-    if (!theirs || known->second.status != JobStatus::Open || books_.job(id)) continue;
+        known != view_.jobs.end() && known->second.shard == ShardId{wanted.shard} && known->second.spec;
+    if (!theirs || known->second.status != JobStatus::Open || state_.job(id)) continue;
     Job probe;
     probe.id = id;
     probe.spec = known->second.spec;
@@ -271,13 +273,13 @@
     }
     if (offer.room.tasks == 0) continue;
     partialOfferedAt_ = now;
-    return out_.offerPartialRoom(offer);
+    return callbacks_.offerPartialRoom(offer);
   }
 }
 
-Job& Scheduler::acceptDelegation(const JobId& id, const KnownJob& known, const Delegation& delegation) {
-  auto& job = books_.addJob(id, known, &delegation);
-  job.since = io_.now();
+Job& ShardScheduler::acceptDelegation(const JobId& id, const JobEntry& known, const Delegation& delegation) {
+  auto& job = state_.addJob(id, known, &delegation);
+  job.since = runtime_.now();
   delegatedHere_.insert(id);
   // A gang's attempt is tried once; whether a former owner of this shard did is not known.
   if (!loaded_ && delegation.attempt) job.begun = true;
@@ -285,9 +287,9 @@
   return job;
 }
 
-void Scheduler::delegatedJobChanged(const JobId& id, const KnownJob& known) {
+void ShardScheduler::delegatedJobChanged(const JobId& id, const JobEntry& known) {
   const auto* mine = findDelegation(known.delegations, takeover_.shard);
-  Job* job = books_.job(id);
+  Job* job = state_.job(id);
   if (!job) {
     auto returned = returnedAt_.find(id);
     bool stale = returned != returnedAt_.end() && known.version < returned->second;
@@ -308,7 +310,7 @@
 }
 
 // Nothing new is placed, and what is placed ends.
-void Scheduler::recallDelegated(Job& job) {
+void ShardScheduler::recallDelegated(Job& job) {
   if (std::exchange(job.recalling, true)) return;
   job.notBefore = Time::max();
   std::set<MachineId> machines;
@@ -317,20 +319,20 @@
   wake(false);
 }
 
-void Scheduler::abortDelegated(Job& job) {
+void ShardScheduler::abortDelegated(Job& job) {
   auto id = job.id;
   job.status = JobStatus::Aborted;
   job.waiting.clear();
   std::set<MachineId> machines;
   stopTasks(job, machines);
-  if (Job* left = books_.job(id)) cleanUp(*left);
+  if (Job* left = state_.job(id)) cleanUp(*left);
   directAll(machines);
   wake(true);
 }
 
 // Tasks that go back to the owner: all that are not placed, once nothing is left to do, or once what waits
 // found no room for long or is asked back. Of a gang, as soon as none is placed.
-std::vector<std::uint32_t> Scheduler::returnable(const Job& job, Time now) const {
+std::vector<std::uint32_t> ShardScheduler::returnable(const Job& job, Time now) const {
   bool over = job.placed == 0 && job.waiting.empty();
   bool inVain = now - std::max(job.since, job.placedLast) >= kReturnsAfter;
   bool gangEnded = job.delegation->attempt && job.begun && job.placed == 0;
@@ -341,21 +343,21 @@
   return tasks;
 }
 
-bool Scheduler::anyReturnable(Time now) const {
+bool ShardScheduler::anyReturnable(Time now) const {
   return std::any_of(delegatedHere_.begin(), delegatedHere_.end(), [&](const JobId& id) {
-    auto job = books_.jobs().find(id);
-    return job != books_.jobs().end() && job->second.status == JobStatus::Open &&
+    auto job = state_.jobs().find(id);
+    return job != state_.jobs().end() && job->second.status == JobStatus::Open &&
            !returnable(job->second, now).empty();
   });
 }
 
-void Scheduler::addReturns(TransactionDraft& draft) {
+void ShardScheduler::addReturns(TransactionDraft& draft) {
   for (const auto& id : delegatedHere_) {
-    Job* job = books_.job(id);
-    auto known = dir_.jobs.find(id);
-    bool current = job && known != dir_.jobs.end() && known->second.version == job->version;
+    Job* job = state_.job(id);
+    auto known = view_.jobs.find(id);
+    bool current = job && known != view_.jobs.end() && known->second.version == job->version;
     if (!current || job->status != JobStatus::Open || known->second.status != JobStatus::Open) continue;
-    auto tasks = returnable(*job, io_.now());
+    auto tasks = returnable(*job, runtime_.now());
     if (tasks.empty()) continue;
     const auto& k = known->second;
     wire::JobRecord record{JobStatus::Open, k.shard,  k.tasks,       k.submitted,
@@ -376,8 +378,8 @@
   }
 }
 
-void Scheduler::returnCommitted(const DelegationReturn& written, Version version) {
-  Job* job = books_.job(written.job);
+void ShardScheduler::returnCommitted(const DelegationReturn& written, Version version) {
+  Job* job = state_.job(written.job);
   if (!job || job->status != JobStatus::Open) return;
   job->version = version;
   for (auto index : written.tasks) {
@@ -393,11 +395,11 @@
   returnedAt_[written.job] = version;
   delegatedHere_.erase(written.job);
   failures_.forget(written.job);
-  books_.removeJob(written.job);
+  state_.removeJob(written.job);
 }
 
 // A cancellation of a delegated job is confirmed by its owner, and we see it in the mirror (invariant 16).
-bool Scheduler::mayNotKnowCancellations(Time now) const {
+bool ShardScheduler::mayNotKnowCancellations(Time now) const {
   return !delegatedHere_.empty() && now >= store_.freshAt(keys::kJobs) + settings_.blindFor();
 }
 
--- a/src/scheduler/failure_attribution.cpp
+++ b/src/scheduler/failure_attribution.cpp
@@ -19,14 +19,14 @@
 
 }  // namespace
 
-bool FailureHistory::failsEverywhere(const JobRecord& record) {
+bool FailureAttribution::failsEverywhere(const JobRecord& record) {
   if (record.worksOn.empty()) return record.failedOn.size() >= kMachinesToBlameJob;
   return std::any_of(record.byTask.begin(), record.byTask.end(),
                      [](const auto& task) { return task.second.size() >= kMachinesToBlameJob; });
 }
 
-std::optional<Duration> FailureHistory::failed(const TaskId& task, const MachineId& machine, Duration ranFor,
-                                               std::size_t machines, Time now) {
+std::optional<Duration> FailureAttribution::failed(const TaskId& task, const MachineId& machine,
+                                                   Duration ranFor, std::size_t machines, Time now) {
   auto& record = jobs_[task.job];
   // Many tasks that one machine fails together count once.
   bool another = record.failedOn.insert_or_assign(machine, now).second;
@@ -41,17 +41,17 @@
   return std::min(kFirstBackOff * (1 << doublings), kLongestBackOff);
 }
 
-void FailureHistory::completed(const JobId& job, const MachineId& machine, Time now) {
+void FailureAttribution::completed(const JobId& job, const MachineId& machine, Time now) {
   blame_.erase(machine);
   lastFailure_.erase(machine);
   works(job, machine, now);
 }
 
-void FailureHistory::keptRunning(const JobId& job, const MachineId& machine, Time now) {
+void FailureAttribution::keptRunning(const JobId& job, const MachineId& machine, Time now) {
   works(job, machine, now);
 }
 
-void FailureHistory::works(const JobId& job, const MachineId& machine, Time now) {
+void FailureAttribution::works(const JobId& job, const MachineId& machine, Time now) {
   auto& record = jobs_[job];
   record.failuresInARow = 0;
   if (record.worksOn.size() < kWorkingMachinesKept) record.worksOn.insert(machine);
@@ -59,7 +59,7 @@
 }
 
 // Decides anew whom the job's failures count against.
-void FailureHistory::settle(const JobId& job, const JobRecord& record, Time now) {
+void FailureAttribution::settle(const JobId& job, const JobRecord& record, Time now) {
   for (const auto& failure : record.failedOn) {
     const MachineId& machine = failure.first;
     bool worksElsewhere = std::any_of(record.worksOn.begin(), record.worksOn.end(),
@@ -71,32 +71,32 @@
   }
 }
 
-std::vector<JobId> FailureHistory::undecided() const {
+std::vector<JobId> FailureAttribution::undecided() const {
   std::vector<JobId> out;
   for (const auto& [id, record] : jobs_)
     if (!record.failedOn.empty() && record.worksOn.empty()) out.push_back(id);
   return out;
 }
 
-Duration FailureHistory::contrastAfter(const JobId& job) const {
+Duration FailureAttribution::contrastAfter(const JobId& job) const {
   const auto* record = find(job);
   return (record ? kLongerThanFailed * record->longestRun : Duration{}) + 2 * reportInterval_;
 }
 
-bool FailureHistory::suspect(const JobId& job) const {
+bool FailureAttribution::suspect(const JobId& job) const {
   const auto* record = find(job);
   return record && record->worksOn.empty() && record->failuresInARow >= kFailuresToBackOff;
 }
 
-bool FailureHistory::avoids(const JobId& job, const MachineId& machine, std::size_t machines,
-                            Time now) const {
+bool FailureAttribution::avoids(const JobId& job, const MachineId& machine, std::size_t machines,
+                                Time now) const {
   const auto* record = find(job);
   if (!record || record->failedOn.size() >= machines) return false;
   auto failed = record->failedOn.find(machine);
   return failed != record->failedOn.end() && now - failed->second <= kKeepsOff;
 }
 
-std::vector<MachineId> FailureHistory::faulty(const JobId& job, Time now) const {
+std::vector<MachineId> FailureAttribution::faulty(const JobId& job, Time now) const {
   std::vector<MachineId> out;
   const auto* record = find(job);
   if (!record) return out;
@@ -110,14 +110,14 @@
   return out;
 }
 
-void FailureHistory::forget(const JobId& job) { jobs_.erase(job); }
+void FailureAttribution::forget(const JobId& job) { jobs_.erase(job); }
 
-bool FailureHistory::unsettled(const MachineId& machine, Time now) const {
+bool FailureAttribution::unsettled(const MachineId& machine, Time now) const {
   auto failed = lastFailure_.find(machine);
   return failed != lastFailure_.end() && now - failed->second <= kSettlesWithin;
 }
 
-void FailureHistory::forget(const MachineId& machine) {
+void FailureAttribution::forget(const MachineId& machine) {
   blame_.erase(machine);
   lastFailure_.erase(machine);
   for (auto& [_, record] : jobs_) {
@@ -126,7 +126,7 @@
   }
 }
 
-const FailureHistory::JobRecord* FailureHistory::find(const JobId& job) const {
+const FailureAttribution::JobRecord* FailureAttribution::find(const JobId& job) const {
   auto it = jobs_.find(job);
   return it == jobs_.end() ? nullptr : &it->second;
 }
--- a/src/scheduler/failure_attribution.h
+++ b/src/scheduler/failure_attribution.h
@@ -16,9 +16,9 @@
 
 namespace cherryloft {
 
-class FailureHistory {
+class FailureAttribution {
  public:
-  explicit FailureHistory(Duration reportInterval) : reportInterval_(reportInterval) {}
+  explicit FailureAttribution(Duration reportInterval) : reportInterval_(reportInterval) {}
 
   // A task failed after it had run for so long. Returns how long its job should wait before the next try, if
   // it should; machines is how many there are to try.
--- a/src/scheduler/gangs.cpp
+++ b/src/scheduler/gangs.cpp
@@ -11,11 +11,11 @@
 namespace cherryloft {
 
 // What each zone that the gang may be in has for it.
-std::vector<policy::GangZone> Scheduler::gangZones(const Job& job) const {
+std::vector<policy::GangZone> ShardScheduler::gangZones(const Job& job) const {
   const auto& spec = *job.spec;
   std::map<Zone, policy::GangZone> zones;
   for (const auto& [zone, room] : roomByZone(job)) zones[zone] = {zone, room, 0, spec.imageGb};
-  for (const auto& pool : books_.pools()) {
+  for (const auto& pool : state_.pools()) {
     auto zone = zones.find(pool.zone);
     if (zone == zones.end() || !allowedIn(job, pool) || pool.fetchGbPerS <= 0) continue;
     bool fits = pool.anyRoom(spec.each, settings_.tuning.sample, [](const Machine&) { return true; });
@@ -34,7 +34,7 @@
 }
 
 // Machines for all its members in one pass, or none of them. False: it is blocked.
-bool Scheduler::placeGang(Job& job) {
+bool ShardScheduler::placeGang(Job& job) {
   if (job.placed > 0 || job.recalling) return true;  // what is left of an earlier try must go first
   if (job.delegation && job.begun) return true;      // its attempt was tried: it goes back to its owner
   if (!job.spec->oneZone) return placeWhole(job);
@@ -47,7 +47,7 @@
   return false;
 }
 
-bool Scheduler::placeWhole(Job& job) {
+bool ShardScheduler::placeWhole(Job& job) {
   auto all = static_cast<unsigned>(job.waiting.size());
   auto placedLast = job.placedLast;
   bool begun = job.begun;
@@ -55,7 +55,7 @@
   if (placeSome(job, all) == all) return true;
   fresh_.resize(before);
   for (std::uint32_t i = 0; i < job.tasks.size(); ++i)
-    if (Machine* h = job.tasks[i].machine) books_.gone(*h, TaskId{job.id, i}, io_.now());
+    if (Machine* h = job.tasks[i].machine) state_.gone(*h, TaskId{job.id, i}, runtime_.now());
   std::sort(job.waiting.begin(), job.waiting.end());
   job.placedLast = placedLast;  // it waits on
   job.begun = begun;
@@ -64,20 +64,20 @@
 
 // A member is gone: the others can't go on without it and start anew with it. What they did since the last
 // checkpoint is lost with it, so that they need not try to save.
-void Scheduler::gangBroken(Job& job) {
+void ShardScheduler::gangBroken(Job& job) {
   if (!job.isGang() || job.status != JobStatus::Open || job.gangDone()) return;
   if (job.remote > 0 && !job.delegation) planRecall(job);
   stopGang(job, true);
 }
 
 // One decision stops all members: a save succeeds only if each is told soon after the first.
-void Scheduler::stopGang(Job& job, bool mayNotSave) {
+void ShardScheduler::stopGang(Job& job, bool mayNotSave) {
   std::vector<std::pair<MachineId, TaskId>> members;
   for (std::uint32_t i = 0; i < job.tasks.size(); ++i)
     if (const Machine* h = job.tasks[i].machine) members.emplace_back(h->id, TaskId{job.id, i});
   std::set<MachineId> on;
   for (const auto& [id, task] : members) {
-    Machine* h = books_.machine(id);
+    Machine* h = state_.machine(id);
     auto member = h->placements.find(task);
     if (member == h->placements.end() || !member->second.wanted) continue;
     member->second.mayNotSave |= mayNotSave;
@@ -88,19 +88,19 @@
 }
 
 // Members complete together: once one is known to be done, so is what is known gone of the others.
-void Scheduler::settleDoneGang(Job& job) {
-  if (job.gangDone()) Books::doneWaiting(job);
+void ShardScheduler::settleDoneGang(Job& job) {
+  if (job.gangDone()) ShardState::doneWaiting(job);
 }
 
 // A former owner wrote some members only, or lost one: what there is ends, and the gang starts as a whole.
-void Scheduler::restoreGang(Job& job) {
+void ShardScheduler::restoreGang(Job& job) {
   settleDoneGang(job);
   if (job.placed > 0 && !job.waiting.empty()) gangBroken(job);
 }
 
 // The least costly way to make room for all members, in one zone if they must be in one; nothing if there is
 // none.
-std::optional<std::vector<Scheduler::PlannedEviction>> Scheduler::planRoomForGang(
+std::optional<std::vector<ShardScheduler::PlannedEviction>> ShardScheduler::planRoomForGang(
     const Ranked& blocked, const std::vector<Machine*>& peeked, const RoomToCome& room) const {
   const Job& job = *blocked.job;
   // By zone, or all together.
@@ -119,7 +119,7 @@
 }
 
 // Room for all members on these machines.
-std::optional<std::vector<Scheduler::PlannedEviction>> Scheduler::planRoomOn(
+std::optional<std::vector<ShardScheduler::PlannedEviction>> ShardScheduler::planRoomOn(
     const Ranked& blocked, const std::vector<Machine*>& machines, RoomToCome room) const {
   std::vector<PlannedEviction> plan;
   std::set<TaskId> taken;
@@ -138,7 +138,7 @@
 }
 
 // Stops others for a gang only if that makes room for all of it.
-void Scheduler::makeRoomForGang(const Ranked& blocked, RoomToCome& room, std::set<MachineId>& changed) {
+void ShardScheduler::makeRoomForGang(const Ranked& blocked, RoomToCome& room, std::set<MachineId>& changed) {
   const Job& job = *blocked.job;
   if (job.placed > 0 || tasksWithinLimit(job) < job.waiting.size()) return;
   auto plan = planRoomForGang(blocked, peekForRoom(job), room);
--- a/src/scheduler/heartbeats.cpp
+++ b/src/scheduler/heartbeats.cpp
@@ -15,22 +15,22 @@
 
 }  // namespace
 
-Scheduler::CheckInAnswer Scheduler::checkIn(const wire::Report& r) {
-  auto now = io_.now();
+ShardScheduler::CheckInAnswer ShardScheduler::checkIn(const wire::Report& r) {
+  auto now = runtime_.now();
   if (!leaseValidity_.answers(now)) return {503, R"({"error":"not entitled"})"};
   if (!loaded_) {
     // Its lease must not run out while we load; build() counts the time from its own, later, moment. What the
     // former owner cancelled may be unknown to us, for so long only (invariant 16).
     if (now >= store_.freshAt(keys::kJobs) + settings_.blindFor())
       return {503, R"({"error":"the share is not loaded"})"};
-    auto known = dir_.machines.find(r.machine);
-    if (known == dir_.machines.end()) return {503, R"({"error":"unknown machine"})"};
+    auto known = view_.machines.find(r.machine);
+    if (known == view_.machines.end()) return {503, R"({"error":"unknown machine"})"};
     auto base = tokenOf(std::max(known->second.record.token, takeover_.epoch));
     if (r.token > base) return {421, "{}"};
-    return {200, wire::encodeOrders(base, dir_.endsOfAborted(r))};
+    return {200, wire::encodeOrders(base, view_.endsOfAborted(r))};
   }
   if (mayNotKnowCancellations(now)) return {503, R"({"error":"cancellations may be unknown"})"};
-  Machine* h = books_.machine(r.machine);
+  Machine* h = state_.machine(r.machine);
   if (!h) return {503, R"({"error":"unknown machine"})"};
   if (r.token > h->token()) {
     // Invariant 5: somebody else has the right to this machine now.
@@ -38,22 +38,22 @@
     return {421, "{}"};
   }
   bool news = apply(*h, r, true);
-  h = books_.machine(r.machine);
+  h = state_.machine(r.machine);
   if (!h) return {503, R"({"error":"unknown machine"})"};
   // Until it has acknowledged our token, a former owner may be answering it as well (invariant 6).
   if (!h->heard) h->aliveUntil = std::max(h->aliveUntil, now + leaseAfterAnswer());
   // What is aborted ends with every answer: its lease must not go on without (invariant 16).
-  auto list = dir_.endsOfAborted(r);
+  auto list = view_.endsOfAborted(r);
   // A late copy gets no other orders: whoever waits for its answer, the present machine does not (invariant
   // 12).
   if (owns() && news) addOrders(list, orders(*h, &r));
   return {200, wire::encodeOrders(h->token(), list)};
 }
 
-Duration Scheduler::leaseAfterAnswer() const { return seconds(settings_.leaseS * 1.002 + 1.0); }
+Duration ShardScheduler::leaseAfterAnswer() const { return seconds(settings_.leaseS * 1.002 + 1.0); }
 
-bool Scheduler::apply(Machine& h, const wire::Report& r, bool checkIn) {
-  auto now = io_.now();
+bool ShardScheduler::apply(Machine& h, const wire::Report& r, bool checkIn) {
+  auto now = runtime_.now();
   bool trusted = r.token >= h.base;
   if (!h.heard && !trusted) {
     // It may be a copy from any time before: nothing in it is the present but that what is done is done
@@ -95,7 +95,7 @@
   }
   proven(h, h.settled());
   if (!first && !wasStale && !dropped && !h.attention && r.tasks == h.reported && !r.reclaimInS) {
-    books_.reindex(h);
+    state_.reindex(h);
     if (h.indexedFree && *h.indexedFree > 0) wake(false, &h.id);
     return true;  // as before
   }
@@ -110,8 +110,8 @@
     auto& p = it->second;
     if (p.shown && p.phase == t.phase) continue;
     if (!p.shown && !p.restored) spans_.toShown.add(now - p.placedAt);
-    books_.setPhase(p, t.phase, now);
-    books_.cached(h, p.job->spec->image, p.job->spec->imageGb);
+    state_.setPhase(p, t.phase, now);
+    state_.cached(h, p.job->spec->image, p.job->spec->imageGb);
   }
   absent(h, r, checkIn);
   h.heard = true;
@@ -121,30 +121,30 @@
   bool pending =
       std::any_of(h.placements.begin(), h.placements.end(), [](const auto& p) { return p.second.pending(); });
   h.attention = pending || h.directAgain || !h.settled();
-  books_.reindex(h);
+  state_.reindex(h);
   bool freed = h.placements.size() < before || first || wasStale;
   wake(freed, &h.id);
   return true;
 }
 
 // What was sent under the token so far has no effect once the worker has seen the next (invariant 3).
-void Scheduler::raiseToken(Machine& h) {
+void ShardScheduler::raiseToken(Machine& h) {
   h.unsettled = h.token();
   ++h.raises;
 }
 
 // Reports come; do they show that our answers arrive (invariant 11)?
-void Scheduler::proven(Machine& h, bool yes) {
+void ShardScheduler::proven(Machine& h, bool yes) {
   if (yes)
     h.unprovenSince.reset();
   else if (!h.unprovenSince)
-    h.unprovenSince = io_.now();
+    h.unprovenSince = runtime_.now();
 }
 
 // The machine's own answer to a question is older than what it said before the question: a new worker, that
 // counts from one again, has taken the place of the old one. What the old one held is gone with it, but
 // starts that were on their way may reach the new one, until it has seen a higher token (invariant 3).
-void Scheduler::reborn(Machine& h, const wire::Report& r) {
+void ShardScheduler::reborn(Machine& h, const wire::Report& r) {
   log_->info("{} began anew", h.id.value);
   h.session = h.hint = r.session;
   h.serial = Serial{r.serial.value - 1};
@@ -163,11 +163,11 @@
 }
 
 // The task is known gone from the machine.
-void Scheduler::lose(Machine& h, const TaskId& task) {
+void ShardScheduler::lose(Machine& h, const TaskId& task) {
   auto it = h.placements.find(task);
   if (it == h.placements.end()) return;  // went together with another member of its gang
   Job& job = *it->second.job;
-  books_.gone(h, task, io_.now());
+  state_.gone(h, task, runtime_.now());
   settleDoneGang(job);
   endIfFinished(job);
   gangBroken(job);
@@ -175,7 +175,7 @@
 }
 
 // The worker killed and forgot everything of the sessions before (invariant 2).
-void Scheduler::newSession(Machine& h) {
+void ShardScheduler::newSession(Machine& h) {
   h.unsettled.reset();
   h.reported.clear();
   std::vector<TaskId> lost;
@@ -187,7 +187,7 @@
 }
 
 // Placements that a newer report does not show: which of them are known gone (invariants 2, 3 and 4).
-void Scheduler::absent(Machine& h, const wire::Report& r, bool checkIn) {
+void ShardScheduler::absent(Machine& h, const wire::Report& r, bool checkIn) {
   std::set<std::pair<TaskId, Attempt>> present;
   for (const auto& t : r.tasks) present.insert({t.task, t.attempt});
   std::vector<TaskId> lost;
@@ -211,9 +211,9 @@
   }
 }
 
-void Scheduler::noticed(Machine& h, const wire::Report& r) {
+void ShardScheduler::noticed(Machine& h, const wire::Report& r) {
   if (!r.reclaimInS) return;
-  auto now = io_.now();
+  auto now = runtime_.now();
   bool first = !h.reclaimAt;
   h.reclaimAt = now + seconds(*r.reclaimInS);
   if (!first) return;
@@ -233,11 +233,11 @@
     else
       stop(h, task, it->second);
   }
-  books_.reindex(h);
+  state_.reindex(h);
   direct(h);
 }
 
-void Scheduler::stop(Machine& h, const TaskId& id, Placement& p) {
+void ShardScheduler::stop(Machine& h, const TaskId& id, Placement& p) {
   p.wanted = false;
   h.attention = true;
   if (!p.committed || p.sent || p.restored) return;
--- a/src/scheduler/job_migration.cpp
+++ b/src/scheduler/job_migration.cpp
@@ -23,23 +23,23 @@
 
 }  // namespace
 
-bool Scheduler::waitsLong(const Job& job, Time now) const {
+bool ShardScheduler::waitsLong(const Job& job, Time now) const {
   return job.open() && !job.waiting.empty() && !job.delegation && !job.recalling && now >= job.notBefore &&
          now - std::max(job.since, job.placedLast) >= kAsksOthersAfter;
 }
 
 // Its team is under its limit, and no machine of ours could take a task of it, or all of a gang.
-bool Scheduler::waitsInVain(const Job& job) const {
-  if (!books_.withinLimit(job)) return false;
+bool ShardScheduler::waitsInVain(const Job& job) const {
+  if (!state_.withinLimit(job)) return false;
   if (job.spec->shape == Shape::Gang) return job.placed == 0 && roomFor(job) < job.waiting.size();
   return !anyRoom(job);
 }
 
 // The oldest jobs that have waited long in vain, untouched ones or others: some tasks of those have begun, or
 // they must be placed whole. Only so many of the oldest are looked at, as under overload all wait.
-std::vector<Job*> Scheduler::oldestInVain(bool untouched, Time now) {
+std::vector<Job*> ShardScheduler::oldestInVain(bool untouched, Time now) {
   std::vector<Job*> waiting;
-  for (auto& [_, job] : books_.jobs()) {
+  for (auto& [_, job] : state_.jobs()) {
     if (!waitsLong(job, now)) continue;
     bool begun = job.placed > 0 || job.done > 0 || job.remote > 0;
     if (untouched ? !begun : begun || job.spec->shape == Shape::Gang) waiting.push_back(&job);
@@ -57,14 +57,14 @@
 }
 
 // Its transfer is about to be written, or on its way: no transaction writes a job's record twice.
-bool Scheduler::transferPlanned(const JobId& id) const {
+bool ShardScheduler::transferPlanned(const JobId& id) const {
   bool planned =
       std::any_of(transfers_.begin(), transfers_.end(), [&](const auto& t) { return t.job == id; });
   bool underWay = flight_ && std::count(flight_->transferred.begin(), flight_->transferred.end(), id) > 0;
   return planned || underWay || elsewhere_.count(id) > 0;
 }
 
-void Scheduler::reviewTransfers(Time now) {
+void ShardScheduler::reviewTransfers(Time now) {
   if (now - transfersReviewed_ < kReviewEvery) return;
   transfersReviewed_ = now;
   releaseElsewhere(now);
@@ -86,15 +86,15 @@
     offers_.erase(offer);
     wake(false);
   }
-  if (!wanted.jobs.empty()) out_.wantRoom(wanted);
+  if (!wanted.jobs.empty()) callbacks_.wantRoom(wanted);
 }
 
 // How many more of its tasks its team's limit allows for.
-std::uint32_t Scheduler::tasksWithinLimit(const Job& job) const {
+std::uint32_t ShardScheduler::tasksWithinLimit(const Job& job) const {
   const auto& spec = *job.spec;
   if (job.atOnce) return *job.atOnce - std::min(*job.atOnce, job.placed + job.remote);
   if (!job.team) return 0;
-  auto use = books_.teamUse(spec.team);
+  auto use = state_.teamUse(spec.team);
   auto fits = [&](double left, double each) {
     return each > 0 ? std::floor((left + kResourceSlack) / each) : static_cast<double>(spec.tasks);
   };
@@ -105,7 +105,7 @@
 
 // How many of its tasks may be elsewhere at once, if the team's limit allows for any: all that it allows for,
 // as more room may come free there. Replicas and members of a gang are all to run together.
-std::optional<std::uint32_t> Scheduler::mayRunElsewhere(const Job& job) const {
+std::optional<std::uint32_t> ShardScheduler::mayRunElsewhere(const Job& job) const {
   if (job.atOnce) return job.atOnce;
   auto most = tasksWithinLimit(job);
   if (most == 0 || (most < job.spec->tasks && job.spec->shape != Shape::Array)) return std::nullopt;
@@ -114,14 +114,14 @@
 
 // --- the shard that has room ---
 
-void Scheduler::roomWanted(const mesh::RoomWanted& wanted) {
-  auto now = io_.now();
+void ShardScheduler::roomWanted(const mesh::RoomWanted& wanted) {
+  auto now = runtime_.now();
   if (!loaded_ || !owns() || givingTo_ || gaveUpShare_ || now - offeredAt_ < kBetweenOffers) return;
   for (const auto& name : wanted.jobs) {
     JobId id{name};
-    auto known = dir_.jobs.find(id);
+    auto known = view_.jobs.find(id);
     bool theirs =
-        known != dir_.jobs.end() && known->second.shard == ShardId{wanted.shard} && known->second.spec;
+        known != view_.jobs.end() && known->second.shard == ShardId{wanted.shard} && known->second.spec;
     if (!theirs || known->second.status != JobStatus::Open) continue;
     Job job;
     job.id = id;
@@ -129,15 +129,15 @@
     auto tasks = roomFor(job);
     if (tasks == 0 || (job.spec->shape == Shape::Gang && tasks < job.spec->tasks)) continue;
     offeredAt_ = now;
-    return out_.offerRoom({takeover_.shard.value, wanted.shard, name, tasks});
+    return callbacks_.offerRoom({takeover_.shard.value, wanted.shard, name, tasks});
   }
 }
 
 // How many of the job's tasks our machines have room for now, with up to K looked at in each pool.
-std::map<Zone, std::uint32_t> Scheduler::roomByZone(const Job& job) const {
+std::map<Zone, std::uint32_t> ShardScheduler::roomByZone(const Job& job) const {
   const auto& spec = *job.spec;
   std::map<Zone, std::uint32_t> found;
-  for (const auto& pool : books_.pools()) {
+  for (const auto& pool : state_.pools()) {
     if (!allowedIn(job, pool)) continue;
     auto& inZone = found[pool.zone];
     auto at = pool.withRoom(spec.each.cores);
@@ -151,7 +151,7 @@
   return found;
 }
 
-std::uint32_t Scheduler::roomFor(const Job& job) const {
+std::uint32_t ShardScheduler::roomFor(const Job& job) const {
   std::uint32_t sum = 0, most = 0;
   for (const auto& [_, tasks] : roomByZone(job)) {
     sum += tasks;
@@ -160,18 +160,18 @@
   return std::min(job.spec->oneZone ? most : sum, job.spec->tasks);
 }
 
-void Scheduler::roomOffered(const mesh::RoomOffer& offer) {
+void ShardScheduler::roomOffered(const mesh::RoomOffer& offer) {
   JobId id{offer.job};
-  if (!loaded_ || !owns() || !books_.job(id)) return;
+  if (!loaded_ || !owns() || !state_.job(id)) return;
   auto& best = offers_[id];
-  if (offer.tasks > best.tasks) best = {ShardId{offer.shard}, offer.tasks, io_.now()};
+  if (offer.tasks > best.tasks) best = {ShardId{offer.shard}, offer.tasks, runtime_.now()};
 }
 
 // --- the write, and what it means for the team's limit ---
 
-void Scheduler::addTransfers(TransactionDraft& draft) {
+void ShardScheduler::addTransfers(TransactionDraft& draft) {
   for (const auto& transfer : std::exchange(transfers_, {})) {
-    const Job* job = books_.job(transfer.job);
+    const Job* job = state_.job(transfer.job);
     bool still = job && job->open() && job->placed == 0 && job->done == 0 && job->cancelWaiters.empty();
     wire::Write w;
     if (still) {
@@ -182,7 +182,7 @@
     }
     if (!still || w.value->size() > settings_.valueBytes || !draft.add(std::move(w), job->version)) {
       if (auto counted = elsewhere_.find(transfer.job); counted != elsewhere_.end()) {
-        books_.uncountElsewhere(counted->second.team, counted->second.sum);
+        state_.uncountElsewhere(counted->second.team, counted->second.sum);
         elsewhere_.erase(counted);
       }
       continue;
@@ -193,7 +193,7 @@
   }
 }
 
-Scheduler::Left Scheduler::leftOf(const Job& job) const {
+ShardScheduler::Left ShardScheduler::leftOf(const Job& job) const {
   auto record = abortedRecord(job);
   record.atOnce = 0;
   record.delegations.clear();
@@ -201,29 +201,30 @@
 }
 
 // A record that does not get its turn now is left as it is: the team's own shard then waits for cancel_s.
-void Scheduler::addLeft(TransactionDraft& draft) {
+void ShardScheduler::addLeft(TransactionDraft& draft) {
   for (auto& left : std::exchange(left_, {}))
     draft.add({keys::job(left.job), std::move(left.value), {}}, left.version);
 }
 
-void Scheduler::transferred(const JobId& id) {
+void ShardScheduler::transferred(const JobId& id) {
   if (auto counted = elsewhere_.find(id); counted != elsewhere_.end()) counted->second.committed = true;
-  Job* job = books_.job(id);
+  Job* job = state_.job(id);
   if (!job) return;
   answerCancelWaiters(*job, JobStatus::Open);  // they ask again, and the other owner is told
   failures_.forget(id);
-  books_.removeJob(id);
+  state_.removeJob(id);
 }
 
-void Scheduler::countElsewhere(const JobId& id, const JobSpec& spec, std::uint32_t tasks, bool committed) {
+void ShardScheduler::countElsewhere(const JobId& id, const JobSpec& spec, std::uint32_t tasks,
+                                    bool committed) {
   auto sum = spec.each * static_cast<double>(tasks);
   elsewhere_[id] = {spec.team, sum, committed, std::nullopt};
-  books_.countElsewhere(spec.team, sum);
+  state_.countElsewhere(spec.team, sum);
 }
 
 // A new owner: what was transferred before its takeover is in view by then.
-void Scheduler::countAllElsewhere() {
-  for (const auto& [id, known] : dir_.jobs) {
+void ShardScheduler::countAllElsewhere() {
+  for (const auto& [id, known] : view_.jobs) {
     if (known.shard == takeover_.shard && known.status == JobStatus::Aborted) countDelegated(id, known);
     bool gone = known.shard == takeover_.shard || !known.spec || known.status == JobStatus::Done;
     if (gone || settings_.shardOfTeam(known.spec->team) != takeover_.shard) continue;
@@ -232,21 +233,21 @@
 }
 
 // What other shards had of a job of ours when it was aborted may still be there for a while.
-void Scheduler::countDelegated(const JobId& id, const KnownJob& known) {
+void ShardScheduler::countDelegated(const JobId& id, const JobEntry& known) {
   std::size_t tasks = 0;
   for (const auto& d : known.delegations) tasks += d.tasks.size();
-  bool counted = books_.job(id) || elsewhere_.count(id) > 0;
+  bool counted = state_.job(id) || elsewhere_.count(id) > 0;
   if (tasks == 0 || !known.spec || counted) return;
   countElsewhere(id, *known.spec, static_cast<std::uint32_t>(tasks), true);
 }
 
 // Done: nothing of it is anywhere. Aborted: the other owner says when nothing is left, which is within
 // cancel_s of the commit that we see here.
-void Scheduler::releaseElsewhere(Time now) {
+void ShardScheduler::releaseElsewhere(Time now) {
   for (auto it = elsewhere_.begin(); it != elsewhere_.end();) {
     auto& counted = it->second;
-    auto known = dir_.jobs.find(it->first);
-    bool over = counted.committed && known != dir_.jobs.end();
+    auto known = view_.jobs.find(it->first);
+    bool over = counted.committed && known != view_.jobs.end();
     if (over && known->second.status == JobStatus::Aborted) {
       if (!counted.abortedSince) counted.abortedSince = now;
       over = known->second.atOnce == 0U ||
@@ -258,7 +259,7 @@
       ++it;
       continue;
     }
-    books_.uncountElsewhere(counted.team, counted.sum);
+    state_.uncountElsewhere(counted.team, counted.sum);
     it = elsewhere_.erase(it);
     wake(true);
   }
--- a/src/scheduler/liveness.cpp
+++ b/src/scheduler/liveness.cpp
@@ -20,16 +20,18 @@
 }  // namespace
 
 // How long it has had the chance to be heard and was not: our own standstill is no silence of its.
-Duration Scheduler::silence(const Machine& h) const { return io_.now() - std::max(h.lastHeard, resumed_); }
+Duration ShardScheduler::silence(const Machine& h) const {
+  return runtime_.now() - std::max(h.lastHeard, resumed_);
+}
 
-Duration Scheduler::reportDue() const { return seconds(settings_.reportS * kLateReports); }
+Duration ShardScheduler::reportDue() const { return seconds(settings_.reportS * kLateReports); }
 
 // Its report should have been here by now.
-bool Scheduler::late(const Machine& h) const { return silence(h) > reportDue() + kLate; }
+bool ShardScheduler::late(const Machine& h) const { return silence(h) > reportDue() + kLate; }
 
-void Scheduler::watchSilence(Machine& h, Time now) {
+void ShardScheduler::watchSilence(Machine& h, Time now) {
   bool over = now > h.aliveUntil && (h.heard || !h.placements.empty());
-  if (over && now > out_.answeredElsewhere() + leaseAfterAnswer()) {
+  if (over && now > callbacks_.answeredElsewhere() + leaseAfterAnswer()) {
     // Its lease has run out whatever happened (invariant 2); what it still says of that session is old.
     log_->info("{} was silent for its whole lease", h.id.value);
     h.expiredSession = h.session;
@@ -46,13 +48,13 @@
   }
   if (!h.stale && silence(h) > seconds(settings_.reportS * kFreshReports)) {
     h.stale = true;
-    books_.reindex(h);
+    state_.reindex(h);
   }
   if (!h.heard || late(h)) h.attention = true;
 }
 
 // Silent though it was asked, or heard without a sign that it hears us (invariant 11).
-bool Scheduler::doubtful(const Machine& h, Time now) const {
+bool ShardScheduler::doubtful(const Machine& h, Time now) const {
   if (h.known.record.phase != wire::MachinePhase::InUse) return false;
   bool deaf = h.unprovenSince && now - std::max(*h.unprovenSince, resumed_) >
                                      seconds(settings_.reportS * kDeafReports) + kDeafBeyond;
@@ -66,11 +68,11 @@
 // shard or of a zone is in doubt the fault is likely not theirs, and leases decide. Of those that were ever
 // up all that are late count for that: those behind a cut come into doubt one after the other, over a whole
 // report interval, and the first of them must not be given up for want of the rest.
-void Scheduler::giveUpDoubtful(Time now) {
+void ShardScheduler::giveUpDoubtful(Time now) {
   std::vector<Machine*> doubts;
   std::map<Zone, std::pair<double, double>> zones;  // late or doubtful, all
   double suspects = 0, all = 0;
-  for (auto& [_, h] : books_.machines()) {
+  for (auto& [_, h] : state_.machines()) {
     bool doubt = doubtful(h, now);
     if (!doubt && !h.heard && h.known.record.address.empty()) continue;
     auto& z = zones[h.zone()];
@@ -92,7 +94,7 @@
     if (h->returnNow || (z != zoneInDoubt_.end() && now - z->second < settle)) continue;
     log_->info("{} {} and is returned", h->id.value, h->unprovenSince ? "does not hear us" : "is silent");
     h->returnNow = h->leaving = true;
-    books_.reindex(*h);
+    state_.reindex(*h);
   }
 }
 
--- a/src/scheduler/load_reports.cpp
+++ b/src/scheduler/load_reports.cpp
@@ -15,11 +15,11 @@
 constexpr unsigned kLooked = 64;
 }  // namespace
 
-std::string Scheduler::account() {
+std::string ShardScheduler::account() {
   std::size_t open = 0, waiting = 0;
-  for (const auto& [_, j] : books_.jobs()) open += j.open(), waiting += j.waiting.size();
+  for (const auto& [_, j] : state_.jobs()) open += j.open(), waiting += j.waiting.size();
   std::size_t booting = 0, silent = 0, doubtful = 0, emptying = 0, leaving = 0;  // why machines are not open
-  for (const auto& [_, h] : books_.machines()) {
+  for (const auto& [_, h] : state_.machines()) {
     if (h.open()) continue;
     bool goes = h.leaving || h.reclaimAt || h.known.record.phase != wire::MachinePhase::InUse;
     (goes                                         ? leaving
@@ -36,20 +36,20 @@
       "leaving), {} pages; {} starts in {} rounds, widest "
       "{}, "
       "{} machines looked at, {} stopped for others; ms to placed {}; to committed {}; to shown {}",
-      takeover_.shard.value, open, waiting, books_.machines().size(), books_.openMachines().size(), booting,
-      silent, doubtful, emptying, leaving, books_.pages().count(), n, std::exchange(spans_.rounds, 0),
+      takeover_.shard.value, open, waiting, state_.machines().size(), state_.openMachines().size(), booting,
+      silent, doubtful, emptying, leaving, state_.pages().count(), n, std::exchange(spans_.rounds, 0),
       std::exchange(spans_.widest, 0), looked, std::exchange(spans_.evicted, 0), spans_.toPlaced.take(),
       spans_.toCommitted.take(), spans_.toShown.take());
 }
 
 // Zones that the job's next task may go to, if no machine in any of them could ever take it or, once it has
 // waited for a while, can take it now.
-void Scheduler::stuckZones(const Job& job, mesh::Demand& d) const {
+void ShardScheduler::stuckZones(const Job& job, mesh::Demand& d) const {
   std::vector<std::string> open;
-  bool full = io_.now() - std::max(job.since, job.placedLast) > kZoneIsFull;
+  bool full = runtime_.now() - std::max(job.since, job.placedLast) > kZoneIsFull;
   for (const auto& z : settings_.zones) {
     if (!zoneAllows(job, z)) continue;
-    for (const auto& p : books_.pools()) {
+    for (const auto& p : state_.pools()) {
       const auto& s = *job.spec;
       bool fits = p.zone == z && s.allowsType(p.type) && s.each.fitsIn(p.size) && (!p.spot || s.lendable);
       // One that boots is on its way; of others, after a while, only those with room count.
@@ -64,29 +64,29 @@
 
 // Tasks that are to be placed as soon as there is room. A job that has never worked is tried with one at a
 // time, and machines are neither rented nor kept for it between two tries.
-std::size_t Scheduler::wantsRoomFor(const Job& job, Time now) const {
+std::size_t ShardScheduler::wantsRoomFor(const Job& job, Time now) const {
   if (job.atOnce)
     return std::min<std::size_t>(job.waiting.size(), *job.atOnce - std::min(job.placed, *job.atOnce));
   if (!failures_.suspect(job.id)) return job.waiting.size();
   return now < job.notBefore ? 0 : std::min<std::size_t>(job.waiting.size(), 1);
 }
 
-void Scheduler::sendLoad() {
-  auto now = io_.now();
+void ShardScheduler::sendLoad() {
+  auto now = runtime_.now();
   mesh::ShardLoad load;
   load.shard = takeover_.shard.value;
   load.epoch = takeover_.epoch.value;
-  for (auto& p : books_.pools()) p.booting = 0;
-  for (auto& [_, h] : books_.machines())
+  for (auto& p : state_.pools()) p.booting = 0;
+  for (auto& [_, h] : state_.machines())
     h.pool->booting +=
         !h.heard && h.known.record.address.empty() && h.known.record.phase == wire::MachinePhase::InUse;
   std::map<const mesh::Demand*, std::pair<double, double>> left;  // core seconds and cores not done yet
-  for (auto& [id, job] : books_.jobs()) {
+  for (auto& [id, job] : state_.jobs()) {
     auto& d = job.spec->lendable ? load.lendable : load.firm;
     const auto& each = job.spec->each;
     d.used += each.cores * job.placed;
     if (!job.open()) continue;
-    double limit = job.team ? std::max(0.0, job.team->coresMax - books_.teamUse(job.spec->team).cores) : 0;
+    double limit = job.team ? std::max(0.0, job.team->coresMax - state_.teamUse(job.spec->team).cores) : 0;
     auto& w = fragile(job) ? load.firm : d;
     auto waiting = wantsRoomFor(job, now);
     w.waiting += std::min(each.cores * static_cast<double>(waiting), limit);
@@ -115,7 +115,7 @@
   // first. Replicas do not end by themselves, and where they are their images are, for new ones.
   std::vector<const Machine*> named;
   std::array<std::vector<const Machine*>, 2> busy;
-  for (const auto& [_, h] : books_.machines())
+  for (const auto& [_, h] : state_.machines())
     (!h.open() || h.placements.empty() ? named : busy[h.spot()]).push_back(&h);
   for (auto& kind : busy) {
     auto few = std::min(kBusyNamed, kind.size());
@@ -129,11 +129,12 @@
   for (const Machine* h : named) {
     double idle = h->placements.empty() ? inSeconds(now - h->idleSince) : 0;
     bool draining = h->leaving || h->reclaimAt || h->known.record.phase != wire::MachinePhase::InUse;
-    load.machines.push_back({h->id.value, h->known.record.type, h->zone().value, h->spot(), h->free().cores,
-                             idle, h->open(), draining, h->emptying, idle <= 0 && !movableReplicas(*h),
-                             static_cast<double>(io_.wall().value - h->known.record.since.value) / 1000.0});
+    load.machines.push_back(
+        {h->id.value, h->known.record.type, h->zone().value, h->spot(), h->free().cores, idle, h->open(),
+         draining, h->emptying, idle <= 0 && !movableReplicas(*h),
+         static_cast<double>(runtime_.wall().value - h->known.record.since.value) / 1000.0});
   }
-  out_.load(load);
+  callbacks_.load(load);
 }
 
 }  // namespace cherryloft
--- a/src/scheduler/machine_drain.cpp
+++ b/src/scheduler/machine_drain.cpp
@@ -5,37 +5,37 @@
 
 namespace cherryloft {
 
-void Scheduler::wish(const mesh::MachineDirective& w) {
-  Machine* h = books_.machine(MachineId{w.machine});
+void ShardScheduler::wish(const mesh::MachineDirective& w) {
+  Machine* h = state_.machine(MachineId{w.machine});
   if (!loaded_ || !owns() || !h || h->leaving) return;
   switch (w.kind) {
     case mesh::MachineDirective::Keep:
       h->emptying = false;
-      books_.reindex(*h);
+      state_.reindex(*h);
       return wake(true);
     case mesh::MachineDirective::Cede:
       if (h->replicaCores > 0) return;
       h->leaving = true;
       h->giveTo = static_cast<std::int32_t>(w.toShard);
-      books_.reindex(*h);
+      state_.reindex(*h);
       return;
     case mesh::MachineDirective::Empty:
       h->emptying = true;
-      books_.reindex(*h);
+      state_.reindex(*h);
       return;
     default:
       if (!h->placements.empty()) return;
       // A faulty machine is idle all the time, and must not go from shard to shard before it is known for
       // one.
-      if (w.kind == mesh::MachineDirective::Move && failures_.unsettled(h->id, io_.now())) return;
+      if (w.kind == mesh::MachineDirective::Move && failures_.unsettled(h->id, runtime_.now())) return;
       h->leaving = true;
       h->giveTo = w.kind == mesh::MachineDirective::Move ? static_cast<std::int32_t>(w.toShard) : -1;
-      books_.reindex(*h);
+      state_.reindex(*h);
   }
 }
 
 // The machine's replicas, if all of them could move to machines that have their image and so be back at once.
-std::optional<std::vector<TaskId>> Scheduler::movableReplicas(const Machine& h) const {
+std::optional<std::vector<TaskId>> ShardScheduler::movableReplicas(const Machine& h) const {
   std::map<std::uint32_t, Resources> room;               // less what moves there
   std::map<std::pair<const Job*, Zone>, unsigned> come;  // replicas that move into a zone
   std::vector<TaskId> move;
@@ -62,14 +62,14 @@
 }
 
 // A machine that is to empty itself: arrays end by themselves, then replicas are moved.
-void Scheduler::settleEmptying(Machine& h) {
+void ShardScheduler::settleEmptying(Machine& h) {
   if (!h.emptying || h.leaving || h.placements.empty()) return;  // once empty, the leader says where it goes
   for (const auto& [_, p] : h.placements)
     if (p.job->spec->shape != Shape::Service || !p.wanted) return;
   auto move = movableReplicas(h);
   if (!move) {
     h.emptying = false;
-    books_.reindex(h);
+    state_.reindex(h);
     return;
   }
   log_->info("moving {} replicas off {}", move->size(), h.id.value);
@@ -79,7 +79,7 @@
 }
 
 // Nothing of ours can still act on it.
-bool Scheduler::mayLeave(const Machine& h) const {
+bool ShardScheduler::mayLeave(const Machine& h) const {
   return h.giveTo && h.placements.empty() && h.settled() && !h.directBusy;
 }
 
--- a/src/scheduler/machine_records_writer.cpp
+++ b/src/scheduler/machine_records_writer.cpp
@@ -13,9 +13,9 @@
 }  // namespace
 
 // What is to change in the machine groups, by their keys.
-std::map<std::string, Scheduler::GroupChange> Scheduler::groupChanges(Time now) {
+std::map<std::string, ShardScheduler::GroupChange> ShardScheduler::groupChanges(Time now) {
   std::map<std::string, GroupChange> changes;
-  for (auto& [_, h] : books_.machines()) {
+  for (auto& [_, h] : state_.machines()) {
     if (h.known.record.phase != wire::MachinePhase::InUse) continue;
     if (h.returnNow || (mayLeave(h) && *h.giveTo < 0)) {
       changes[h.known.group].back.insert(h.id);
@@ -31,7 +31,7 @@
 }
 
 // A fleet boots and goes in groups, so one write tells of many.
-void Scheduler::settleRecords(Time now) {
+void ShardScheduler::settleRecords(Time now) {
   if (recordsBusy_ || now < recordsNotBefore_) return;
   auto changes = groupChanges(now);
   if (changes.empty()) return;
@@ -44,8 +44,8 @@
   TransactionDraft draft(settings_.txnOps);
   draft.require(keys::shard(takeover_.shard), takeover_.version);
   // What we sent under our token must have no effect under the next owner's (invariant 5).
-  Epoch token{dir_.epoch.value + 1};
-  if (moves) draft.add({keys::kEpoch, wire::encodeCounter(token), {}}, dir_.epochVersion);
+  Epoch token{view_.epoch.value + 1};
+  if (moves) draft.add({keys::kEpoch, wire::encodeCounter(token), {}}, view_.epochVersion);
   auto before = draft.writes();
   auto most = store_.unhurried();
   for (auto& [key, change] : changes) {
@@ -61,11 +61,11 @@
 }
 
 // Of a group whose machines go to more shards than fit the transaction, those of the first go now.
-bool Scheduler::addGroupChange(TransactionDraft& draft, const std::string& key, GroupChange& change,
-                               Epoch token) {
+bool ShardScheduler::addGroupChange(TransactionDraft& draft, const std::string& key, GroupChange& change,
+                                    Epoch token) {
   auto add = [&] {
     auto rewrite = groupWrites(key, change, token);
-    return groupSplits_.add(draft, key, dir_.groupVersion(key), rewrite, io_.now());
+    return groupSplits_.add(draft, key, view_.groupVersion(key), rewrite, runtime_.now());
   };
   while (!add()) {
     if (change.moved.size() <= 1) return false;
@@ -74,10 +74,11 @@
   return true;
 }
 
-GroupRewrite Scheduler::groupWrites(const std::string& key, const GroupChange& change, Epoch token) const {
-  auto group = dir_.group(key);
+MachineGroupRewrite ShardScheduler::groupWrites(const std::string& key, const GroupChange& change,
+                                                Epoch token) const {
+  auto group = view_.group(key);
   if (group.members.empty()) return {};
-  auto exists = [&](const std::string& other) { return dir_.groups.count(other) > 0; };
+  auto exists = [&](const std::string& other) { return view_.groups.count(other) > 0; };
   std::vector<VersionedWrite> created;
   std::set<MachineId> gone;
   for (const auto& [to, machines] : change.moved) {
@@ -95,21 +96,21 @@
   std::erase_if(group.members, [&](const auto& m) { return gone.count(m.id) > 0; });
   for (auto& m : group.members) {
     if (change.back.count(m.id) > 0) m.phase = wire::MachinePhase::Returning;
-    if (auto h = books_.machines().find(m.id); h != books_.machines().end() && !h->second.address.empty())
+    if (auto h = state_.machines().find(m.id); h != state_.machines().end() && !h->second.address.empty())
       m.address = h->second.address;
   }
   // One write of the transaction is the epoch that a move draws.
   auto rewrite =
-      rewriteGroup(key, dir_.groupVersion(key), group, settings_.valueBytes, settings_.txnOps - 1, exists);
+      rewriteGroup(key, view_.groupVersion(key), group, settings_.valueBytes, settings_.txnOps - 1, exists);
   if (!rewrite.splits) rewrite.writes.insert(rewrite.writes.end(), created.begin(), created.end());
   return rewrite;
 }
 
-void Scheduler::recordsWritten(const TxnResult& r) {
+void ShardScheduler::recordsWritten(const TxnResult& r) {
   recordsBusy_ = false;
   // The directory is to show what was written before it is looked at again.
-  recordsNotBefore_ = io_.now() + kUntilRecordsShow;
-  if (std::count(r.failed.begin(), r.failed.end(), keys::shard(takeover_.shard)) > 0) out_.abandon();
+  recordsNotBefore_ = runtime_.now() + kUntilRecordsShow;
+  if (std::count(r.failed.begin(), r.failed.end(), keys::shard(takeover_.shard)) > 0) callbacks_.abandon();
 }
 
 }  // namespace cherryloft
