--- a/src/scheduler/placement_rounds.cpp
+++ b/src/scheduler/placement_rounds.cpp
@@ -20,20 +20,20 @@
 }  // namespace
 
 // Asks for a round. Machines in `at` reported; `everywhere` counts as a report of every machine with room.
-void Scheduler::wake(bool everywhere, const MachineId* at) {
+void ShardScheduler::wake(bool everywhere, const MachineId* at) {
   drawEverywhere_ |= everywhere;
   if (at) drawAt_.insert(*at);
   if (roundSet_) return;
   roundSet_ = true;
   // What comes within a moment shards a round: a fleet's reports come faster than rounds are worth it.
-  io_.after(std::max(lastRound_ + kBetweenRounds - io_.now(), Duration{0}), guarded([this] {
-              roundSet_ = false;
-              round();
-            }));
+  runtime_.after(std::max(lastRound_ + kBetweenRounds - runtime_.now(), Duration{0}), guarded([this] {
+                   roundSet_ = false;
+                   round();
+                 }));
 }
 
-void Scheduler::round() {
-  lastRound_ = io_.now();
+void ShardScheduler::round() {
+  lastRound_ = runtime_.now();
   if (!loaded_ || !owns() || gaveUpShare_ || committing_ || flight_) {
     if (!committing_) commit();
     return;
@@ -47,11 +47,11 @@
   commit();
 }
 
-std::vector<Scheduler::Ranked> Scheduler::candidates() {
-  auto now = io_.now();
-  auto wall = io_.wall();
+std::vector<ShardScheduler::Ranked> ShardScheduler::candidates() {
+  auto now = runtime_.now();
+  auto wall = runtime_.wall();
   std::vector<Ranked> out;
-  for (const auto& [team, jobs] : books_.teams()) {
+  for (const auto& [team, jobs] : state_.teams()) {
     const Team* t = settings_.team(team);
     Resources sum;
     for (const auto& [_, job] : jobs) {
@@ -76,7 +76,7 @@
   return out;
 }
 
-void Scheduler::place() {
+void ShardScheduler::place() {
   auto list = candidates();
   std::map<TeamId, unsigned> turns;
   std::vector<Ranked> blocked;
@@ -100,7 +100,7 @@
     ++turns[best->job->spec->team];
     best->c.overdue = false;  // it has begun, or there is no room for it
     if (got == most && !best->job->waiting.empty()) continue;
-    if (got < most && books_.withinLimit(*best->job)) blocked.push_back(*best);
+    if (got < most && state_.withinLimit(*best->job)) blocked.push_back(*best);
     list.erase(best);
   }
   bool roomless =
@@ -113,12 +113,12 @@
 }
 
 // A job that has failed wherever it was tried takes room for one task at a time, and nobody gives way to it.
-void Scheduler::tryOne(Job& job) {
-  if (job.placed == 0 || io_.now() - job.placedLast >= kBetweenTrials) placeSome(job, 1);
+void ShardScheduler::tryOne(Job& job) {
+  if (job.placed == 0 || runtime_.now() - job.placedLast >= kBetweenTrials) placeSome(job, 1);
 }
 
-unsigned Scheduler::placeSome(Job& job, unsigned most) {
-  if (!books_.withinLimit(job) || !anyFree(job)) return 0;
+unsigned ShardScheduler::placeSome(Job& job, unsigned most) {
+  if (!state_.withinLimit(job) || !anyFree(job)) return 0;
   job.avoidSpot = fragile(job);
   auto turn = look(job);
   unsigned got = 0;
@@ -126,7 +126,7 @@
   bool gang = job.isGang();
   auto common = job.delegation ? job.delegation->attempt : job.gangAttempt;
   if (gang && !common) common = attemptOf(takeover_.epoch, ++attempts_);
-  while (got < most && !job.waiting.empty() && books_.withinLimit(job)) {
+  while (got < most && !job.waiting.empty() && state_.withinLimit(job)) {
     Machine* h = choose(job, turn);
     if (!h && std::exchange(job.avoidSpot, false)) {
       turn = look(job);
@@ -136,12 +136,12 @@
     auto index = job.waiting.front();
     job.waiting.pop_front();
     auto attempt = gang ? *common : attemptOf(takeover_.epoch, ++attempts_);
-    books_.place(job, index, *h, attempt, io_.now());
-    books_.cached(*h, job.spec->image, job.spec->imageGb);
+    state_.place(job, index, *h, attempt, runtime_.now());
+    state_.cached(*h, job.spec->image, job.spec->imageGb);
     h->attention = true;
     fresh_.push_back({job.id, index});
     startsFresh_ = true;
-    spans_.toPlaced.add(io_.now() - job.since);
+    spans_.toPlaced.add(runtime_.now() - job.since);
     ++spans_.counts.starts;
     log_->debug("{}/{} to {}", job.id.value, index, h->id.value);
     ++got;
@@ -151,24 +151,24 @@
 }
 
 // Some pool has a machine with cores enough. While none has, no holder need be looked at either.
-bool Scheduler::anyFree(const Job& job) const {
-  return std::any_of(books_.pools().begin(), books_.pools().end(), [&](const Pool& p) {
+bool ShardScheduler::anyFree(const Job& job) const {
+  return std::any_of(state_.pools().begin(), state_.pools().end(), [&](const Pool& p) {
     return !p.byRoom.empty() && p.byRoom.rbegin()->first.first >= job.spec->each.cores - kResourceSlack &&
            allowedIn(job, p);
   });
 }
 
 // One more loss of a cheap machine and the job is late: it rather goes to ordinary ones, while it has hope.
-bool Scheduler::fragile(const Job& job) const {
+bool ShardScheduler::fragile(const Job& job) const {
   const auto& s = *job.spec;
   auto within = settings_.finishWithin(s.jobClass);
   if (!s.lendable || !within) return false;
-  double ageS = static_cast<double>(io_.wall().value - job.submitted.value) / 1000.0;
+  double ageS = static_cast<double>(runtime_.wall().value - job.submitted.value) / 1000.0;
   if (ageS + s.expectS > kNoHope * *within) return false;
   return s.expectS > kLongRun * *within || (job.lost > 0 && ageS + s.expectS > kLostRun * *within);
 }
 
-bool Scheduler::zoneAllows(const Job& job, const Zone& zone, unsigned come) const {
+bool ShardScheduler::zoneAllows(const Job& job, const Zone& zone, unsigned come) const {
   const auto& s = *job.spec;
   if (s.zone && *s.zone != zone) return false;
   if (job.onlyZone && *job.onlyZone != zone) return false;
@@ -182,49 +182,49 @@
 }
 
 // Whether some machine could take the job's next task now, whatever the draw says.
-bool Scheduler::anyRoom(const Job& job) const {
-  return std::any_of(books_.pools().begin(), books_.pools().end(), [&](const Pool& p) {
+bool ShardScheduler::anyRoom(const Job& job) const {
+  return std::any_of(state_.pools().begin(), state_.pools().end(), [&](const Pool& p) {
     return allowedIn(job, p) && p.anyRoom(job.spec->each, settings_.tuning.sample,
                                           [&](const Machine& h) { return allowed(job, h); });
   });
 }
 
 // The start on a machine without the image would miss the class's aim by the fetch alone.
-bool Scheduler::tooSlow(const Job& job, const Machine& h) const {
+bool ShardScheduler::tooSlow(const Job& job, const Machine& h) const {
   auto within = settings_.startWithin(job.spec->jobClass);
   return within && job.holders->count(h.no) == 0 && h.fetchS(*job.spec) > *within;
 }
 
 // Room is short: machines that were to empty themselves take work again. True if there were any.
-bool Scheduler::keepEmptying() {
+bool ShardScheduler::keepEmptying() {
   bool any = false;
-  for (auto& [_, h] : books_.machines()) {
+  for (auto& [_, h] : state_.machines()) {
     if (h.leaving || !std::exchange(h.emptying, false)) continue;
-    books_.reindex(h);
+    state_.reindex(h);
     any = true;
   }
   return any;
 }
 
 // Everything but room and the draw: type, kind, zone, and the zones of the job's other tasks.
-bool Scheduler::allowed(const Job& job, const Machine& h) const {
+bool ShardScheduler::allowed(const Job& job, const Machine& h) const {
   return h.open() && zoneAllows(job, h.zone()) && allowedKind(job, h);
 }
 
 // Type, kind and zone, for all machines of a pool at once.
-bool Scheduler::allowedIn(const Job& job, const Pool& p) const {
+bool ShardScheduler::allowedIn(const Job& job, const Pool& p) const {
   const auto& s = *job.spec;
   return s.allowsType(p.type) && (!p.spot || (s.lendable && !job.avoidSpot)) && zoneAllows(job, p.zone);
 }
 
-bool Scheduler::allowedKind(const Job& job, const Machine& h) const {
+bool ShardScheduler::allowedKind(const Job& job, const Machine& h) const {
   const auto& s = *job.spec;
   if (!s.allowsType(h.known.record.type) || (h.spot() && (!s.lendable || job.avoidSpot))) return false;
-  return !failures_.avoids(job.id, h.id, books_.machines().size(), io_.now());
+  return !failures_.avoids(job.id, h.id, state_.machines().size(), runtime_.now());
 }
 
 // Which of two machines with room a task should rather go to, the image aside.
-bool Scheduler::better(const Job& job, const Machine& a, const Machine& b) const {
+bool ShardScheduler::better(const Job& job, const Machine& a, const Machine& b) const {
   if (a.spot() != b.spot()) return a.spot();  // cheap machines first for those who may use them
   if (job.spec->shape == Shape::Service) {
     auto in = [&](const Machine& h) {
@@ -243,7 +243,7 @@
 
 // A turn's look at the machines that cache the image. They stay in order while the turn fills them: the
 // fullest that still fits comes first.
-Scheduler::Turn Scheduler::look(const Job& job) {
+ShardScheduler::Turn ShardScheduler::look(const Job& job) {
   Turn turn;
   spans_.counts.looked += job.holders->size();
   for (const auto& [_, h] : *job.holders)
@@ -253,7 +253,7 @@
   return turn;
 }
 
-Machine* Scheduler::holder(const Job& job, Turn& turn) const {
+Machine* ShardScheduler::holder(const Job& job, Turn& turn) const {
   auto fits = [&](const Machine* h) { return job.spec->each.fitsIn(h->free()) && allowed(job, *h); };
   if (job.spec->shape == Shape::Service) {
     Machine* best = nullptr;
@@ -267,7 +267,7 @@
 }
 
 // Up to K machines with room that do not cache the image, in the order in which they should be tried.
-std::vector<Machine*> Scheduler::others(const Job& job, const Turn& turn) {
+std::vector<Machine*> ShardScheduler::others(const Job& job, const Turn& turn) {
   const auto& spec = *job.spec;
   // Where a start is to come soon, the time of the fetch decides (DESIGN.md, exceptions).
   bool aimed = settings_.startWithin(spec.jobClass).has_value();
@@ -284,7 +284,7 @@
   std::vector<Machine*> out;
   if (!drawEverywhere_) {
     for (const auto& id : drawAt_)
-      if (auto it = books_.machines().find(id); it != books_.machines().end() && takes(it->second))
+      if (auto it = state_.machines().find(id); it != state_.machines().end() && takes(it->second))
         out.push_back(&it->second);
     sortOthers(out);
     return out;
@@ -294,7 +294,7 @@
     decltype(Pool::byRoom)::const_iterator at;
   };
   std::vector<Walk> walks;
-  for (const auto& p : books_.pools()) {
+  for (const auto& p : state_.pools()) {
     if (!allowedIn(job, p)) continue;
     auto at = p.withRoom(spec.each.cores);
     if (at != p.byRoom.end()) walks.push_back({&p, at});
@@ -317,8 +317,8 @@
   return out;
 }
 
-policy::Peek Scheduler::peek(const Job& job) {
-  const auto& owned = books_.openMachines();
+policy::Peek ShardScheduler::peek(const Job& job) {
+  const auto& owned = state_.openMachines();
   auto picked = policy::sample(owned.size(), settings_.tuning.sample, rng_);
   policy::Peek peek;
   spans_.counts.looked += picked.size();
@@ -335,13 +335,13 @@
   return peek;
 }
 
-Machine* Scheduler::choose(Job& job, Turn& turn) {
+Machine* ShardScheduler::choose(Job& job, Turn& turn) {
   if (Machine* h = holder(job, turn)) return h;
   auto list = others(job, turn);
   if (list.empty()) return nullptr;
   // If even the shortest fetch is too long, room is made on a machine that has the image.
   // A gang starts with its slowest member: it is placed whole on what there is.
-  bool waits = io_.now() >= job.anyStartUntil && !job.isGang();
+  bool waits = runtime_.now() >= job.anyStartUntil && !job.isGang();
   if (waits && tooSlow(job, *list.front()) && holderCouldMakeRoom(job)) return nullptr;
   if (!turn.peek) turn.peek = peek(job);
   if (!turn.holdingZones) {
--- a/src/scheduler/preemption.cpp
+++ b/src/scheduler/preemption.cpp
@@ -18,15 +18,15 @@
 }  // namespace
 
 // Tasks that the job may stop on the machine, and what they are.
-std::pair<std::vector<policy::Victim>, std::vector<TaskId>> Scheduler::victims(
+std::pair<std::vector<policy::Victim>, std::vector<TaskId>> ShardScheduler::victims(
     const Job& job, bool guaranteed, const Machine& h, const std::set<TaskId>& taken) const {
-  auto now = io_.now();
+  auto now = runtime_.now();
   std::vector<policy::Victim> offered;
   std::vector<TaskId> tasks;
   for (const auto& [task, p] : h.placements) {
     const auto& other = *p.job->spec;
     const Team* t = settings_.team(other.team);
-    bool above = t && books_.teamUse(other.team).cores - other.each.cores >= t->cores - kResourceSlack;
+    bool above = t && state_.teamUse(other.team).cores - other.each.cores >= t->cores - kResourceSlack;
     bool sameTeam = other.team == job.spec->team;
     // What this very round placed is not stopped by it: the two would take turns for ever.
     if (!p.committed || !p.wanted || taken.count(task) > 0 ||
@@ -44,8 +44,8 @@
   return {std::move(offered), std::move(tasks)};
 }
 
-bool Scheduler::holderCouldMakeRoom(const Job& job) const {
-  if (!books_.mayPreempt(job.spec->rank, false)) return false;
+bool ShardScheduler::holderCouldMakeRoom(const Job& job) const {
+  if (!state_.mayPreempt(job.spec->rank, false)) return false;
   unsigned looked = 0;
   for (const auto& [_, h] : *job.holders) {
     if (!allowed(job, *h)) continue;
@@ -58,27 +58,26 @@
 
 // Machines on which room may be made for the job: K holders of its image, and of all others as many as a
 // sample of K shows.
-std::vector<Machine*> Scheduler::peekForRoom(const Job& job) {
+std::vector<Machine*> ShardScheduler::peekForRoom(const Job& job) {
   std::vector<Machine*> peeked;
   for (const auto& [_, h] : *job.holders)
     if (peeked.size() < settings_.tuning.sample && allowed(job, *h)) peeked.push_back(h);
-  const auto& owned = books_.openMachines();
+  const auto& owned = state_.openMachines();
   for (auto i : policy::sample(owned.size(), settings_.tuning.sample, rng_))
     if (job.holders->count(owned[i]->no) == 0 && allowed(job, *owned[i])) peeked.push_back(owned[i]);
   return peeked;
 }
 
-Resources& Scheduler::RoomToCome::of(const Machine& h) {
+Resources& ShardScheduler::RoomToCome::of(const Machine& h) {
   auto [it, fresh] = left.try_emplace(h.no);
   if (fresh) it->second = h.free() + h.leavingRoom();
   return it->second;
 }
 
 // Where a task of the job would cost others least.
-std::optional<Scheduler::PlannedEviction> Scheduler::cheapestEviction(const Job& job, bool guaranteed,
-                                                                      const std::vector<Machine*>& peeked,
-                                                                      RoomToCome& room,
-                                                                      const std::set<TaskId>& taken) const {
+std::optional<ShardScheduler::PlannedEviction> ShardScheduler::cheapestEviction(
+    const Job& job, bool guaranteed, const std::vector<Machine*>& peeked, RoomToCome& room,
+    const std::set<TaskId>& taken) const {
   std::optional<PlannedEviction> best;
   for (Machine* h : peeked) {
     auto [offered, tasks] = victims(job, guaranteed, *h, taken);
@@ -94,7 +93,7 @@
 
 // Whether what is stopped for a task on that machine may save: not if the task would then start too late for
 // its class's aim or its team's guarantee, and is in time otherwise.
-bool Scheduler::leavesTimeToSave(const Ranked& claimant, const Machine& h, const JobSpec& victim) const {
+bool ShardScheduler::leavesTimeToSave(const Ranked& claimant, const Machine& h, const JobSpec& victim) const {
   const auto& spec = *claimant.job->spec;
   auto aim = settings_.startWithin(spec.jobClass);
   if (claimant.c.guaranteed && settings_.guaranteeWithinS)
@@ -105,7 +104,7 @@
   return left < 0 || victim.snapshotS <= left;
 }
 
-void Scheduler::carryOut(const PlannedEviction& plan, const Ranked& claimant, RoomToCome& room) {
+void ShardScheduler::carryOut(const PlannedEviction& plan, const Ranked& claimant, RoomToCome& room) {
   const Job& job = *claimant.job;
   Machine& h = *plan.machine;
   for (const auto& task : plan.victims) {
@@ -128,40 +127,40 @@
 
 // How long it still waits for others to end, as in a large fleet room comes free all the time, and what is
 // stopped is lost.
-Duration Scheduler::patienceLeft(const Ranked& blocked) const {
+Duration ShardScheduler::patienceLeft(const Ranked& blocked) const {
   auto within = settings_.startWithin(blocked.job->spec->jobClass);
   if (!within) return Duration{0};
   return std::max(seconds(kPatience * *within - blocked.c.ageS), Duration{0});
 }
 
 // A round of its own, as nothing else may happen until then.
-void Scheduler::makeRoomIn(Duration wait) {
-  auto due = io_.now() + wait;
+void ShardScheduler::makeRoomIn(Duration wait) {
+  auto due = runtime_.now() + wait;
   if (roomDue_ && *roomDue_ <= due) return;
   roomDue_ = due;
-  io_.after(wait, guarded([this, due] {
-              if (roomDue_ != due) return;
-              roomDue_.reset();
-              wake(false);
-            }));
+  runtime_.after(wait, guarded([this, due] {
+                   if (roomDue_ != due) return;
+                   roomDue_.reset();
+                   wake(false);
+                 }));
 }
 
 // Stops what may be stopped for those who found no room, in their order, least lost work first.
-void Scheduler::makeRoom(const std::vector<Ranked>& blocked) {
+void ShardScheduler::makeRoom(const std::vector<Ranked>& blocked) {
   if (blocked.empty()) return;
-  auto since = io_.now() - lastRoomMade_;
+  auto since = runtime_.now() - lastRoomMade_;
   if (since < kBetweenEvictions) return makeRoomIn(kBetweenEvictions - since);
   RoomToCome room;
   std::set<MachineId> changed;
   unsigned asked = 0;
   for (const auto& r : blocked) {
     if (asked >= kMostEvictionsAsked) break;
-    if (!books_.mayPreempt(r.job->spec->rank, r.c.guaranteed)) continue;
+    if (!state_.mayPreempt(r.job->spec->rank, r.c.guaranteed)) continue;
     if (auto patience = patienceLeft(r); patience > Duration{0}) {
       makeRoomIn(patience);
       continue;
     }
-    lastRoomMade_ = io_.now();
+    lastRoomMade_ = runtime_.now();
     if (r.job->isGang()) {
       ++asked;
       makeRoomForGang(r, room, changed);
@@ -173,11 +172,11 @@
   directAll(changed);
 }
 
-void Scheduler::makeRoomFor(const Ranked& blocked, RoomToCome& room, unsigned& asked,
-                            std::set<MachineId>& changed) {
+void ShardScheduler::makeRoomFor(const Ranked& blocked, RoomToCome& room, unsigned& asked,
+                                 std::set<MachineId>& changed) {
   Job& job = *blocked.job;
   const auto& spec = *job.spec;
-  double headroom = job.team ? job.team->coresMax - books_.teamUse(spec.team).cores : 0;
+  double headroom = job.team ? job.team->coresMax - state_.teamUse(spec.team).cores : 0;
   auto peeked = peekForRoom(job);
   for (std::size_t n = 0; n < job.waiting.size() && asked < kMostEvictionsAsked; ++n) {
     headroom -= spec.each.cores;
@@ -186,7 +185,7 @@
     auto plan = cheapestEviction(job, blocked.c.guaranteed, peeked, room);
     if (!plan) return;
     // The holders are spoken for: the rest need not wait for them.
-    if (tooSlow(job, *plan->machine)) job.anyStartUntil = io_.now() + kAnyStart;
+    if (tooSlow(job, *plan->machine)) job.anyStartUntil = runtime_.now() + kAnyStart;
     carryOut(*plan, blocked, room);
     if (!plan->victims.empty()) changed.insert(plan->machine->id);
   }
--- a/src/scheduler/shard_scheduler.cpp
+++ b/src/scheduler/shard_scheduler.cpp
@@ -22,55 +22,56 @@
 
 }  // namespace
 
-Scheduler::Scheduler(const Settings& settings, Io& io, Log log, StateStore& store, const Directory& dir,
-                     ShardTakeover takeover, LeaseValidity leaseValidity, std::uint64_t seed, Outlet out)
+ShardScheduler::ShardScheduler(const Settings& settings, Runtime& runtime, Log log, KeyValueStore& store,
+                               const ClusterView& view, ShardTakeover takeover, LeaseValidity leaseValidity,
+                               std::uint64_t seed, Callbacks out)
     : settings_(settings),
-      io_(io),
+      runtime_(runtime),
       log_(std::move(log)),
       store_(store),
-      dir_(dir),
+      view_(view),
       takeover_(takeover),
       leaseValidity_(leaseValidity),
       rng_(seed),
-      out_(std::move(out)),
-      books_(settings),
+      callbacks_(std::move(out)),
+      state_(settings),
       failures_(seconds(settings.reportS)) {}
 
-void Scheduler::start() {
-  loadStarted_ = io_.now();
+void ShardScheduler::start() {
+  loadStarted_ = runtime_.now();
   load();
 }
 
 // --- loading ---
 
-void Scheduler::load() {
+void ShardScheduler::load() {
   // All that was committed before the takeover must be in view; what a former owner sends later fails on
   // the shard's version. What was seen once stays in view, so each step is repeated by itself.
   viewed(keys::kJobs, [this] { viewed(keys::kMachines, [this] { loadRuns(); }); });
 }
 
-// Calls next once the directory shows what was committed under the prefix.
-void Scheduler::viewed(const std::string& prefix, std::function<void()> next) {
+// Calls next once the cluster view shows what was committed under the prefix.
+void ShardScheduler::viewed(const std::string& prefix, std::function<void()> next) {
   store_.catchUp(prefix, guarded([this, prefix, next](bool ok) {
                    if (ok) return next();
-                   io_.after(kLoadRetry, guarded([this, prefix, next] { viewed(prefix, next); }));
+                   runtime_.after(kLoadRetry, guarded([this, prefix, next] { viewed(prefix, next); }));
                  }));
 }
 
-void Scheduler::loadRuns() {
+void ShardScheduler::loadRuns() {
   store_.list(Urgency::Control, keys::placementPages(takeover_.shard), guarded([this](ListResult r) {
                 if (r.ok) return build(r);
-                io_.after(kLoadRetry, guarded([this] { loadRuns(); }));
+                runtime_.after(kLoadRetry, guarded([this] { loadRuns(); }));
               }));
 }
 
-void Scheduler::build(const ListResult& runs) {
-  auto now = io_.now();
-  for (const auto& [id, known] : dir_.machines)
+void ShardScheduler::build(const ListResult& runs) {
+  auto now = runtime_.now();
+  for (const auto& [id, known] : view_.machines)
     if (known.record.shard == takeover_.shard) admit(id, known);
-  for (const auto& [id, known] : dir_.jobs)
+  for (const auto& [id, known] : view_.jobs)
     if (known.shard == takeover_.shard && known.status == JobStatus::Open && known.spec)
-      books_.addJob(id, known).since = now;
+      state_.addJob(id, known).since = now;
     else if (known.shard == takeover_.shard && known.status == JobStatus::Aborted)
       lastAborted_ = std::max(lastAborted_, known.version);
     else if (const auto* delegation = findDelegation(known.delegations, takeover_.shard))
@@ -84,12 +85,12 @@
       log_->error("unreadable key {}, perhaps of another layout", e.key);
       continue;
     }
-    books_.pages().at(*n).version = e.version;
+    state_.pages().at(*n).version = e.version;
     restoreDone(*page, *n, placed);
   }
   for (const auto& [task, r] : placed) restorePlaced(task, r);
-  for (auto& [_, h] : books_.machines()) books_.reindex(h);
-  for (auto& [id, job] : books_.jobs()) {
+  for (auto& [_, h] : state_.machines()) state_.reindex(h);
+  for (auto& [id, job] : state_.jobs()) {
     job.waiting.clear();
     for (std::uint32_t i = 0; i < job.tasks.size(); ++i)
       if (job.tasks[i].state == TaskState::Waiting) job.waiting.push_back(i);
@@ -98,18 +99,18 @@
     endIfFinished(job);
   }
   std::vector<JobId> over;
-  for (auto& [id, job] : books_.jobs())
+  for (auto& [id, job] : state_.jobs())
     if (job.status == JobStatus::Aborted && job.placed == 0) over.push_back(id);
-  for (const auto& id : over) cleanUp(*books_.job(id));
+  for (const auto& id : over) cleanUp(*state_.job(id));
   countAllElsewhere();
   loaded_ = true;
-  log_->info("share {} loaded: {} jobs, {} machines, {} ms", takeover_.shard.value, books_.jobs().size(),
-             books_.machines().size(), (now - loadStarted_).count());
+  log_->info("share {} loaded: {} jobs, {} machines, {} ms", takeover_.shard.value, state_.jobs().size(),
+             state_.machines().size(), (now - loadStarted_).count());
   tick();
   wake(true);
 }
 
-void Scheduler::restoreDelegation(const JobId& id, const KnownJob& known, const Delegation& delegation) {
+void ShardScheduler::restoreDelegation(const JobId& id, const JobEntry& known, const Delegation& delegation) {
   if (known.status == JobStatus::Open && known.spec)
     acceptDelegation(id, known, delegation);
   else if (known.status == JobStatus::Aborted)
@@ -117,17 +118,17 @@
 }
 
 // Takes in what is done; of what was placed, the latest attempt of each task is gathered.
-void Scheduler::restoreDone(const wire::PageRecord& page, PageNo n, std::map<TaskId, Restored>& placed) {
+void ShardScheduler::restoreDone(const wire::PageRecord& page, PageNo n, std::map<TaskId, Restored>& placed) {
   for (const auto& [id, facts] : page.jobs) {
-    Job* job = books_.job(id);
-    auto known = dir_.jobs.find(id);
+    Job* job = state_.job(id);
+    auto known = view_.jobs.find(id);
     // An aborted job's tasks may still be somewhere: they count until they are known gone.
-    if (!job && known != dir_.jobs.end() && known->second.status == JobStatus::Aborted &&
+    if (!job && known != view_.jobs.end() && known->second.status == JobStatus::Aborted &&
         known->second.spec) {
       // Of another shard's job a delegation may have been given back in part: all that pages name counts.
       Delegation all{takeover_.shard, std::nullopt, {}};
       for (std::uint32_t i = 0; i < known->second.tasks; ++i) all.tasks.push_back(i);
-      job = &books_.addJob(id, known->second, known->second.shard == takeover_.shard ? nullptr : &all);
+      job = &state_.addJob(id, known->second, known->second.shard == takeover_.shard ? nullptr : &all);
     }
     if (!job) continue;
     for (auto i : facts.done) {
@@ -135,7 +136,7 @@
       job->tasks[i].state = TaskState::Done;
       job->tasks[i].doneCommitted = true;
       ++job->done;
-      books_.restored({id, i}, n);
+      state_.restored({id, i}, n);
     }
     for (const auto& p : facts.placed) {
       if (p.index >= job->tasks.size()) continue;
@@ -145,22 +146,22 @@
   }
 }
 
-void Scheduler::restorePlaced(const TaskId& task, const Restored& r) {
-  Job* job = books_.job(task.job);
-  Machine* h = books_.machine(r.entry.machine);
+void ShardScheduler::restorePlaced(const TaskId& task, const Restored& r) {
+  Job* job = state_.job(task.job);
+  Machine* h = state_.machine(r.entry.machine);
   // A machine without a record was returned, and the cloud said so.
   if (!job || !h || job->tasks[task.index].state != TaskState::Waiting) return;
-  auto& placement = books_.place(*job, task.index, *h, r.entry.attempt, io_.now());
-  Books::commit(placement);
+  auto& placement = state_.place(*job, task.index, *h, r.entry.attempt, runtime_.now());
+  ShardState::commit(placement);
   placement.restored = true;
   placement.wanted = job->open();
-  books_.restored(task, r.page);
-  books_.cached(*h, job->spec->image, job->spec->imageGb);
+  state_.restored(task, r.page);
+  state_.cached(*h, job->spec->image, job->spec->imageGb);
 }
 
-Machine& Scheduler::admit(const MachineId& id, const MachineEntry& known) {
-  auto now = io_.now();
-  auto& h = books_.addMachine(id, known, findType(dir_.catalog, known.record.type), now);
+Machine& ShardScheduler::admit(const MachineId& id, const MachineEntry& known) {
+  auto now = runtime_.now();
+  auto& h = state_.addMachine(id, known, findType(view_.catalog, known.record.type), now);
   h.hint = WorkerSession{1};
   h.base = tokenOf(std::max(known.record.token, takeover_.epoch));
   // The former owner may have answered it until the end of its grace.
@@ -170,26 +171,26 @@
 
 // --- messages ---
 
-void Scheduler::leaseValidity(const LeaseValidity& s) {
-  bool back = !owns() && s.owns(io_.now());
+void ShardScheduler::leaseValidity(const LeaseValidity& s) {
+  bool back = !owns() && s.owns(runtime_.now());
   leaseValidity_ = s;
   if (back && loaded_) wake(true);
 }
 
-void Scheduler::jobChanged(const JobId& id) {
+void ShardScheduler::jobChanged(const JobId& id) {
   if (!loaded_) return;
-  auto known = dir_.jobs.find(id);
-  if (known == dir_.jobs.end()) return;
+  auto known = view_.jobs.find(id);
+  if (known == view_.jobs.end()) return;
   if (known->second.shard != takeover_.shard) return delegatedJobChanged(id, known->second);
   // Our own commit may show here before its answer comes, and deputies must have seen it as well (invariant
   // 15).
   if (known->second.status == JobStatus::Aborted)
     lastAborted_ = std::max(lastAborted_, known->second.version);
-  if (Job* job = books_.job(id)) return ownedJobChanged(*job, known->second);
+  if (Job* job = state_.job(id)) return ownedJobChanged(*job, known->second);
   const auto& k = known->second;
   if (k.status != JobStatus::Open || !k.spec) return;
-  auto& job = books_.addJob(id, k);
-  auto now = io_.now();
+  auto& job = state_.addJob(id, k);
+  auto now = runtime_.now();
   job.since = now;
   const Team* team = settings_.team(job.spec->team);
   arrivals_.push_back({now, std::min(job.unfinished().cores, team ? team->coresMax : 0), job.spec->lendable});
@@ -197,11 +198,11 @@
   wake(true);
 }
 
-void Scheduler::machineChanged(const MachineId& id) {
+void ShardScheduler::machineChanged(const MachineId& id) {
   if (!loaded_) return;
-  auto known = dir_.machines.find(id);
-  bool ours = known != dir_.machines.end() && known->second.record.shard == takeover_.shard;
-  Machine* h = books_.machine(id);
+  auto known = view_.machines.find(id);
+  bool ours = known != view_.machines.end() && known->second.record.shard == takeover_.shard;
+  Machine* h = state_.machine(id);
   if (!ours) {
     if (h) dropMachine(id);
     return;
@@ -214,12 +215,12 @@
   h->known = known->second;
   auto base = tokenOf(std::max(h->known.record.token, takeover_.epoch));
   if (base > h->base) h->base = base, h->raises = 0;
-  books_.reindex(*h);
+  state_.reindex(*h);
 }
 
 // The record is gone or another shard's: the machine was returned, or was empty when it was given.
-void Scheduler::dropMachine(const MachineId& id) {
-  Machine* h = books_.machine(id);
+void ShardScheduler::dropMachine(const MachineId& id) {
+  Machine* h = state_.machine(id);
   bool held = !h->placements.empty();
   while (!h->placements.empty()) {
     auto task = h->placements.begin()->first;
@@ -227,14 +228,14 @@
   }
   drawAt_.erase(id);
   failures_.forget(id);
-  books_.removeMachine(id);
+  state_.removeMachine(id);
   if (held) wake(true);
 }
 
-std::optional<wire::JobView> Scheduler::poll(const JobId& id) const {
+std::optional<wire::JobView> ShardScheduler::poll(const JobId& id) const {
   if (!loaded_ || !owns()) return std::nullopt;
-  auto it = books_.jobs().find(id);
-  if (it == books_.jobs().end() || it->second.status != JobStatus::Open || it->second.delegation)
+  auto it = state_.jobs().find(id);
+  if (it == state_.jobs().end() || it->second.status != JobStatus::Open || it->second.delegation)
     return std::nullopt;
   // Its end is on its way or in doubt, or the shard is: a sibling may have seen it, and told the user, before
   // us.
@@ -248,8 +249,8 @@
   return wire::JobView{JobStatus::Open, static_cast<std::uint32_t>(j.tasks.size()), j.done, j.running};
 }
 
-bool Scheduler::cancel(const JobId& id, std::function<void(JobStatus)> done) {
-  Job* j = books_.job(id);
+bool ShardScheduler::cancel(const JobId& id, std::function<void(JobStatus)> done) {
+  Job* j = state_.job(id);
   if (!loaded_ || !owns() || !j || j->delegation) return false;
   if (j->status != JobStatus::Open) {
     done(j->status);
@@ -262,7 +263,7 @@
   return true;
 }
 
-void Scheduler::handBack(const NodeId& to) {
+void ShardScheduler::handBack(const ControllerId& to) {
   if (!loaded_ || givingTo_) return;
   givingTo_ = to;
   wake(false);
@@ -270,15 +271,15 @@
 
 // --- upkeep ---
 
-void Scheduler::tick() {
-  io_.after(kTick, guarded([this] { tick(); }));
-  auto now = io_.now();
+void ShardScheduler::tick() {
+  runtime_.after(kTick, guarded([this] { tick(); }));
+  auto now = runtime_.now();
   if (stoodStill(now)) return;
-  for (auto& [id, h] : books_.machines()) {
+  for (auto& [id, h] : state_.machines()) {
     watchSilence(h, now);
     if (!owns()) continue;
     if (h.size.cores <= 0)
-      if (const auto* type = findType(dir_.catalog, h.known.record.type)) books_.learnType(h, *type);
+      if (const auto* type = findType(view_.catalog, h.known.record.type)) state_.learnType(h, *type);
     settleEmptying(h);
     if (h.attention) direct(h);
   }
@@ -292,7 +293,7 @@
     loadSent_ = now;
     sendLoad();
   }
-  bool due = std::any_of(books_.jobs().begin(), books_.jobs().end(), [&](const auto& j) {
+  bool due = std::any_of(state_.jobs().begin(), state_.jobs().end(), [&](const auto& j) {
     return !j.second.waiting.empty() && j.second.notBefore > now - 2 * kTick && j.second.notBefore <= now;
   });
   if (due) wake(true);
@@ -302,12 +303,12 @@
 
 // Whoever stood still hears first what has been waiting, and judges nobody before. What went unanswered
 // meanwhile is our own doing.
-bool Scheduler::stoodStill(Time now) {
+bool ShardScheduler::stoodStill(Time now) {
   bool still = ticked_ != Time{} && now - ticked_ > kStandstill;
   if (still) {
     log_->info("share {}: stood still for {} ms", takeover_.shard.value, (now - ticked_).count());
     resumed_ = now;
-    for (auto& [_, h] : books_.machines()) h.askedInVain = 0;
+    for (auto& [_, h] : state_.machines()) h.askedInVain = 0;
   }
   ticked_ = now;
   return still;
--- a/src/scheduler/shard_scheduler.h
+++ b/src/scheduler/shard_scheduler.h
@@ -20,15 +20,15 @@
 
 namespace cherryloft {
 
-class Scheduler {
+class ShardScheduler {
  public:
-  struct Outlet {
+  struct Callbacks {
     std::function<void(const JobId&, JobStatus, Version)> ended;  // committed as done or aborted
     std::function<void(const mesh::ShardLoad&)> load;             // to the leader
-    std::function<void()> abandon;                                // our ownership or our books are in doubt
+    std::function<void()> abandon;  // our ownership or our shard state are in doubt
     // Through siblings; done is told a machine's report if one of them reaches it.
     std::function<void(const std::string& address, std::function<void(const std::string& body)> done)> probe;
-    std::function<void(Version, const NodeId&, std::function<void(bool)>)> give;
+    std::function<void(Version, const ControllerId&, std::function<void(bool)>)> give;
     // The latest moment at which a sibling may have answered our workers in our name (invariant 15).
     std::function<Time()> answeredElsewhere;
     std::function<void(const mesh::RoomWanted&)> wantRoom;  // to the owners of all other shards
@@ -42,10 +42,11 @@
   };
   using CheckInDone = std::function<void(CheckInAnswer)>;
 
-  Scheduler(const Settings& settings, Io& io, Log log, StateStore& store, const Directory& dir,
-            ShardTakeover takeover, LeaseValidity leaseValidity, std::uint64_t seed, Outlet out);
-  Scheduler(const Scheduler&) = delete;
-  Scheduler& operator=(const Scheduler&) = delete;
+  ShardScheduler(const Settings& settings, Runtime& runtime, Log log, KeyValueStore& store,
+                 const ClusterView& view, ShardTakeover takeover, LeaseValidity leaseValidity,
+                 std::uint64_t seed, Callbacks out);
+  ShardScheduler(const ShardScheduler&) = delete;
+  ShardScheduler& operator=(const ShardScheduler&) = delete;
 
   void start();
   void leaseValidity(const LeaseValidity& s);
@@ -53,7 +54,7 @@
   void machineChanged(const MachineId& id);
   CheckInAnswer checkIn(const wire::Report& r);
   void wish(const mesh::MachineDirective& w);
-  void handBack(const NodeId& to);
+  void handBack(const ControllerId& to);
   // Another shard's owner looks for room for its jobs, or offers room for ours (scheduler_transfers.cpp).
   void roomWanted(const mesh::RoomWanted& wanted);
   void roomOffered(const mesh::RoomOffer& offer);
@@ -83,7 +84,7 @@
       if (alive.lock()) f(std::forward<decltype(args)>(args)...);
     };
   }
-  bool owns() const { return leaseValidity_.owns(io_.now()); }
+  bool owns() const { return leaseValidity_.owns(runtime_.now()); }
 
   // Loading (invariant 7).
   void load();
@@ -96,7 +97,7 @@
   };
   void restoreDone(const wire::PageRecord& page, PageNo n, std::map<TaskId, Restored>& placed);
   void restorePlaced(const TaskId& task, const Restored& r);
-  void restoreDelegation(const JobId& id, const KnownJob& known, const Delegation& delegation);
+  void restoreDelegation(const JobId& id, const JobEntry& known, const Delegation& delegation);
   Machine& admit(const MachineId& id, const MachineEntry& known);
 
   // Machines.
@@ -148,7 +149,7 @@
   std::map<std::string, GroupChange> groupChanges(Time now);
   void settleRecords(Time now);
   bool addGroupChange(TransactionDraft& draft, const std::string& key, GroupChange& change, Epoch token);
-  GroupRewrite groupWrites(const std::string& key, const GroupChange& change, Epoch token) const;
+  MachineGroupRewrite groupWrites(const std::string& key, const GroupChange& change, Epoch token) const;
   void recordsWritten(const TxnResult& r);
   void stop(Machine& h, const TaskId& id, Placement& p);
   void dropMachine(const MachineId& id);
@@ -242,7 +243,7 @@
   std::uint32_t tasksWithinLimit(const Job& job) const;
   void countElsewhere(const JobId& id, const JobSpec& spec, std::uint32_t tasks, bool committed);
   void countAllElsewhere();
-  void countDelegated(const JobId& id, const KnownJob& known);
+  void countDelegated(const JobId& id, const JobEntry& known);
   void releaseElsewhere(Time now);
   void addTransfers(TransactionDraft& draft);
   void transferred(const JobId& id);
@@ -263,10 +264,10 @@
   bool staysWithinValue(const wire::JobRecord& record) const;
   std::optional<wire::JobRecord> recordWith(const Job& job, const DelegationWrite& change) const;
   void delegationsCommitted(const DelegationWrite& written, Version version);
-  void ownedJobChanged(Job& job, const KnownJob& known);
+  void ownedJobChanged(Job& job, const JobEntry& known);
   // ... and of other shards' jobs.
-  void delegatedJobChanged(const JobId& id, const KnownJob& known);
-  Job& acceptDelegation(const JobId& id, const KnownJob& known, const Delegation& delegation);
+  void delegatedJobChanged(const JobId& id, const JobEntry& known);
+  Job& acceptDelegation(const JobId& id, const JobEntry& known, const Delegation& delegation);
   void recallDelegated(Job& job);
   void abortDelegated(Job& job);
   std::vector<std::uint32_t> returnable(const Job& job, Time now) const;
@@ -290,24 +291,24 @@
   void answerCancelWaiters(Job& job, JobStatus s);
 
   const Settings& settings_;
-  Io& io_;
+  Runtime& runtime_;
   Log log_;
-  StateStore& store_;
-  const Directory& dir_;
+  KeyValueStore& store_;
+  const ClusterView& view_;
   ShardTakeover takeover_;
   LeaseValidity leaseValidity_;
   std::mt19937_64 rng_;
-  Outlet out_;
+  Callbacks callbacks_;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 
-  Books books_;
-  FailureHistory failures_;
+  ShardState state_;
+  FailureAttribution failures_;
   Time failuresReviewed_{};
   bool loaded_ = false;
   Version lastAborted_;
   Time loadStarted_{};
   std::uint64_t attempts_ = 0;
-  std::optional<NodeId> givingTo_;
+  std::optional<ControllerId> givingTo_;
   bool gaveUpShare_ = false;
 
   bool roundSet_ = false;
@@ -352,7 +353,7 @@
   bool recordsBusy_ = false;   // a write of host/ keys is on its way
   bool recordsMoved_ = false;  // the last one was of moves
   Time recordsNotBefore_{};
-  GroupSplits groupSplits_;
+  MachineGroupSplits groupSplits_;
   Time addressSince_{};         // since when some address is not written
   std::size_t asking_ = 0;      // questions to machines that carry no orders
   std::size_t commanding_ = 0;  // direct commands under way, questions included
@@ -401,8 +402,8 @@
   };
   std::map<JobId, std::vector<PartialOffer>> partialOffers_;
   std::map<JobId, DelegationWrite> delegationWrites_;  // to be written with the next commit
-  std::set<JobId> delegatedHere_;                      // jobs of other shards in the books
-  // Delegations that were given back in full; the directory may show them until it shows that version.
+  std::set<JobId> delegatedHere_;                      // jobs of other shards in the shard state
+  // Delegations that were given back in full; the cluster view may show them until it shows that version.
   std::map<JobId, Version> returnedAt_;
   Time delegationsReviewed_{};
   Time partialOfferedAt_{};
--- a/src/scheduler/shard_state.cpp
+++ b/src/scheduler/shard_state.cpp
@@ -31,7 +31,7 @@
 
 // --- jobs ---
 
-Job& Books::addJob(const JobId& id, const KnownJob& known, const Delegation* delegation) {
+Job& ShardState::addJob(const JobId& id, const JobEntry& known, const Delegation* delegation) {
   auto& j = jobs_[id];
   j.id = id;
   j.spec = known.spec;
@@ -52,7 +52,7 @@
   return j;
 }
 
-void Books::takeOwn(Job& job, const KnownJob& known) {
+void ShardState::takeOwn(Job& job, const JobEntry& known) {
   job.atOnce = known.atOnce;
   job.delegations = known.delegations;
   for (const auto& d : known.delegations)
@@ -66,7 +66,7 @@
   }
 }
 
-void Books::takeDelegated(Job& job, const Delegation& delegation) {
+void ShardState::takeDelegated(Job& job, const Delegation& delegation) {
   job.delegation = delegation;
   for (std::uint32_t i = 0; i < job.tasks.size(); ++i) {
     if (delegation.covers(i)) continue;
@@ -75,14 +75,14 @@
   }
 }
 
-void Books::makeRemote(Job& job, std::uint32_t index, const std::optional<Zone>& zone) {
+void ShardState::makeRemote(Job& job, std::uint32_t index, const std::optional<Zone>& zone) {
   job.tasks[index].state = TaskState::Remote;
   ++job.remote;
   if (zone) ++job.zones[*zone];
   use_[job.spec->team] += job.spec->each;
 }
 
-void Books::remoteBack(Job& job, std::uint32_t index, const std::optional<Zone>& zone, bool done) {
+void ShardState::remoteBack(Job& job, std::uint32_t index, const std::optional<Zone>& zone, bool done) {
   --job.remote;
   if (zone) {
     auto count = job.zones.find(*zone);
@@ -97,7 +97,7 @@
     job.waiting.push_back(index);
 }
 
-void Books::removeJob(const JobId& id) {
+void ShardState::removeJob(const JobId& id) {
   auto it = jobs_.find(id);
   if (it == jobs_.end()) return;
   for (auto& t : it->second.tasks) forgetFact(t);
@@ -105,15 +105,15 @@
   jobs_.erase(it);
 }
 
-Job* Books::job(const JobId& id) {
+Job* ShardState::job(const JobId& id) {
   auto it = jobs_.find(id);
   return it == jobs_.end() ? nullptr : &it->second;
 }
 
 // --- machines ---
 
-Machine& Books::addMachine(const MachineId& id, const MachineEntry& known, const MachineType* type,
-                           Time now) {
+Machine& ShardState::addMachine(const MachineId& id, const MachineEntry& known, const MachineType* type,
+                                Time now) {
   auto& h = machines_[id];
   h.id = id;
   h.no = ++machineCount_;
@@ -136,7 +136,7 @@
   return h;
 }
 
-void Books::learnType(Machine& h, const MachineType& type) {
+void ShardState::learnType(Machine& h, const MachineType& type) {
   h.size = type.size;
   h.fetchGbPerS = type.fetchGbPerS;
   h.images = ImageCache(type.cacheGb);
@@ -145,7 +145,7 @@
   reindex(h);
 }
 
-void Books::removeMachine(const MachineId& id) {
+void ShardState::removeMachine(const MachineId& id) {
   auto it = machines_.find(id);
   if (it == machines_.end()) return;
   auto& h = it->second;
@@ -156,12 +156,12 @@
   machines_.erase(it);
 }
 
-Machine* Books::machine(const MachineId& id) {
+Machine* ShardState::machine(const MachineId& id) {
   auto it = machines_.find(id);
   return it == machines_.end() ? nullptr : &it->second;
 }
 
-void Books::reindex(Machine& h) {
+void ShardState::reindex(Machine& h) {
   std::optional<double> should;
   if (h.open()) should = h.free().cores;
   if (h.indexedFree == should) return;
@@ -178,14 +178,14 @@
   h.indexedFree = should;
 }
 
-void Books::cached(Machine& h, const ImageId& image, double gb) {
+void ShardState::cached(Machine& h, const ImageId& image, double gb) {
   for (const auto& gone : h.images.touch(image, gb)) holders_[gone].erase(h.no);
   holders_[image][h.no] = &h;
 }
 
 // --- placements ---
 
-Placement& Books::place(Job& job, std::uint32_t index, Machine& machine, Attempt attempt, Time now) {
+Placement& ShardState::place(Job& job, std::uint32_t index, Machine& machine, Attempt attempt, Time now) {
   auto& p = machine.placements[TaskId{job.id, index}];
   p.job = &job;
   p.attempt = attempt;
@@ -206,7 +206,7 @@
   return p;
 }
 
-void Books::release(Machine& machine, std::map<TaskId, Placement>::iterator it, Time now) {
+void ShardState::release(Machine& machine, std::map<TaskId, Placement>::iterator it, Time now) {
   Job& job = *it->second.job;
   const auto& s = *job.spec;
   machine.used -= s.each;
@@ -228,7 +228,7 @@
   reindex(machine);
 }
 
-void Books::gone(Machine& machine, const TaskId& task, Time now) {
+void ShardState::gone(Machine& machine, const TaskId& task, Time now) {
   auto it = machine.placements.find(task);
   if (it == machine.placements.end()) return;
   Job& job = *it->second.job;
@@ -241,7 +241,7 @@
   job.waiting.push_front(task.index);
 }
 
-void Books::taskDone(Machine& machine, const TaskId& task, Time now) {
+void ShardState::taskDone(Machine& machine, const TaskId& task, Time now) {
   auto it = machine.placements.find(task);
   if (it == machine.placements.end()) return;
   Job& job = *it->second.job;
@@ -250,18 +250,18 @@
   ++job.done;
 }
 
-void Books::commit(Placement& p) {
+void ShardState::commit(Placement& p) {
   if (std::exchange(p.committed, true)) return;
   ++p.job->committed;
 }
 
-void Books::doneWaiting(Job& job) {
+void ShardState::doneWaiting(Job& job) {
   for (auto index : job.waiting) job.tasks[index].state = TaskState::Done;
   job.done += static_cast<std::uint32_t>(job.waiting.size());
   job.waiting.clear();
 }
 
-void Books::setPhase(Placement& p, wire::TaskPhase phase, Time now) {
+void ShardState::setPhase(Placement& p, wire::TaskPhase phase, Time now) {
   using wire::TaskPhase;
   bool ran = p.shown && p.phase == TaskPhase::Running, runs = phase == TaskPhase::Running;
   if (runs && !ran) {
@@ -275,12 +275,12 @@
 
 // --- limits ---
 
-Resources Books::teamUse(const TeamId& team) const {
+Resources ShardState::teamUse(const TeamId& team) const {
   auto it = use_.find(team);
   return it == use_.end() ? Resources{} : it->second;
 }
 
-bool Books::withinLimit(const Job& job) const {
+bool ShardState::withinLimit(const Job& job) const {
   if (!job.team) return false;
   if (job.delegation) return true;  // the owner's shard counts it (invariant 18)
   if (job.atOnce)
@@ -290,11 +290,11 @@
   return sum.fitsIn({job.team->coresMax, job.team->gpusMax, 0});
 }
 
-bool Books::aboveGuarantee(const Team& team) const {
+bool ShardState::aboveGuarantee(const Team& team) const {
   return teamUse(team.name).cores > team.cores + kResourceSlack;
 }
 
-bool Books::mayPreempt(Rank claimant, bool guaranteed) const {
+bool ShardState::mayPreempt(Rank claimant, bool guaranteed) const {
   for (std::size_t r = 0; r < static_cast<std::size_t>(claimant); ++r)
     if (usedByRank_[r] > kResourceSlack) return true;
   return guaranteed && usedByRank_[static_cast<std::size_t>(claimant)] > kResourceSlack &&
@@ -306,14 +306,14 @@
 
 // --- pages ---
 
-void Books::forgetFact(Task& t) {
+void ShardState::forgetFact(Task& t) {
   if (t.page == kNoPage) return;
   auto& live = pages_.at(t.page).live;
   live -= std::min<std::size_t>(live, 1);
   t.page = kNoPage;
 }
 
-void Books::restored(const TaskId& task, PageNo page) {
+void ShardState::restored(const TaskId& task, PageNo page) {
   auto& t = jobs_.at(task.job).tasks[task.index];
   forgetFact(t);
   t.page = page;
@@ -323,14 +323,14 @@
 
 // The task's latest state is on that page and still worth keeping: what is placed counts until it is known
 // gone (invariant 1), what is done until its job is over.
-bool Books::stands(const TaskId& id, PageNo page) {
+bool ShardState::stands(const TaskId& id, PageNo page) {
   Job* j = job(id.job);
   if (!j || j->tasks[id.index].page != page) return false;
   const auto& t = j->tasks[id.index];
   return t.state == TaskState::Placed || (t.state == TaskState::Done && j->status == JobStatus::Open);
 }
 
-std::optional<PageDraft> Books::draft(std::deque<TaskId>& fresh, std::set<PageNo>& taken) {
+std::optional<PageDraft> ShardState::draft(std::deque<TaskId>& fresh, std::set<PageNo>& taken) {
   // What was done, lost or written meanwhile needs no writing.
   auto needed = [&](const TaskId& id) {
     Job* j = job(id.job);
--- a/src/scheduler/shard_state.h
+++ b/src/scheduler/shard_state.h
@@ -19,7 +19,7 @@
 
 struct Machine;
 struct Pool;
-// Machines by their number in the books, so that walks come in the same order every time.
+// Machines by their number in the shard state, so that walks come in the same order every time.
 using MachineSet = std::map<std::uint32_t, Machine*>;
 
 // Remote: another shard has it, by a delegation (invariant 18).
@@ -197,12 +197,12 @@
   std::vector<TaskId> members;
 };
 
-class Books {
+class ShardState {
  public:
-  explicit Books(const Settings& settings) : settings_(settings), pages_(settings.valueBytes) {}
+  explicit ShardState(const Settings& settings) : settings_(settings), pages_(settings.valueBytes) {}
 
   // The shard's own job, or what a delegation gives to it of another shard's.
-  Job& addJob(const JobId& id, const KnownJob& known, const Delegation* delegation = nullptr);
+  Job& addJob(const JobId& id, const JobEntry& known, const Delegation* delegation = nullptr);
   void removeJob(const JobId& id);
   Job* job(const JobId& id);
   std::map<JobId, Job>& jobs() { return jobs_; }
@@ -256,7 +256,7 @@
   Pages& pages() { return pages_; }
 
  private:
-  void takeOwn(Job& job, const KnownJob& known);
+  void takeOwn(Job& job, const JobEntry& known);
   void takeDelegated(Job& job, const Delegation& delegation);
   void release(Machine& machine, std::map<TaskId, Placement>::iterator it, Time now);
   void forgetFact(Task& t);
--- a/src/scheduler/task_failures.cpp
+++ b/src/scheduler/task_failures.cpp
@@ -11,12 +11,12 @@
 constexpr Duration kReviewFailuresEvery{1'000};
 }  // namespace
 
-void Scheduler::ended(Machine& h, const wire::ReportedTask& t) {
-  auto now = io_.now();
+void ShardScheduler::ended(Machine& h, const wire::ReportedTask& t) {
+  auto now = runtime_.now();
   Job& job = *h.placements.at(t.task).job;
   if (t.cause == ExitCause::Done) {
-    books_.cached(h, job.spec->image, job.spec->imageGb);
-    books_.taskDone(h, t.task, now);
+    state_.cached(h, job.spec->image, job.spec->imageGb);
+    state_.taskDone(h, t.task, now);
     leaving_.push_back({now, job.spec->each.cores, job.spec->lendable});
     failures_.completed(job.id, h.id, now);
     giveUpFaulty(job.id);
@@ -31,11 +31,11 @@
   const auto& placement = h.placements.at(t.task);
   bool ran = placement.shown && placement.phase == TaskPhase::Running;
   auto ranFor = ran ? now - placement.runningSince : Duration{};
-  books_.gone(h, t.task, now);
+  state_.gone(h, t.task, now);
   log_->debug("{} on {} ended: {}", wire::encodeTask(t.task), h.id.value, static_cast<int>(t.cause));
   switch (t.cause) {
     case ExitCause::Error:
-      if (auto wait = failures_.failed(t.task, h.id, ranFor, books_.machines().size(), now))
+      if (auto wait = failures_.failed(t.task, h.id, ranFor, state_.machines().size(), now))
         job.notBefore = now + *wait;
       giveUpFaulty(job.id);
       break;
@@ -56,24 +56,24 @@
 }
 
 // Machines whose failures of the job, beside its success elsewhere, show that the fault is theirs.
-void Scheduler::giveUpFaulty(const JobId& job) {
-  for (const auto& id : failures_.faulty(job, io_.now())) {
-    Machine* h = books_.machine(id);
+void ShardScheduler::giveUpFaulty(const JobId& job) {
+  for (const auto& id : failures_.faulty(job, runtime_.now())) {
+    Machine* h = state_.machine(id);
     if (!h || h->leaving) continue;
     log_->info("{} fails jobs that work elsewhere and is given up", id.value);
     h->leaving = true;
     h->giveTo = -1;
-    books_.reindex(*h);
+    state_.reindex(*h);
     ++spans_.counts.givenUp;
   }
 }
 
 // A task that has run on for longer than another of its job lasted before it failed shows that the job works.
-void Scheduler::reviewFailures(Time now) {
+void ShardScheduler::reviewFailures(Time now) {
   if (now - failuresReviewed_ < kReviewFailuresEvery) return;
   failuresReviewed_ = now;
   for (const auto& id : failures_.undecided()) {
-    const Job* job = books_.job(id);
+    const Job* job = state_.job(id);
     if (!job) continue;
     auto enough = failures_.contrastAfter(id);
     for (std::uint32_t i = 0; i < job->tasks.size(); ++i) {
--- a/src/wire/kvstore.cpp
+++ b/src/wire/kvstore.cpp
@@ -362,7 +362,7 @@
   auto owner = doc ? textAt(*doc, "own") : std::nullopt;
   auto epoch = doc ? countAt(*doc, "ep") : std::nullopt;
   if (!owner || !epoch) return std::nullopt;
-  return OwnerRecord{NodeId{*owner}, Epoch{*epoch}};
+  return OwnerRecord{ControllerId{*owner}, Epoch{*epoch}};
 }
 
 std::string encodeCounter(Epoch e) { return dump(Json{{"n", e.value}}); }
--- a/src/wire/kvstore.h
+++ b/src/wire/kvstore.h
@@ -120,7 +120,7 @@
 std::size_t membersIn(std::size_t valueBytes);
 
 struct OwnerRecord {
-  NodeId owner;
+  ControllerId owner;
   Epoch epoch;
 };
 std::string encodeOwnerRecord(const OwnerRecord& r);
--- a/src/wire/workers.cpp
+++ b/src/wire/workers.cpp
@@ -106,6 +106,6 @@
   return dump(Json{{"epoch", token.value}, {"tenure", session.value}, {"orders", ordersJson(orders)}});
 }
 
-std::string encodeOwner(const NodeId& owner) { return dump(Json{{"steward", owner.value}}); }
+std::string encodeOwner(const ControllerId& owner) { return dump(Json{{"steward", owner.value}}); }
 
 }  // namespace cherryloft::wire
--- a/src/wire/workers.h
+++ b/src/wire/workers.h
@@ -47,7 +47,7 @@
 // The answer to a check-in, and the body of direct commands.
 std::string encodeOrders(Token token, const std::vector<Order>& orders);
 std::string encodeCommands(Token token, WorkerSession session, const std::vector<Order>& orders);
-std::string encodeOwner(const NodeId& owner);
+std::string encodeOwner(const ControllerId& owner);
 
 std::string encodeTask(const TaskId& t);
 std::optional<TaskId> parseTask(const std::string& text);
--- a/tests/unit/autoscaling_test.cpp
+++ b/tests/unit/autoscaling_test.cpp
@@ -12,45 +12,45 @@
 namespace {
 
 // Nobody answers anything.
-struct LoneIo : ClockIo {
+struct LoneIo : ClockRuntime {
   std::vector<HttpRequest> sent;
   void call(const Address&, HttpRequest r, Duration, HttpDone) override { sent.push_back(std::move(r)); }
 };
 
 struct Leader : testing::Test {
   Settings settings = parseSettings(world::Deployment{}.settingsOf(0), {});
-  LoneIo io;
-  StateStore store{settings, io, silentLog(), 1};
-  Directory dir;
+  LoneIo runtime;
+  KeyValueStore store{settings, runtime, silentLog(), 1};
+  ClusterView view;
   Fleet fleet{settings,
-              io,
+              runtime,
               silentLog(),
               store,
-              dir,
+              view,
               1,
               {[this](const mesh::MachineDirective& w) { wishes.push_back(w); }, [] { return true; }}};
   std::vector<mesh::MachineDirective> wishes;
 
   Leader() {
-    dir.leader = KnownOwner{{settings.node, Epoch{7}}, Version{70}};
+    view.leader = OwnerEntry{{settings.controller, Epoch{7}}, Version{70}};
     MachineType t;
     t.name = "m";
     t.size = {16, 0, 32};
     t.price = t.spotPrice = 1;
     t.bootS = 5;
     t.zones = settings.zones;
-    dir.catalog = {t};
+    view.catalog = {t};
     fleet.start();
   }
   void lead(world::Ms forMs) {
     fleet.leading(true);
-    for (auto end = io.clock.now() + forMs; io.clock.now() < end;) {
+    for (auto end = runtime.clock.now() + forMs; runtime.clock.now() < end;) {
       mesh::ShardLoad l;
       l.firm.waiting = 64;
       l.firm.largestTask = 4;
       l.firm.runS = 30;
       fleet.load(l);
-      io.clock.run(io.clock.now() + 1000);
+      runtime.clock.run(runtime.clock.now() + 1000);
     }
     fleet.leading(false);
   }
@@ -61,7 +61,7 @@
   }
   std::vector<HttpRequest> sent(const std::string& path) const {
     std::vector<HttpRequest> out;
-    for (const auto& r : io.sent)
+    for (const auto& r : runtime.sent)
       if (r.target == path && r.method == "POST") out.push_back(r);
     return out;
   }
@@ -87,7 +87,7 @@
   from.shard = 1;
   for (int i = 0; i < 20; ++i) {
     MachineId id{"host-" + std::to_string(i)};
-    MachineEntry& h = dir.machines[id];
+    MachineEntry& h = view.machines[id];
     h.record.shard = ShardId{1};
     h.record.type = "m";
     h.record.zone = settings.zones[0];
@@ -105,7 +105,7 @@
       for (auto& h : from.machines)
         if (h.machine == w.machine) h.usable = false, h.draining = true;
     fleet.load(from);
-    io.clock.run(io.clock.now() + 1000);
+    runtime.clock.run(runtime.clock.now() + 1000);
   }
   auto moves = std::count_if(wishes.begin(), wishes.end(), [](const auto& w) {
     return w.kind == mesh::MachineDirective::Move && w.toShard == 0;
--- a/tests/unit/clock_runtime.h
+++ b/tests/unit/clock_runtime.h
@@ -6,7 +6,7 @@
 
 namespace cherryloft {
 
-struct ClockIo : Io {
+struct ClockRuntime : Runtime {
   world::Clock clock{1};
   Time now() const override { return Time{Duration{clock.now() + 5000}}; }
   WallTime wall() const override { return {clock.now()}; }
--- a/tests/unit/failure_attribution_test.cpp
+++ b/tests/unit/failure_attribution_test.cpp
@@ -21,7 +21,7 @@
   void complete(const std::string& job, int on) { history_.completed(JobId{job}, machine(on), now_); }
   std::vector<MachineId> faulty(const std::string& job) { return history_.faulty(JobId{job}, now_); }
 
-  FailureHistory history_{kReport};
+  FailureAttribution history_{kReport};
   Time now_ = kStart;
 };
 
--- a/tests/unit/group_commit_test.cpp
+++ b/tests/unit/group_commit_test.cpp
@@ -14,8 +14,8 @@
 using Outcome = TxnResult::Outcome;
 
 struct GroupCommitTest : StoreQueueFixture {
-  StoreClient client{queue, tally};
-  GroupCommit commits{settings, io, client, budget, tally};
+  KeyValueClient client{queue, tally};
+  GroupCommit commits{settings, runtime, client, budget, tally};
   std::map<std::string, std::vector<Outcome>> results;
 
   void create(const std::string& key, Duration deadline = Duration{10'000}) {
@@ -23,7 +23,7 @@
                    [this, key](const TxnResult& result) { results[key].push_back(result.outcome); });
   }
   bool names(std::size_t n, const std::string& key) const {
-    return io.requests.at(n).body.find('"' + key + '"') != std::string::npos;
+    return runtime.requests.at(n).body.find('"' + key + '"') != std::string::npos;
   }
 };
 
@@ -33,39 +33,39 @@
 
 TEST_F(GroupCommitTest, WhatComesMeanwhileSharesTheNextTransaction) {
   for (const auto* key : {"job/a", "job/b", "job/c"}) create(key);
-  ASSERT_EQ(io.requests.size(), 1U);
+  ASSERT_EQ(runtime.requests.size(), 1U);
   EXPECT_TRUE(names(0, "job/a"));
   EXPECT_EQ(commits.waiting(), 2U);
-  io.answer(0, 200, kCommitted);
-  ASSERT_EQ(io.requests.size(), 2U);
+  runtime.answer(0, 200, kCommitted);
+  ASSERT_EQ(runtime.requests.size(), 2U);
   EXPECT_TRUE(names(1, "job/b") && names(1, "job/c"));
-  io.answer(1, 200, kCommitted);
+  runtime.answer(1, 200, kCommitted);
   for (const auto* key : {"job/a", "job/b", "job/c"})
     EXPECT_EQ(results[key], (std::vector<Outcome>{Outcome::Ok}));
 }
 
 TEST_F(GroupCommitTest, AKeyStandsInATransactionOnce) {
   for (const auto* key : {"job/a", "job/b", "job/b"}) create(key);
-  io.answer(0, 200, kCommitted);
-  ASSERT_EQ(io.requests.size(), 2U);
+  runtime.answer(0, 200, kCommitted);
+  ASSERT_EQ(runtime.requests.size(), 2U);
   EXPECT_EQ(commits.waiting(), 1U);
 }
 
 TEST_F(GroupCommitTest, OnlyTakenKeysAreInConflict) {
   for (const auto* key : {"job/a", "job/b", "job/c"}) create(key);
-  io.answer(0, 200, kCommitted);
-  io.answer(1, 409, R"({"failed":["job/b"]})");
+  runtime.answer(0, 200, kCommitted);
+  runtime.answer(1, 409, R"({"failed":["job/b"]})");
   EXPECT_EQ(results["job/b"], (std::vector<Outcome>{Outcome::Conflict}));
   EXPECT_TRUE(results["job/c"].empty());
-  ASSERT_EQ(io.requests.size(), 3U);
+  ASSERT_EQ(runtime.requests.size(), 3U);
   EXPECT_TRUE(names(2, "job/c"));
 }
 
 TEST_F(GroupCommitTest, WhatHadNoTurnInTimeIsRefused) {
-  budget.pauseUntil(io.now() + Duration{1'000});
+  budget.pauseUntil(runtime.now() + Duration{1'000});
   create("job/a", Duration{100});
-  io.clock.run(io.clock.now() + 500);
+  runtime.clock.run(runtime.clock.now() + 500);
   EXPECT_EQ(results["job/a"], (std::vector<Outcome>{Outcome::Refused}));
   EXPECT_EQ(commits.waiting(), 0U);
-  EXPECT_TRUE(io.requests.empty());
+  EXPECT_TRUE(runtime.requests.empty());
 }
--- a/tests/unit/held_calls_runtime.h
+++ b/tests/unit/held_calls_runtime.h
@@ -9,7 +9,7 @@
 
 namespace cherryloft {
 
-struct HeldCallsIo : ClockIo {
+struct HeldCallsRuntime : ClockRuntime {
   std::vector<HttpRequest> requests;
   std::vector<HttpDone> open;  // how to answer each of them
 
--- a/tests/unit/key_value_store_test.cpp
+++ b/tests/unit/key_value_store_test.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 // Time stands; what is to happen at once happens when asked for.
-struct StillIo : Io {
+struct StillIo : Runtime {
   std::vector<std::function<void()>> atOnce;
   std::size_t calls = 0;
   Time now() const override { return Time{Duration{5000}}; }
@@ -28,14 +28,14 @@
   world::Deployment d;
   d.rps = 101;
   auto settings = parseSettings(d.settingsOf(0), {});
-  StillIo io;
-  StateStore store(settings, io, silentLog(), 1);
+  StillIo runtime;
+  KeyValueStore store(settings, runtime, silentLog(), 1);
   int failed = 0;
   for (int i = 0; i < 1000; ++i)
     store.get(Urgency::User, "job/x", Duration{1000},
               [&](GetResult r) { failed += r.outcome == GetResult::Outcome::Failed; });
-  for (auto& f : io.atOnce) f();
+  for (auto& f : runtime.atOnce) f();
   // A third of the service's part for one second is sent, as much again waits.
-  EXPECT_EQ(io.calls, 30U);
+  EXPECT_EQ(runtime.calls, 30U);
   EXPECT_EQ(failed, 1000 - 30 - 31);
 }
--- a/tests/unit/machine_group_rewrite_test.cpp
+++ b/tests/unit/machine_group_rewrite_test.cpp
@@ -30,7 +30,7 @@
 
 const GroupExists kNoneExists = [](const std::string&) { return false; };
 
-TEST(GroupRewrite, WhatFitsStaysOneWrite) {
+TEST(MachineGroupRewrite, WhatFitsStaysOneWrite) {
   auto group = groupOf(3);
   auto rewrite = rewriteGroup("host/k", Version{5}, group, kValueBytes, 4, kNoneExists);
   EXPECT_FALSE(rewrite.splits);
@@ -42,7 +42,7 @@
 
 // A reader that sees the group without some of its machines before it sees them elsewhere takes their tasks
 // for lost and starts them twice: the first step must leave the group as it is.
-TEST(GroupRewrite, WhatHasOutgrownAValueGivesMembersNewGroupsAndStaysAsItIs) {
+TEST(MachineGroupRewrite, WhatHasOutgrownAValueGivesMembersNewGroupsAndStaysAsItIs) {
   auto group = groupOf(60);
   ASSERT_GT(wire::encodeGroup(group).size(), kValueBytes);
   auto rewrite = rewriteGroup("host/k", Version{5}, group, kValueBytes, 8, kNoneExists);
@@ -61,14 +61,14 @@
   EXPECT_LE(wire::encodeGroup(group).size(), kValueBytes);
 }
 
-TEST(GroupRewrite, NoMoreWritesThanATransactionTakes) {
+TEST(MachineGroupRewrite, NoMoreWritesThanATransactionTakes) {
   auto rewrite = rewriteGroup("host/k", Version{5}, groupOf(300), kValueBytes, 3, kNoneExists);
   EXPECT_TRUE(rewrite.splits);
   EXPECT_EQ(rewrite.writes.size(), 3U);
 }
 
 // A group whose first machine has left keeps its key: another group must not be written under it.
-TEST(GroupRewrite, NoKeyThatExistsIsTakenForANewGroup) {
+TEST(MachineGroupRewrite, NoKeyThatExistsIsTakenForANewGroup) {
   std::set<std::string> taken;
   auto exists = [&](const std::string& key) { return taken.count(key) > 0; };
   for (const auto& [write, _] : createGroup(groupOf(60), kValueBytes, exists)) taken.insert(write.key);
@@ -76,7 +76,7 @@
     EXPECT_EQ(taken.count(write.key), 0U);
 }
 
-TEST(GroupRewrite, AGroupWithoutMachinesIsDropped) {
+TEST(MachineGroupRewrite, AGroupWithoutMachinesIsDropped) {
   auto rewrite = rewriteGroup("host/k", Version{5}, groupOf(0), kValueBytes, 4, kNoneExists);
   ASSERT_EQ(rewrite.writes.size(), 1U);
   EXPECT_FALSE(rewrite.writes[0].write.value);
--- a/tests/unit/membership_test.cpp
+++ b/tests/unit/membership_test.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 // A state service with nothing in it; each request is answered after 5 ms as the test says.
-struct ServiceIo : ClockIo {
+struct ServiceIo : ClockRuntime {
   int holds = 0, renewals = 0, txns = 0;
   std::function<int()> txnStatus = [] { return 200; };
   std::function<int()> renewStatus = [] { return 200; };
@@ -34,27 +34,27 @@
 
 struct Held : testing::Test {
   Settings settings = parseSettings(world::Deployment{}.settingsOf(0), {});
-  ServiceIo io;
-  StateStore store{settings, io, silentLog(), 1};
-  Directory dir;
+  ServiceIo runtime;
+  KeyValueStore store{settings, runtime, silentLog(), 1};
+  ClusterView view;
   Membership membership{settings,
-                        io,
+                        runtime,
                         silentLog(),
                         store,
-                        dir,
+                        view,
                         {[](const LeaseValidity&) {}, [](const ShardTakeover&) {}, [](ShardId) {},
-                         [](bool) {}, [](ShardId, NodeId) {}}};
+                         [](bool) {}, [](ShardId, ControllerId) {}}};
   Held() {
-    for (const auto& p : {keys::kJobs, keys::kMachines, keys::kShards, keys::kNodes})
+    for (const auto& p : {keys::kJobs, keys::kMachines, keys::kShards, keys::kControllers})
       store.mirror(p, [](const wire::KeyChange&) {});
   }
   // What the counter gains in 10 s, once four holds are gone.
   int inTenSecondsAfterFourHolds(const int& counter) {
     membership.start();
-    io.clock.run(10'000);
-    EXPECT_EQ(io.holds, 5);
+    runtime.clock.run(10'000);
+    EXPECT_EQ(runtime.holds, 5);
     auto before = counter;
-    io.clock.run(20'000);
+    runtime.clock.run(20'000);
     return counter - before;
   }
 };
@@ -64,15 +64,15 @@
 // The store says now and then that a hold is gone before a renewal does: the next hold is renewed as often.
 TEST_F(Held, AHoldIsRenewedOnceAtATime) {
   int refused = 0;
-  io.txnStatus = [&refused] { return ++refused <= 4 ? 400 : 409; };
+  runtime.txnStatus = [&refused] { return ++refused <= 4 ? 400 : 409; };
   // Four in a time to live of 3 s.
-  EXPECT_LE(inTenSecondsAfterFourHolds(io.renewals), 14);
+  EXPECT_LE(inTenSecondsAfterFourHolds(runtime.renewals), 14);
 }
 
 // Holds go while a join under them is still to come about: there is one join at a time, under the last.
 TEST_F(Held, AHoldIsJoinedOnceAtATime) {
-  io.txnStatus = [] { return 409; };
+  runtime.txnStatus = [] { return 409; };
   int gone = 0;
-  io.renewStatus = [&gone] { return ++gone <= 4 ? 404 : 200; };
-  EXPECT_LE(inTenSecondsAfterFourHolds(io.txns), 100);
+  runtime.renewStatus = [&gone] { return ++gone <= 4 ? 404 : 200; };
+  EXPECT_LE(inTenSecondsAfterFourHolds(runtime.txns), 100);
 }
--- a/tests/unit/policy_test.cpp
+++ b/tests/unit/policy_test.cpp
@@ -142,8 +142,8 @@
   world::Deployment d;
   d.types = {};
   auto s = parseSettings(d.settingsOf(1), {});
-  EXPECT_EQ(s.node.value, "loft-1");
-  EXPECT_EQ(s.homeShard(NodeId{"loft-2"}).value, 2U);
+  EXPECT_EQ(s.controller.value, "loft-1");
+  EXPECT_EQ(s.homeShard(ControllerId{"loft-2"}).value, 2U);
   EXPECT_EQ(s.shardOfTeam(TeamId{"team-1"}).value, 1U);
   // Invariant 6: all of it fits before a cancellation is due.
   EXPECT_LE(inSeconds(s.holdTtl() + s.grace()) + s.leaseS, s.cancelS - 1);
--- a/tests/unit/recorded_examples_test.cpp
+++ b/tests/unit/recorded_examples_test.cpp
@@ -106,7 +106,8 @@
 }
 
 TEST(Recorded, OwnersAndCounters) {
-  EXPECT_EQ(wire::encodeOwnerRecord({NodeId{"loftnode-0"}, Epoch{12}}), "{\"ep\":12,\"own\":\"loftnode-0\"}");
+  EXPECT_EQ(wire::encodeOwnerRecord({ControllerId{"loftnode-0"}, Epoch{12}}),
+            "{\"ep\":12,\"own\":\"loftnode-0\"}");
   EXPECT_EQ(wire::encodeCounter(Epoch{12}), "{\"n\":12}");
 }
 
--- a/tests/unit/request_queue_fixture.h
+++ b/tests/unit/request_queue_fixture.h
@@ -13,11 +13,11 @@
 
 struct StoreQueueFixture : testing::Test {
   Settings settings = parseSettings(world::Deployment{}.settingsOf(0), {});
-  HeldCallsIo io;
-  RequestBudget budget{settings, io.now()};
-  StoreTally tally;
+  HeldCallsRuntime runtime;
+  RequestBudget budget{settings, runtime.now()};
+  RequestTally tally;
   std::mt19937_64 rng{1};
-  RequestQueue queue{settings, io, budget, tally, rng};
+  RequestQueue queue{settings, runtime, budget, tally, rng};
 };
 
 }  // namespace cherryloft
--- a/tests/unit/request_queue_test.cpp
+++ b/tests/unit/request_queue_test.cpp
@@ -20,7 +20,7 @@
   void useUpRequests() {
     while (budget.affords(0)) budget.spend(0);
   }
-  void run(world::Ms ms) { io.clock.run(io.clock.now() + ms); }
+  void run(world::Ms ms) { runtime.clock.run(runtime.clock.now() + ms); }
 };
 
 }  // namespace
@@ -30,35 +30,35 @@
   push(Urgency::User, "/user");
   push(Urgency::Work, "/work");
   push(Urgency::Control, "/control");
-  EXPECT_TRUE(io.requests.empty());
+  EXPECT_TRUE(runtime.requests.empty());
   run(1'000);
-  EXPECT_EQ(io.targets(), (std::vector<std::string>{"/control", "/work", "/user"}));
+  EXPECT_EQ(runtime.targets(), (std::vector<std::string>{"/control", "/work", "/user"}));
 }
 
 TEST_F(RequestQueueTest, RenewalsOfHoldsDoNotWaitForTheBudget) {
   useUpRequests();
   push(Urgency::Hold, "/hold");
-  EXPECT_EQ(io.targets(), (std::vector<std::string>{"/hold"}));
+  EXPECT_EQ(runtime.targets(), (std::vector<std::string>{"/hold"}));
 }
 
 TEST_F(RequestQueueTest, WhatHadNoTurnInTimeIsNotSent) {
-  budget.pauseUntil(io.now() + Duration{1'000});
+  budget.pauseUntil(runtime.now() + Duration{1'000});
   push(Urgency::Control, "/late", Duration{100});
   run(2'000);
-  EXPECT_TRUE(io.requests.empty());
+  EXPECT_TRUE(runtime.requests.empty());
   EXPECT_EQ(outcomes, (std::vector<HttpResult::Outcome>{HttpResult::Outcome::NotSent}));
   EXPECT_EQ(tally.outOfTime, 1U);
 }
 
 TEST_F(RequestQueueTest, PausesAfterTheServiceRefused) {
   push(Urgency::Control, "/first");
-  auto answer = io.open.at(0);
+  auto answer = runtime.open.at(0);
   answer({HttpResult::Outcome::Answered, {429, "{}", false, 0}});
   push(Urgency::Control, "/second");
   run(200);
-  EXPECT_EQ(io.requests.size(), 1U);
+  EXPECT_EQ(runtime.requests.size(), 1U);
   run(1'000);
-  EXPECT_EQ(io.requests.size(), 2U);
+  EXPECT_EQ(runtime.requests.size(), 2U);
   EXPECT_EQ(tally.refused, 1U);
 }
 
@@ -66,7 +66,7 @@
   auto most = static_cast<unsigned>(budget.changes());
   push(Urgency::Work, "/all", Duration{10'000}, most);
   push(Urgency::Work, "/more", Duration{10'000}, 1);
-  EXPECT_EQ(io.targets(), (std::vector<std::string>{"/all"}));
+  EXPECT_EQ(runtime.targets(), (std::vector<std::string>{"/all"}));
   run(1'000);
-  EXPECT_EQ(io.requests.size(), 2U);
+  EXPECT_EQ(runtime.requests.size(), 2U);
 }
--- a/tests/unit/scale_out_test.cpp
+++ b/tests/unit/scale_out_test.cpp
@@ -12,25 +12,25 @@
 
 namespace {
 
-struct CloudIo : HeldCallsIo {
+struct CloudIo : HeldCallsRuntime {
   void call(const Address& to, HttpRequest request, Duration deadline, HttpDone done) override {
-    if (request.target == "/hosts") HeldCallsIo::call(to, std::move(request), deadline, std::move(done));
+    if (request.target == "/hosts") HeldCallsRuntime::call(to, std::move(request), deadline, std::move(done));
   }
   std::string claim(std::size_t n) const { return nlohmann::json::parse(requests.at(n).body)["claim"]; }
 };
 
 struct RentalsTest : testing::Test {
   Settings settings = parseSettings(world::Deployment{}.settingsOf(0), {});
-  CloudIo io;
-  StateStore store{settings, io, silentLog(), 1};
-  Directory directory;
-  Leadership leadership{true, io.now()};
-  FleetContext context{settings, io, silentLog(), store, directory, leadership};
+  CloudIo runtime;
+  KeyValueStore store{settings, runtime, silentLog(), 1};
+  ClusterView clusterView;
+  Leadership leadership{true, runtime.now()};
+  FleetContext context{settings, runtime, silentLog(), store, clusterView, leadership};
   MachineRecords records{context, [](const MachineId&) { return false; }};
   Rentals rentals{context, records, 1};
   policy::Wish wish{{"m", settings.zones[0], false}, 2, 16};
 
-  RentalsTest() { directory.leader = KnownOwner{{settings.node, Epoch{7}}, Version{70}}; }
+  RentalsTest() { clusterView.leader = OwnerEntry{{settings.controller, Epoch{7}}, Version{70}}; }
   std::size_t ordered(ShardId shard) const {
     policy::ShardFleet fleet;
     rentals.addOrdered(shard, fleet);
@@ -46,29 +46,29 @@
   rentals.start(ShardId{1}, wish);
   EXPECT_EQ(ordered(ShardId{1}), 1U);
   EXPECT_EQ(ordered(ShardId{0}), 0U);
-  io.answer(0, 400, "{}");
+  runtime.answer(0, 400, "{}");
   EXPECT_EQ(ordered(ShardId{1}), 0U);
 }
 
 TEST_F(RentalsTest, WithoutAnAnswerTheSameClaimIsSentAgain) {
   rentals.start(ShardId{1}, wish);
-  auto done = io.open.at(0);
+  auto done = runtime.open.at(0);
   done({HttpResult::Outcome::Unknown, {}});
-  io.clock.run(io.clock.now() + 2'000);
-  ASSERT_EQ(io.requests.size(), 2U);
-  EXPECT_EQ(io.claim(0), io.claim(1));
+  runtime.clock.run(runtime.clock.now() + 2'000);
+  ASSERT_EQ(runtime.requests.size(), 2U);
+  EXPECT_EQ(runtime.claim(0), runtime.claim(1));
 }
 
 TEST_F(RentalsTest, AnOfferWithoutCapacityIsRefusedForEverLonger) {
   rentals.start(ShardId{1}, wish);
-  io.answer(0, 503, kNoCapacity);
+  runtime.answer(0, 503, kNoCapacity);
   EXPECT_EQ(rentals.refused().count(wish.offer), 1U);
-  io.clock.run(io.clock.now() + 9'100);
+  runtime.clock.run(runtime.clock.now() + 9'100);
   EXPECT_TRUE(rentals.refused().empty());
   rentals.start(ShardId{1}, wish);
-  EXPECT_NE(io.claim(0), io.claim(1));
-  io.answer(1, 503, kNoCapacity);
-  io.clock.run(io.clock.now() + 15'000);
+  EXPECT_NE(runtime.claim(0), runtime.claim(1));
+  runtime.answer(1, 503, kNoCapacity);
+  runtime.clock.run(runtime.clock.now() + 15'000);
   EXPECT_EQ(rentals.refused().count(wish.offer), 1U);
   rentals.available(wish.offer);
   EXPECT_TRUE(rentals.refused().empty());
--- a/tests/unit/watch_cache_test.cpp
+++ b/tests/unit/watch_cache_test.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 // Keeps every request for the test to answer when it likes; time stands.
-struct HeldIo : Io {
+struct HeldIo : Runtime {
   struct Call {
     std::string target;
     HttpDone done;
@@ -31,8 +31,8 @@
 
 struct Mirrored : testing::Test {
   Settings settings = parseSettings(world::Deployment{}.settingsOf(0), {});
-  HeldIo io;
-  StateStore store{settings, io, silentLog(), 1};
+  HeldIo runtime;
+  KeyValueStore store{settings, runtime, silentLog(), 1};
   std::set<std::string> shown;
 
   // Calls 0 and 1 are the first list and the first watch.
@@ -43,7 +43,7 @@
       else
         shown.erase(c.key);
     });
-    io.answer(0, R"({"entries":[)" + entries + R"(],"truncated":false,"ledger_rev":4})");
+    runtime.answer(0, R"({"entries":[)" + entries + R"(],"truncated":false,"ledger_rev":4})");
   }
 };
 
@@ -52,11 +52,11 @@
 TEST_F(Mirrored, ALateAnswerDoesNotBringBackADroppedKey) {
   begin("");
   store.catchUp("node/", [](bool) {});
-  ASSERT_EQ(io.calls.size(), 3U);
-  io.answer(
+  ASSERT_EQ(runtime.calls.size(), 3U);
+  runtime.answer(
       2, R"({"ledger_rev":7,"news":[{"write":"node/x","value":{},"stamp":5},{"drop":"node/x","stamp":7}]})");
   EXPECT_TRUE(shown.empty());
-  io.answer(1, R"({"ledger_rev":5,"news":[{"write":"node/x","value":{},"stamp":5}]})");
+  runtime.answer(1, R"({"ledger_rev":5,"news":[{"write":"node/x","value":{},"stamp":5}]})");
   EXPECT_TRUE(shown.empty());
 }
 
@@ -64,11 +64,11 @@
   begin("");
   store.catchUp("node/", [](bool) {});
   // The watch is too old and all is read anew; the list is as old as its first page.
-  auto tooOld = io.calls.at(1).done;
+  auto tooOld = runtime.calls.at(1).done;
   tooOld({HttpResult::Outcome::Answered, {410, "{}", false, 0}});
-  ASSERT_EQ(io.calls.size(), 4U);
-  io.answer(2, R"({"ledger_rev":9,"news":[{"write":"node/x","value":{},"stamp":9}]})");
+  ASSERT_EQ(runtime.calls.size(), 4U);
+  runtime.answer(2, R"({"ledger_rev":9,"news":[{"write":"node/x","value":{},"stamp":9}]})");
   EXPECT_EQ(shown.size(), 1U);
-  io.answer(3, R"({"entries":[],"truncated":false,"ledger_rev":8})");
+  runtime.answer(3, R"({"entries":[],"truncated":false,"ledger_rev":8})");
   EXPECT_EQ(shown.size(), 1U);
 }
--- a/tests/world/old_reports.cpp
+++ b/tests/world/old_reports.cpp
@@ -26,8 +26,8 @@
                              [&](const KeptReport& k) { return clock.now() - k.sentAt >= kOld; });
     if (old == 0) continue;
     const auto& report = kept[clock.rng() % static_cast<std::size_t>(old)].request;
-    for (const auto& node : settings.nodes) {
-      auto to = "node" + std::to_string(&node - settings.nodes.data());
+    for (const auto& node : settings.controllers) {
+      auto to = "node" + std::to_string(&node - settings.controllers.data());
       clock.after(static_cast<Ms>(clock.uniform(0, kWithinMs)),
                   [this, machine, to, report] { net.deliverCopy(machine, to, report); });
       ++oldReports_;
--- a/tests/world/scenario_expectations.cpp
+++ b/tests/world/scenario_expectations.cpp
@@ -111,7 +111,7 @@
 double sumOfCounts(const World& world, std::size_t cherryloft::Counts::*count) {
   double sum = 0;
   for (const auto& controller : world.controllers)
-    if (controller->node()) sum += static_cast<double>(controller->node()->counts().*count);
+    if (controller->controller()) sum += static_cast<double>(controller->controller()->counts().*count);
   return sum;
 }
 
--- a/tests/world/scenario_parties.cpp
+++ b/tests/world/scenario_parties.cpp
@@ -35,8 +35,8 @@
   return {partyNamed(world, word)};
 }
 
-std::vector<Controller*> controllersNamed(World& world, const std::string& word) {
-  std::vector<Controller*> out;
+std::vector<ControllerProcess*> controllersNamed(World& world, const std::string& word) {
+  std::vector<ControllerProcess*> out;
   for (unsigned number = 0; number < world.controllers.size(); ++number) {
     bool named = word == kAllControllers || number == parseNumber(word);
     if (named) out.push_back(world.controllers[number].get());
--- a/tests/world/scenario_parties.h
+++ b/tests/world/scenario_parties.h
@@ -19,7 +19,7 @@
 std::vector<std::string> partiesNamed(World& world, const std::string& word);
 
 // "2", or "*" for all.
-std::vector<Controller*> controllersNamed(World& world, const std::string& word);
+std::vector<ControllerProcess*> controllersNamed(World& world, const std::string& word);
 
 // So many of the machines that are up, from the first-th on.
 std::vector<std::string> machinesUp(World& world, std::size_t first, std::size_t count);
--- a/tests/world/trace.cpp
+++ b/tests/world/trace.cpp
@@ -58,13 +58,13 @@
     add(part.size());
     digest_.process_bytes(part.data(), part.size());
   }
-  if (!out_) return;
-  *out_ << at;
+  if (!callbacks_) return;
+  *callbacks_ << at;
   for (auto part : parts) {
-    *out_ << ' ';
-    writeQuoted(*out_, part);
+    *callbacks_ << ' ';
+    writeQuoted(*callbacks_, part);
   }
-  *out_ << '\n';
+  *callbacks_ << '\n';
 }
 
 }  // namespace world
--- a/tests/world/worker.cpp
+++ b/tests/world/worker.cpp
@@ -106,7 +106,7 @@
     auto doc = Json::parse(r.response.body, nullptr, false);
     auto owner = doc.is_object() ? doc.value("steward", std::string()) : "";
     for (unsigned i = 0; i < controllers_; ++i)
-      if (owner == settings_.nodes[i].value && i != target_) {
+      if (owner == settings_.controllers[i].value && i != target_) {
         target_ = i;
         return schedule(static_cast<Ms>(clock_.uniform(0, 500)));
       }
--- a/tests/world/world.cpp
+++ b/tests/world/world.cpp
@@ -78,9 +78,10 @@
 }
 
 // The world's answers to one life of a controller; nothing reaches it after its end.
-class Controller::SimIo : public cherryloft::Io {
+class ControllerProcess::SimulatedRuntime : public cherryloft::Runtime {
  public:
-  SimIo(Controller& c, double rate, Ms wallError) : c_(c), rate_(rate), wallError_(wallError) {}
+  SimulatedRuntime(ControllerProcess& c, double rate, Ms wallError)
+      : c_(c), rate_(rate), wallError_(wallError) {}
   cherryloft::Time now() const override {
     return cherryloft::Time{
         cherryloft::Duration{static_cast<Ms>(static_cast<double>(c_.clock_.now()) * rate_) + 5000}};
@@ -111,14 +112,14 @@
       if (alive.lock()) f();
     };
   }
-  Controller& c_;
+  ControllerProcess& c_;
   double rate_;
   Ms wallError_;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
-Controller::Controller(Clock& clock, Net& net, const Deployment& d, unsigned number,
-                       std::function<void(std::uint32_t, const Frame&, unsigned)> mesh)
+ControllerProcess::ControllerProcess(Clock& clock, Net& net, const Deployment& d, unsigned number,
+                                     std::function<void(std::uint32_t, const Frame&, unsigned)> mesh)
     : clock_(clock),
       net_(net),
       number_(number),
@@ -127,66 +128,66 @@
       settings_(cherryloft::parseSettings(d.settingsOf(number, !d.beginsFormer), {})),
       upgradedSettings_(cherryloft::parseSettings(d.settingsOf(number), {})) {}
 
-Controller::~Controller() = default;
+ControllerProcess::~ControllerProcess() = default;
 
-void Controller::start() {
+void ControllerProcess::start() {
   double rate = 1.0 + clock_.uniform(-drift_, drift_);
-  io_ = std::make_unique<SimIo>(*this, rate, static_cast<Ms>(clock_.uniform(-200, 200)));
-  node_ = std::make_unique<cherryloft::Node>(settings_, *io_, logOf(number_), clock_.rng());
+  runtime_ = std::make_unique<SimulatedRuntime>(*this, rate, static_cast<Ms>(clock_.uniform(-200, 200)));
+  controller_ = std::make_unique<cherryloft::Controller>(settings_, *runtime_, logOf(number_), clock_.rng());
   ++lives_;
   net_.serve(nodeName(number_), [this, life = lives_](const std::string&, HttpRequest r, Reply reply) {
     enter(Source::Sockets, [this, life, r = std::move(r), reply = std::move(reply)] {
-      if (!node_ || life != lives_) return;
+      if (!controller_ || life != lives_) return;
       auto answered = std::make_shared<bool>(false);
-      node_->request(r, [answered, reply](HttpResponse h) {
+      controller_->request(r, [answered, reply](HttpResponse h) {
         if (!std::exchange(*answered, true)) reply(std::move(h));
       });
     });
   });
-  node_->start();
+  controller_->start();
 }
 
-void Controller::crash(Ms backAfter) {
-  node_.reset();
-  io_.reset();
+void ControllerProcess::crash(Ms backAfter) {
+  controller_.reset();
+  runtime_.reset();
   frozenUntil_ = 0;
   for (auto& h : held_) h.clear();
   net_.unserve(nodeName(number_));
   clock_.after(backAfter, [this] {
-    if (!node_) start();
+    if (!controller_) start();
   });
 }
 
-void Controller::upgrade(Ms backAfter) {
+void ControllerProcess::upgrade(Ms backAfter) {
   crash(backAfter);
   settings_ = upgradedSettings_;
 }
 
-void Controller::freeze(Ms until) {
+void ControllerProcess::freeze(Ms until) {
   frozenUntil_ = until;
   clock_.at(until, [this] { thaw(); });
 }
 
-void Controller::enter(Source s, std::function<void()> f) {
+void ControllerProcess::enter(Source s, std::function<void()> f) {
   if (clock_.now() < frozenUntil_)
     held_[static_cast<std::size_t>(s)].push_back(std::move(f));
   else
     f();
 }
 
-void Controller::thaw() {
+void ControllerProcess::thaw() {
   if (clock_.now() < frozenUntil_) return;
   auto held = std::exchange(held_, {});
   for (auto& source : held)
     for (auto& f : source) f();
 }
 
-void Controller::frame(const Frame& f) {
+void ControllerProcess::frame(const Frame& f) {
   // Through the codec, as on the wire.
   auto decoded = cherryloft::mesh::decode(cherryloft::mesh::encode(f));
   if (!decoded) return;
   enter(Source::Sockets, [this, decoded] {
-    if (node_) node_->frame(*decoded);
+    if (controller_) controller_->frame(*decoded);
   });
 }
 
@@ -208,7 +209,7 @@
             d.writeRps),
       cloud(clock, net, checker, natures, settings, d.types, d.controllers) {
   for (unsigned n = 0; n < d.controllers; ++n) {
-    controllers.push_back(std::make_unique<Controller>(
+    controllers.push_back(std::make_unique<ControllerProcess>(
         clock, net, deployment, n, [this](std::uint32_t to, const Frame& f, unsigned from) {
           if (eventTrace.enabled())
             eventTrace.frame(clock.now(), nodeName(from), nodeName(to), cherryloft::mesh::encode(f));
@@ -350,8 +351,8 @@
 void World::withLeader(std::function<void(unsigned)> f) {
   net.call("onlooker", "store", {"GET", "/keys/share/leader", "", false}, 1000, [this, f](HttpResult h) {
     if (h.answered(200))
-      for (unsigned n = 0; n < settings.nodes.size(); ++n)
-        if (Json::parse(h.response.body)["value"]["own"] == settings.nodes[n].value) leader_ = n;
+      for (unsigned n = 0; n < settings.controllers.size(); ++n)
+        if (Json::parse(h.response.body)["value"]["own"] == settings.controllers[n].value) leader_ = n;
     f(leader_);
   });
 }
--- a/tests/world/world.h
+++ b/tests/world/world.h
@@ -29,11 +29,11 @@
 };
 
 // One controller process; crashes lose everything in it.
-class Controller {
+class ControllerProcess {
  public:
-  Controller(Clock& clock, Net& net, const Deployment& d, unsigned number,
-             std::function<void(std::uint32_t, const cherryloft::mesh::Frame&, unsigned)> mesh);
-  ~Controller();
+  ControllerProcess(Clock& clock, Net& net, const Deployment& d, unsigned number,
+                    std::function<void(std::uint32_t, const cherryloft::mesh::Frame&, unsigned)> mesh);
+  ~ControllerProcess();
   void start();
   void crash(Ms backAfter);
   // The same, and it comes back as the present version.
@@ -42,10 +42,10 @@
   // run, as the loop does it.
   void freeze(Ms until);
   void frame(const cherryloft::mesh::Frame& f);
-  const cherryloft::Node* node() const { return node_.get(); }
+  const cherryloft::Controller* controller() const { return controller_.get(); }
 
  private:
-  class SimIo;
+  class SimulatedRuntime;
   enum class Source : std::uint8_t { Sockets, Timers };
   void enter(Source s, std::function<void()> f);
   void thaw();
@@ -55,8 +55,8 @@
   double drift_;
   std::function<void(std::uint32_t, const cherryloft::mesh::Frame&, unsigned)> mesh_;
   cherryloft::Settings settings_, upgradedSettings_;
-  std::unique_ptr<SimIo> io_;
-  std::unique_ptr<cherryloft::Node> node_;
+  std::unique_ptr<SimulatedRuntime> runtime_;
+  std::unique_ptr<cherryloft::Controller> controller_;
   std::uint64_t lives_ = 0;
   Ms frozenUntil_ = 0;
   std::array<std::vector<std::function<void()>>, 2> held_;
@@ -121,7 +121,7 @@
   Natures natures;
   Store store;
   Cloud cloud;
-  std::vector<std::unique_ptr<Controller>> controllers;
+  std::vector<std::unique_ptr<ControllerProcess>> controllers;
   std::map<std::string, JobTrace> traces;
   std::string zoneOf(const std::string& party) const;  // of a controller or machine; none of all others
   Ms slowestCancel = 0;              // how long a cancellation waited for its answer at most
