--- a/apps/cherryloft/main.cpp
+++ b/apps/cherryloft/main.cpp
@@ -15,8 +15,8 @@
   std::string config;
   bool check = false;
   Tuning tuning;
-  std::int64_t ttlMs = tuning.holdTtl.count();
-  double handBackS = inSeconds(tuning.handBackAfter), moveS = inSeconds(tuning.moveEvery);
+  std::int64_t ttlMs = tuning.leaseTtl.count();
+  double handBackS = inSeconds(tuning.returnOwnershipAfter), moveS = inSeconds(tuning.moveEvery);
   app.set_version_flag("--version", std::string("cherryloft ") + CHERRYLOFT_VERSION);
   app.add_option("--config", config, "settings file that the platform hands over (JSON)")->required();
   app.add_flag("--check", check, "check command line and settings, then exit");
@@ -52,8 +52,8 @@
     std::cerr << "cherryloft: " << e.what() << "\n";
     return 2;
   }
-  tuning.holdTtl = Duration{ttlMs};
-  tuning.handBackAfter = seconds(handBackS);
+  tuning.leaseTtl = Duration{ttlMs};
+  tuning.returnOwnershipAfter = seconds(handBackS);
   tuning.moveEvery = seconds(moveS);
   try {
     auto settings = readSettings(config, tuning);
--- a/src/autoscaler/autoscaler.h
+++ b/src/autoscaler/autoscaler.h
@@ -18,7 +18,7 @@
  public:
   struct Callbacks {
     std::function<void(const mesh::MachineDirective&)> wish;  // to the owner of the shard
-    // Whether our hold is good this very moment: leadership was judged by a clock read before.
+    // Whether our lease is good this very moment: leadership was judged by a clock read before.
     std::function<bool()> entitled;
   };
   Fleet(const Settings& settings, Runtime& runtime, Log log, KeyValueStore& store, const ClusterView& view,
--- a/src/autoscaler/cloud_catalog.cpp
+++ b/src/autoscaler/cloud_catalog.cpp
@@ -51,9 +51,9 @@
     return;
   }
   wire::Transaction transaction;
-  transaction.when[keys::kCatalog] = clusterView.catalogVersion;
-  transaction.apply.push_back({keys::kCatalog, value, {}});
-  context_.store.txn(Urgency::Control, transaction, kKeepDeadline, [this](const TxnResult& result) {
+  transaction.conditions[keys::kCatalog] = clusterView.catalogVersion;
+  transaction.operations.push_back({keys::kCatalog, value, {}});
+  context_.store.txn(RequestPriority::Control, transaction, kKeepDeadline, [this](const TxnResult& result) {
     if (!result.ok()) refreshedAt_ = Time{};
   });
 }
--- a/src/autoscaler/machine_records.cpp
+++ b/src/autoscaler/machine_records.cpp
@@ -16,25 +16,25 @@
   waiting_.clear();
   sent_.clear();
   pending_.clear();
-  catchUp();
+  waitUntilCurrent();
 }
 
 // What former leaders recorded must be in view before anything is recorded anew: their writes fail from our
 // epoch on, so a look after it sees all of them. The same goes for what we recorded ourselves.
-void MachineRecords::catchUp() {
+void MachineRecords::waitUntilCurrent() {
   auto seen = [this, since = context_.leadership.since](bool ok) {
     if (context_.leadership.continues(since)) caughtUp(ok);
   };
-  context_.store.catchUp(keys::kShards, [this, seen](bool ok) {
+  context_.store.waitUntilCurrent(keys::kShards, [this, seen](bool ok) {
     if (!ok) return seen(false);
-    context_.store.catchUp(keys::kMachines, seen);
+    context_.store.waitUntilCurrent(keys::kMachines, seen);
   });
 }
 
 void MachineRecords::caughtUp(bool ok) {
   if (!ok) {
     context_.runtime.after(kCatchUpAgain, [this, since = context_.leadership.since] {
-      if (since == context_.leadership.since) catchUp();
+      if (since == context_.leadership.since) waitUntilCurrent();
     });
     return;
   }
@@ -66,12 +66,12 @@
   if (!context_.leadership.active || !leader || !current_ || !sent_.empty()) return;
   const auto& settings = context_.settings;
   wire::Transaction transaction;
-  transaction.when[keys::kLeader] = leader->version;
-  transaction.when[keys::kGroups] = context_.clusterView.groupsVersion;
-  transaction.apply.push_back({keys::kGroups, wire::encodeCounter(leader->record.epoch), {}});
+  transaction.conditions[keys::kLeader] = leader->version;
+  transaction.conditions[keys::kGroups] = context_.clusterView.groupsVersion;
+  transaction.operations.push_back({keys::kGroups, wire::encodeCounter(leader->record.epoch), {}});
   std::size_t weight = 0;
-  while (!waiting_.empty() && transaction.apply.size() < settings.txnOps &&
-         (transaction.apply.size() == 1 || weight + settings.valueBytes <= wire::kMostWeight)) {
+  while (!waiting_.empty() && transaction.operations.size() < settings.txnOps &&
+         (transaction.operations.size() == 1 || weight + settings.valueBytes <= wire::kMostWeight)) {
     auto group = std::move(waiting_.front());
     waiting_.pop_front();
     dropKnown(group);
@@ -79,10 +79,10 @@
     auto key = keys::group(group.members.front().id, leader->record.epoch);
     wire::Write write{key, wire::encodeGroup(group), {}};
     weight += wire::weightOf(write);
-    transaction.when[key] = Version{0};
-    transaction.apply.push_back(std::move(write));
+    transaction.conditions[key] = Version{0};
+    transaction.operations.push_back(std::move(write));
   }
-  if (transaction.apply.size() > 1) send(transaction);
+  if (transaction.operations.size() > 1) send(transaction);
 }
 
 // Leaves the machines that have no record yet, and notes them as sent.
@@ -98,7 +98,7 @@
   auto done = [this, transaction, since = context_.leadership.since](const TxnResult& result) {
     if (context_.leadership.continues(since)) sent(transaction, result);
   };
-  context_.store.txn(Urgency::Control, transaction, kSendDeadline, std::move(done));
+  context_.store.txn(RequestPriority::Control, transaction, kSendDeadline, std::move(done));
 }
 
 // After no answer the same again: either it is done now, or the conflict tells that it was or never will be.
@@ -111,7 +111,7 @@
     return;
   }
   current_ = false;
-  catchUp();
+  waitUntilCurrent();
 }
 
 }  // namespace cherryloft
--- a/src/autoscaler/machine_records.h
+++ b/src/autoscaler/machine_records.h
@@ -28,7 +28,7 @@
   void create(const wire::GroupRecord& machines);
 
  private:
-  void catchUp();
+  void waitUntilCurrent();
   void caughtUp(bool ok);
   void sendNext();
   void dropKnown(wire::GroupRecord& group);
--- a/src/autoscaler/scale_in.cpp
+++ b/src/autoscaler/scale_in.cpp
@@ -80,29 +80,29 @@
   for (const auto& id : ids)
     if (auto machine = clusterView.machines.find(id); machine != clusterView.machines.end())
       byGroup[machine->second.group].insert(id);
-  TransactionDraft draft(context_.settings.txnOps);
+  TransactionBuilder transaction(context_.settings.txnOps);
   std::vector<MachineId> written;
-  draft.require(keys::kLeader, clusterView.leader->version);
+  transaction.require(keys::kLeader, clusterView.leader->version);
   auto exists = [&](const std::string& key) { return clusterView.groups.count(key) > 0; };
   // What is dropped frees tasks; what is only marked can wait.
-  auto most = change == Change::Drop ? context_.settings.txnOps : context_.store.unhurried();
+  auto most = change == Change::Drop ? context_.settings.txnOps : context_.store.backgroundBatchSize();
   for (const auto& [key, changed] : byGroup) {
-    if (draft.writes() >= most) break;
+    if (transaction.writes() >= most) break;
     if (splits_.settling(key, context_.runtime.now())) continue;
     auto group = clusterView.group(key);
     if (group.members.empty()) continue;
     auto version = clusterView.groupVersion(key);
     applyChange(group, changed, change);
     auto rewrite = rewriteGroup(key, version, group, context_.settings.valueBytes, most, exists);
-    if (draft.writes() + rewrite.writes.size() > most) break;
-    if (!splits_.add(draft, key, version, rewrite, context_.runtime.now())) break;
+    if (transaction.writes() + rewrite.writes.size() > most) break;
+    if (!splits_.add(transaction, key, version, rewrite, context_.runtime.now())) break;
     if (rewrite.splits) continue;
     written.insert(written.end(), changed.begin(), changed.end());
   }
-  if (draft.empty()) return {};
+  if (transaction.empty()) return {};
   // In turn with the commits of our own shard, never before all of them: where machines come and go by the
   // hundreds this alone would take all changes there are.
-  context_.store.txn(Urgency::Work, draft.take(), kRewriteDeadline, std::move(done));
+  context_.store.txn(RequestPriority::Work, transaction.take(), kRewriteDeadline, std::move(done));
   return written;
 }
 
--- a/src/cluster/keep_alive_proxy.cpp
+++ b/src/cluster/keep_alive_proxy.cpp
@@ -4,8 +4,9 @@
 
 namespace cherryloft {
 namespace {
-// Between the last word that it answers nobody and a deputy's first answer: long enough for the owner to
-// notice that heartbeats are missing before any lease could end a moment too early in its shard state.
+// Between the last word that it answers nobody and a keep-alive proxy's first answer: long enough for the
+// owner to notice that heartbeats are missing before any lease could end a moment too early in its shard
+// state.
 constexpr Duration kQuiet{5'000};
 constexpr Duration kDrift{100};
 
@@ -13,15 +14,15 @@
 Time time(std::int64_t ms) { return Time{Duration{ms}}; }
 }  // namespace
 
-void DeputyLink::fill(mesh::Heartbeat& p, bool hears, Time now) {
+void KeepAliveProxyLink::fill(mesh::Heartbeat& p, bool hears, Time now) {
   p.at = ms(now);
   p.echo = seenAt_;
-  p.deputy = !hears;
+  p.proxy = !hears;
   p.answeredAgoMs = lastAnswer_ ? (now - *lastAnswer_).count() : -1;
   if (hears) lastQuiet_ = now;
 }
 
-bool DeputyLink::came(const mesh::Heartbeat& p, Time now) {
+bool KeepAliveProxyLink::came(const mesh::Heartbeat& p, Time now) {
   if (p.life < life_ || (p.life == life_ && p.at <= seenAt_)) return false;
   // A process that ended did not tell of its last answers.
   if (p.life > life_ && life_ > 0) told_ = std::max(told_, std::min(now, allowance_));
@@ -30,7 +31,7 @@
   // What it echoes is a word of ours, and the heartbeat younger than that word, however late it comes. A word
   // from before our start may be by another clock.
   bool echoes = p.echo >= ms(started_) && p.echo <= ms(now);
-  if (echoes && !p.deputy) quietAt_ = std::max(quietAt_, time(p.echo));
+  if (echoes && !p.proxy) quietAt_ = std::max(quietAt_, time(p.echo));
   if (p.answeredAgoMs >= 0) told_ = std::max(told_, now - Duration{p.answeredAgoMs});
   allowance_ = now + most_;
   shards_.clear();
@@ -42,13 +43,13 @@
   return true;
 }
 
-bool DeputyLink::mayAnswer(ShardId shard, Epoch epoch, Version seen, bool hears, Time now) const {
+bool KeepAliveProxyLink::mayAnswer(ShardId shard, Epoch epoch, Version seen, bool hears, Time now) const {
   if (hears || now >= allowedUntil_ || now - lastQuiet_ < kQuiet + kDrift) return false;
   auto it = shards_.find(shard);
   return it != shards_.end() && it->second.epoch == epoch && it->second.cancelled <= seen;
 }
 
-Time DeputyLink::mayHaveAnswered(Time now) const {
+Time KeepAliveProxyLink::mayHaveAnswered(Time now) const {
   if (now - quietAt_ < kQuiet) return told_;
   return std::max(told_, std::min(now, allowance_));
 }
--- a/src/cluster/keep_alive_proxy.h
+++ b/src/cluster/keep_alive_proxy.h
@@ -14,10 +14,11 @@
 
 namespace cherryloft {
 
-class DeputyLink {
+class KeepAliveProxyLink {
  public:
   // most: how long it may answer after a word of the owner (Settings::blindFor).
-  DeputyLink(Time started, Duration grace, Duration most) : started_(started), grace_(grace), most_(most) {
+  KeepAliveProxyLink(Time started, Duration grace, Duration most)
+      : started_(started), grace_(grace), most_(most) {
     lastQuiet_ = started;
   }
 
@@ -26,8 +27,8 @@
   // False if the heartbeat is older than one that came before.
   bool came(const mesh::Heartbeat& p, Time now);
 
-  // As its deputy: whether we may answer a worker of that shard that holds a token of that epoch, when we
-  // know of all jobs what was committed up to `seen`.
+  // As its keep-alive proxy: whether we may answer a worker of that shard that holds a token of that epoch,
+  // when we know of all jobs what was committed up to `seen`.
   bool mayAnswer(ShardId shard, Epoch epoch, Version seen, bool hears, Time now) const;
   void answered(Time now) { lastAnswer_ = now; }
 
@@ -40,7 +41,7 @@
   std::uint64_t life_ = 0;   // of the sibling's process
   std::int64_t seenAt_ = 0;  // by its clock, when it sent the latest heartbeat that came
 
-  // As its deputy.
+  // As its keep-alive proxy.
   Time lastQuiet_{};  // our last word to it that we answer nobody in its name
   struct Word {
     Epoch epoch;
--- a/src/cluster/machine_group_rewrite.cpp
+++ b/src/cluster/machine_group_rewrite.cpp
@@ -66,11 +66,11 @@
   return false;
 }
 
-bool MachineGroupSplits::add(TransactionDraft& draft, const std::string& key, Version version,
+bool MachineGroupSplits::add(TransactionBuilder& transaction, const std::string& key, Version version,
                              const MachineGroupRewrite& rewrite, Time now) {
-  if (!draft.addAll(rewrite.writes)) return false;
+  if (!transaction.addAll(rewrite.writes)) return false;
   if (!rewrite.splits) return true;
-  draft.require(key, version);
+  transaction.require(key, version);
   since_[key] = now;
   return true;
 }
--- a/src/cluster/machine_group_rewrite.h
+++ b/src/cluster/machine_group_rewrite.h
@@ -48,7 +48,7 @@
   bool settling(const std::string& key, Time now);
   // Adds the rewrite of the group with that version to the transaction. False, and nothing is added, if it
   // does not fit.
-  bool add(TransactionDraft& draft, const std::string& key, Version version,
+  bool add(TransactionBuilder& transaction, const std::string& key, Version version,
            const MachineGroupRewrite& rewrite, Time now);
 
  private:
--- a/src/cluster/membership.cpp
+++ b/src/cluster/membership.cpp
@@ -30,47 +30,47 @@
   if (opening_) return;
   opening_ = true;
   auto sent = runtime_.now();
-  store_.openHold(settings_.holdTtl(), [this, sent](std::optional<std::uint64_t> id) {
+  store_.grantLease(settings_.leaseTtl(), [this, sent](std::optional<std::uint64_t> id) {
     opening_ = false;
     if (!id) {
       runtime_.after(Duration{200}, [this] { open(); });
       return;
     }
-    hold_ = id;
+    lease_ = id;
     silent_ = true;
     renewed(sent, KeyValueStore::Renewal::Good);
-    join(*hold_);
+    join(*lease_);
   });
 }
 
 // Writes our node/ key under the lease. It must fail when a shard we believe ours was taken meanwhile.
-void Membership::join(std::uint64_t hold) {
-  if (hold_ != hold) return;
-  auto again = [this, hold] { runtime_.after(Duration{100}, [this, hold] { join(hold); }); };
-  if (!store_.mirrored()) return again();
-  store_.catchUp(keys::kControllers, [this, hold, again](bool nodesOk) {
+void Membership::join(std::uint64_t lease) {
+  if (lease_ != lease) return;
+  auto again = [this, lease] { runtime_.after(Duration{100}, [this, lease] { join(lease); }); };
+  if (!store_.cachesLoaded()) return again();
+  store_.waitUntilCurrent(keys::kControllers, [this, lease, again](bool nodesOk) {
     if (!nodesOk) return again();
-    store_.catchUp(keys::kShards, [this, hold, again](bool sharesOk) {
-      if (hold_ != hold) return;
+    store_.waitUntilCurrent(keys::kShards, [this, lease, again](bool sharesOk) {
+      if (lease_ != lease) return;
       if (!sharesOk) return again();
       review();  // drops what the cluster view shows as taken
       wire::Transaction t;
       auto me = view_.controllers.find(settings_.controller);
-      t.when[keys::controller(settings_.controller)] =
+      t.conditions[keys::controller(settings_.controller)] =
           me == view_.controllers.end() ? Version{0} : me->second;
-      for (const auto& [k, _] : owned_) t.when[keys::shard(k)] = view_.shards.at(k).version;
-      t.apply.push_back({keys::controller(settings_.controller),
-                         "{\"at\":" + std::to_string(runtime_.wall().value) + "}", hold});
-      store_.txn(Urgency::Hold, t, Duration{1'000}, [this, hold, again](TxnResult r) {
-        if (hold_ != hold) return;
-        if (r.outcome == TxnResult::Outcome::NoHold) {
-          hold_.reset();
+      for (const auto& [k, _] : owned_) t.conditions[keys::shard(k)] = view_.shards.at(k).version;
+      t.operations.push_back({keys::controller(settings_.controller),
+                              "{\"at\":" + std::to_string(runtime_.wall().value) + "}", lease});
+      store_.txn(RequestPriority::Lease, t, Duration{1'000}, [this, lease, again](TxnResult r) {
+        if (lease_ != lease) return;
+        if (r.outcome == TxnResult::Outcome::LeaseExpired) {
+          lease_.reset();
           return open();
         }
         if (!r.ok()) return again();
         joined_ = true;
         joinVersion_ = r.revision;
-        log_->info("joined with hold {}", hold);
+        log_->info("joined with hold {}", lease);
         callbacks_.leaseValidity(leaseValidity());
         review();
       });
@@ -80,12 +80,12 @@
 
 // Each lease has its own chain of joins and of renewals, and what is said of one that was given up concerns
 // no other.
-void Membership::renew(std::uint64_t hold) {
-  if (hold_ != hold) return;
+void Membership::renew(std::uint64_t lease) {
+  if (lease_ != lease) return;
   auto sent = runtime_.now();
-  auto patience = std::max(settings_.holdTtl() / 3, Duration{100});
-  store_.renewHold(hold, patience, [this, sent, hold](KeyValueStore::Renewal r) {
-    if (hold_ == hold) renewed(sent, r);
+  auto patience = std::max(settings_.leaseTtl() / 3, Duration{100});
+  store_.renewLease(lease, patience, [this, sent, lease](KeyValueStore::Renewal r) {
+    if (lease_ == lease) renewed(sent, r);
   });
 }
 
@@ -96,16 +96,16 @@
       extend(sent);
       if (silent_ && joined_) store_.restartWatches();
       silent_ = false;
-      runtime_.after(std::max(sent + settings_.holdTtl() / 4 - now, Duration{10}),
-                     [this, hold = *hold_] { renew(hold); });
+      runtime_.after(std::max(sent + settings_.leaseTtl() / 4 - now, Duration{10}),
+                     [this, lease = *lease_] { renew(lease); });
       break;
     case KeyValueStore::Renewal::NoAnswer:
       silent_ = true;
-      runtime_.after(Duration{150}, [this, hold = *hold_] { renew(hold); });
+      runtime_.after(Duration{150}, [this, lease = *lease_] { renew(lease); });
       break;
     case KeyValueStore::Renewal::Gone:
-      log_->info("hold {} is gone", *hold_);
-      hold_.reset();
+      log_->info("hold {} is gone", *lease_);
+      lease_.reset();
       joined_ = false;
       silent_ = true;
       own_.ownsUntil = std::min(own_.ownsUntil, now);
@@ -116,7 +116,7 @@
 }
 
 void Membership::extend(Time sent) {
-  auto ttl = settings_.holdTtl();
+  auto ttl = settings_.leaseTtl();
   auto drift = Duration{static_cast<std::int64_t>(static_cast<double>(ttl.count()) * kDrift)};
   own_.ownsUntil = std::max(own_.ownsUntil, sent + ttl - drift - kRounding);
   own_.answersUntil = std::max(own_.answersUntil, own_.ownsUntil + settings_.grace());
@@ -185,13 +185,13 @@
   auto seen = view_.shards.find(k);
   const OwnerEntry* o = seen == view_.shards.end() ? nullptr : &seen->second;
   if (owned_.count(k) > 0) {
-    const auto& home = settings_.controllers[k.value];
-    auto alive = aliveSince_.find(home);
-    if (home == settings_.controller || alive == aliveSince_.end()) return;
-    auto& asked = handBackAsked_[k];
-    if (now - alive->second < settings_.tuning.handBackAfter || now - asked < kAskAgain) return;
+    const auto& preferredOwner = settings_.controllers[k.value];
+    auto alive = aliveSince_.find(preferredOwner);
+    if (preferredOwner == settings_.controller || alive == aliveSince_.end()) return;
+    auto& asked = returnAsked_[k];
+    if (now - alive->second < settings_.tuning.returnOwnershipAfter || now - asked < kAskAgain) return;
     asked = now;
-    callbacks_.handBack(k, home);
+    callbacks_.returnToPreferredOwner(k, preferredOwner);
     return;
   }
   if (o && mine(*o)) {
@@ -222,22 +222,23 @@
   }
   if (!leaderless_) leaderless_ = now;
   if (left || now - *leaderless_ >= kStep * rankFor(ShardId{0}))
-    draw(keys::kLeader, o, [this](Epoch e, Version) { log_->info("leading with epoch {}", e.value); });
+    allocateEpoch(keys::kLeader, o,
+                  [this](Epoch e, Version) { log_->info("leading with epoch {}", e.value); });
 }
 
 // Makes us the owner in a record, with a new epoch; fails if the former owner is alive after all.
-void Membership::draw(const std::string& key, const OwnerEntry* former,
-                      std::function<void(Epoch, Version)> done) {
+void Membership::allocateEpoch(const std::string& key, const OwnerEntry* former,
+                               std::function<void(Epoch, Version)> done) {
   wire::Transaction t;
   Epoch next{view_.epoch.value + 1};
-  t.when[key] = former ? former->version : Version{0};
-  t.when[keys::kEpoch] = view_.epochVersion;
-  t.when[keys::controller(settings_.controller)] = joinVersion_;
-  if (former && !mine(*former)) t.when[keys::controller(former->record.owner)] = Version{0};
-  t.apply.push_back({key, wire::encodeOwnerRecord({settings_.controller, next}), {}});
-  t.apply.push_back({keys::kEpoch, wire::encodeCounter(next), {}});
+  t.conditions[key] = former ? former->version : Version{0};
+  t.conditions[keys::kEpoch] = view_.epochVersion;
+  t.conditions[keys::controller(settings_.controller)] = joinVersion_;
+  if (former && !mine(*former)) t.conditions[keys::controller(former->record.owner)] = Version{0};
+  t.operations.push_back({key, wire::encodeOwnerRecord({settings_.controller, next}), {}});
+  t.operations.push_back({keys::kEpoch, wire::encodeCounter(next), {}});
   taking_ = true;
-  store_.txn(Urgency::Control, t, Duration{1'500}, [this, next, done = std::move(done)](TxnResult r) {
+  store_.txn(RequestPriority::Control, t, Duration{1'500}, [this, next, done = std::move(done)](TxnResult r) {
     if (r.ok()) done(next, r.revision);
     refresh();
   });
@@ -245,8 +246,8 @@
 
 // The directory must show what was just written, or what kept it from being written, before we go on.
 void Membership::refresh() {
-  store_.catchUp(keys::kShards, [this](bool) {
-    store_.catchUp(keys::kControllers, [this](bool ok) {
+  store_.waitUntilCurrent(keys::kShards, [this](bool) {
+    store_.waitUntilCurrent(keys::kControllers, [this](bool ok) {
       taking_ = false;
       if (ok) review();
     });
@@ -254,7 +255,7 @@
 }
 
 void Membership::take(ShardId k, const OwnerEntry* former) {
-  draw(keys::shard(k), former, [this, k](Epoch e, Version s) { adopt(k, e, s); });
+  allocateEpoch(keys::shard(k), former, [this, k](Epoch e, Version s) { adopt(k, e, s); });
 }
 
 void Membership::adopt(ShardId k, Epoch e, Version s) {
@@ -262,24 +263,26 @@
   owned_[k] = e;
   used_[k] = e;
   orphanSince_.erase(k);
-  handBackAsked_[k] = runtime_.now();
-  // The former owner, or a deputy of its, may answer for as long; given by a living one, also for its lease.
-  callbacks_.takenOver({k, e, s, settings_.grace() + settings_.holdTtl()});
+  returnAsked_[k] = runtime_.now();
+  // The former owner, or a keep-alive proxy of its, may answer for as long; given by a living one, also for
+  // its lease.
+  callbacks_.takenOver({k, e, s, settings_.grace() + settings_.leaseTtl()});
 }
 
-void Membership::give(ShardId k, Version version, const ControllerId& to, std::function<void(bool)> done) {
+void Membership::transferOwnership(ShardId k, Version version, const ControllerId& to,
+                                   std::function<void(bool)> done) {
   auto controller = view_.controllers.find(to);
   if (taking_ || !joined_ || controller == view_.controllers.end()) return done(false);
   wire::Transaction t;
   Epoch next{view_.epoch.value + 1};
-  t.when[keys::shard(k)] = version;
-  t.when[keys::kEpoch] = view_.epochVersion;
-  t.when[keys::controller(settings_.controller)] = joinVersion_;
-  t.when[keys::controller(to)] = controller->second;
-  t.apply.push_back({keys::shard(k), wire::encodeOwnerRecord({to, next}), {}});
-  t.apply.push_back({keys::kEpoch, wire::encodeCounter(next), {}});
+  t.conditions[keys::shard(k)] = version;
+  t.conditions[keys::kEpoch] = view_.epochVersion;
+  t.conditions[keys::controller(settings_.controller)] = joinVersion_;
+  t.conditions[keys::controller(to)] = controller->second;
+  t.operations.push_back({keys::shard(k), wire::encodeOwnerRecord({to, next}), {}});
+  t.operations.push_back({keys::kEpoch, wire::encodeCounter(next), {}});
   taking_ = true;
-  store_.txn(Urgency::Control, t, Duration{1'500}, [this, k, done = std::move(done)](TxnResult r) {
+  store_.txn(RequestPriority::Control, t, Duration{1'500}, [this, k, done = std::move(done)](TxnResult r) {
     bool refused = r.outcome == TxnResult::Outcome::Refused || r.outcome == TxnResult::Outcome::Conflict;
     if (!refused) owned_.erase(k);  // given, or in doubt: either way we act for it no more
     done(!refused);
@@ -287,7 +290,7 @@
   });
 }
 
-void Membership::abandon(ShardId k) {
+void Membership::dropOwnership(ShardId k) {
   if (owned_.erase(k) == 0) return;
   callbacks_.lost(k);
   if (!taking_) {
--- a/src/cluster/membership.h
+++ b/src/cluster/membership.h
@@ -20,7 +20,7 @@
   ShardId shard;
   Epoch epoch;
   Version version;
-  // How long the former owner, and deputies of its, may have gone on answering check-ins.
+  // How long the former owner, and keep-alive proxies of its, may have gone on answering check-ins.
   Duration formerAnswers{0};
 };
 
@@ -31,7 +31,7 @@
     std::function<void(const ShardTakeover&)> takenOver;
     std::function<void(ShardId)> lost;
     std::function<void(bool)> leading;
-    std::function<void(ShardId, ControllerId)> handBack;  // asks the shard's actor to let go
+    std::function<void(ShardId, ControllerId)> returnToPreferredOwner;  // asks the shard's actor to let go
   };
 
   Membership(const Settings& settings, Runtime& runtime, Log log, KeyValueStore& store,
@@ -42,20 +42,21 @@
   LeaseValidity leaseValidity() const;
   const std::map<ShardId, Epoch>& owned() const { return owned_; }
   // Gives a shard to its home controller; done tells whether it is gone.
-  void give(ShardId k, Version version, const ControllerId& to, std::function<void(bool)> done);
+  void transferOwnership(ShardId k, Version version, const ControllerId& to, std::function<void(bool)> done);
   // The shard's actor found that it does not own it any more, or that its shard state are in doubt.
-  void abandon(ShardId k);
+  void dropOwnership(ShardId k);
 
  private:
   void open();
-  void join(std::uint64_t hold);
-  void renew(std::uint64_t hold);
+  void join(std::uint64_t lease);
+  void renew(std::uint64_t lease);
   void renewed(Time sent, KeyValueStore::Renewal r);
   void extend(Time sent);
   void review();
   void reviewShard(ShardId k, Time now);
   void reviewLeader(Time now);
-  void draw(const std::string& key, const OwnerEntry* former, std::function<void(Epoch, Version)> done);
+  void allocateEpoch(const std::string& key, const OwnerEntry* former,
+                     std::function<void(Epoch, Version)> done);
   void refresh();
   void take(ShardId k, const OwnerEntry* former);
   void adopt(ShardId k, Epoch e, Version s);
@@ -69,7 +70,7 @@
   KeyValueStore& store_;
   const ClusterView& view_;
   Callbacks callbacks_;
-  std::optional<std::uint64_t> hold_;
+  std::optional<std::uint64_t> lease_;
   bool joined_ = false;  // our node/ key hangs on the lease
   Version joinVersion_;
   bool opening_ = false;
@@ -78,7 +79,7 @@
   std::map<ShardId, Epoch> owned_;
   std::map<ShardId, Epoch> used_;  // epochs this process has acted under
   std::map<ShardId, Time> orphanSince_;
-  std::map<ShardId, Time> handBackAsked_;
+  std::map<ShardId, Time> returnAsked_;
   std::map<ControllerId, Time> aliveSince_;
   std::optional<Time> leaderless_;
   bool leads_ = false;
--- a/src/cluster/peers.cpp
+++ b/src/cluster/peers.cpp
@@ -13,9 +13,9 @@
     : settings_(settings),
       runtime_(runtime),
       callbacks_(std::move(out)),
-      self_(settings.homeShard(settings.controller).value),
+      self_(settings.preferredShard(settings.controller).value),
       life_(static_cast<std::uint64_t>(runtime.wall().value)) {
-  DeputyLink link(runtime.now(), settings.grace(), settings.blindFor());
+  KeepAliveProxyLink link(runtime.now(), settings.grace(), settings.blindFor());
   neighbours_.assign(settings.size(), Neighbour{{}, {}, {}, link});
   // Answers to asks of an earlier process must not match ours.
   askCount_ = life_ << 20;
@@ -68,7 +68,7 @@
 
 bool Peers::reaches(std::uint32_t n) const { return hears(n) || via(n); }
 
-bool Peers::deputyFor(std::uint32_t n, ShardId shard, Epoch epoch, Version seen) const {
+bool Peers::mayAnswerFor(std::uint32_t n, ShardId shard, Epoch epoch, Version seen) const {
   return neighbours_[n].link.mayAnswer(shard, epoch, seen, hears(n), runtime_.now());
 }
 
--- a/src/cluster/peers.h
+++ b/src/cluster/peers.h
@@ -41,19 +41,19 @@
   bool reaches(const ControllerId& n) const { return reaches(numberOf(n)); }
   // Whether a worker of a shard of that sibling's, with a token of that epoch, may be answered in its name,
   // when we know of all jobs what was committed up to `seen`.
-  bool deputyFor(std::uint32_t n, ShardId shard, Epoch epoch, Version seen) const;
+  bool mayAnswerFor(std::uint32_t n, ShardId shard, Epoch epoch, Version seen) const;
   void answeredFor(std::uint32_t n) { neighbours_[n].link.answered(runtime_.now()); }
   // The latest moment at which any sibling may have answered a worker in our name.
   Time answeredElsewhere() const;
   std::uint32_t self() const { return self_; }
-  std::uint32_t numberOf(const ControllerId& n) const { return settings_.homeShard(n).value; }
+  std::uint32_t numberOf(const ControllerId& n) const { return settings_.preferredShard(n).value; }
 
  private:
   struct Neighbour {
     Time heard{};
     mesh::Heartbeat heartbeat;
     Time remeshed{};
-    DeputyLink link;
+    KeepAliveProxyLink link;
   };
   std::optional<std::uint32_t> via(std::uint32_t to) const;
   std::uint64_t expect(Duration deadline, Answered done);
--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -90,7 +90,7 @@
   return a;
 }
 
-// A hold that is shorter is lost for every slow answer of the state service.
+// A lease that is shorter is lost for every slow answer of the state service.
 constexpr Duration kShortestHold{2'000};
 
 // What an answer may prolong, and the lease after it, must end within cancel_s of a cancellation that the
@@ -102,11 +102,11 @@
 
 Duration Settings::blindFor() const { return std::max(seconds(cancelS - leaseS) - margin(), Duration{0}); }
 
-// Nobody cancels in our stead before the hold is over, so that a hold longer than blindFor() breaks no bound;
-// there is just no grace after it then.
-Duration Settings::holdTtl() const { return std::min(tuning.holdTtl, std::max(blindFor(), kShortestHold)); }
+// Nobody cancels in our stead before the lease is over, so that a lease longer than blindFor() breaks no
+// bound; there is just no grace after it then.
+Duration Settings::leaseTtl() const { return std::min(tuning.leaseTtl, std::max(blindFor(), kShortestHold)); }
 
-Duration Settings::grace() const { return std::max(blindFor() - holdTtl(), Duration{0}); }
+Duration Settings::grace() const { return std::max(blindFor() - leaseTtl(), Duration{0}); }
 
 namespace {
 std::optional<double> tightest(const std::vector<TimeAim>& aims, const std::string& jobClass) {
@@ -142,7 +142,7 @@
   return ShardId{t ? static_cast<std::uint32_t>(t - teams.data()) % size() : 0};
 }
 
-ShardId Settings::homeShard(const ControllerId& name) const {
+ShardId Settings::preferredShard(const ControllerId& name) const {
   return ShardId{static_cast<std::uint32_t>(std::find(controllers.begin(), controllers.end(), name) -
                                             controllers.begin())};
 }
--- a/src/config/settings.h
+++ b/src/config/settings.h
@@ -42,8 +42,8 @@
 
 // Values the operators may set; the defaults are what OPERATING.md lists.
 struct Tuning {
-  Duration holdTtl{3000};
-  Duration handBackAfter{8000};
+  Duration leaseTtl{3000};
+  Duration returnOwnershipAfter{8000};
   Duration moveEvery{30000};
   unsigned sample = 64;         // K
   double spareFraction = 0.25;  // room kept free above what is asked for, as a fraction of it
@@ -77,10 +77,10 @@
       controllers;  // all controllers, sorted; the index is the number of the home shard
 
   unsigned size() const { return static_cast<unsigned>(controllers.size()); }
-  // The life of this controller's hold: the operators' choice, or less where the deployment leaves little
+  // The life of this controller's lease: the operators' choice, or less where the deployment leaves little
   // room.
-  Duration holdTtl() const;
-  // How long after its hold ran out a controller goes on answering check-ins (invariant 6).
+  Duration leaseTtl() const;
+  // How long after its lease ran out a controller goes on answering check-ins (invariant 6).
   Duration grace() const;
   // How long after a moment whose cancellations are all known a worker may be answered, though those since
   // are not (invariant 16). Nothing where cancel_s is hardly above lease_s.
@@ -95,7 +95,7 @@
   // How long work may wait for cheap room and still meet what is aimed at, with a reserve.
   double patienceS() const;
   const Team* team(const TeamId& name) const;
-  ShardId homeShard(const ControllerId& name) const;
+  ShardId preferredShard(const ControllerId& name) const;
 };
 
 Settings parseSettings(const std::string& source, const Tuning& tuning);
--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -27,7 +27,7 @@
                    [this](const ShardTakeover& t) { takenOver(t); }, [this](ShardId k) { lost(k); },
                    [this](bool leads) { fleet_.leading(leads); },
                    [this](ShardId k, ControllerId to) {
-                     if (auto* s = scheduler(k)) s->handBack(to);
+                     if (auto* s = scheduler(k)) s->returnToPreferredOwner(to);
                    }}),
       fleet_(
           settings, runtime, log, store_, view_, rng_(),
@@ -40,7 +40,7 @@
 
 void Controller::start() {
   for (const auto& prefix : {keys::kJobs, keys::kMachines, keys::kShards, keys::kControllers})
-    store_.mirror(prefix, [this](const wire::KeyChange& c) { changed(c); });
+    store_.watch(prefix, [this](const wire::KeyChange& c) { changed(c); });
   if (settings_.grace() == Duration{0})
     log_->error(
         "cancel_s leaves {} s after lease_s: no check-ins are answered without a hold, so that work ends "
@@ -88,9 +88,9 @@
   } else if (under(keys::kMachines)) {
     for (const auto& id : machines)
       for (auto& [_, s] : schedulers_) s->machineChanged(id);
-  } else if (store_.mirrored()) {
+  } else if (store_.cachesLoaded()) {
     membership_.changed();
-    store_.part(partOfLimits());
+    store_.setFractionOfLimits(fractionOfLimits());
   }
 }
 
@@ -106,7 +106,7 @@
 
 // Most of what is asked of the store is asked for a shard, by its owner, and for machines, by the leader; the
 // rest by every living controller.
-double Controller::partOfLimits() const {
+double Controller::fractionOfLimits() const {
   constexpr double kEach = 0.5, kLeader = 0.75;
   double mine = 0, all = 0;
   for (const auto& n : settings_.controllers) {
@@ -126,7 +126,7 @@
       // A turn of its own: the actor asks for its own end.
       [this, k = t.shard] {
         runtime_.after(Duration{0}, [this, k] {
-          membership_.abandon(k);
+          membership_.dropOwnership(k);
           lost(k);
         });
       },
@@ -134,7 +134,7 @@
         probe(address, std::move(done));
       },
       [this, k = t.shard](Version version, const ControllerId& to, std::function<void(bool)> done) {
-        membership_.give(k, version, to, std::move(done));
+        membership_.transferOwnership(k, version, to, std::move(done));
       },
       [this] { return peers_.answeredElsewhere(); },
       [this, k = t.shard](const mesh::RoomWanted& w) {
@@ -246,7 +246,7 @@
 
 // --- requests ---
 
-bool Controller::serving() const { return store_.mirrored() && !view_.catalog.empty(); }
+bool Controller::serving() const { return store_.cachesLoaded() && !view_.catalog.empty(); }
 
 void Controller::up(Responder done) {
   // Out of service only if the store is lost to us alone: were it lost to all, taking all out would help
@@ -270,7 +270,7 @@
     if (only("POST")) checkIn(r.body, std::move(done));
   } else if (path == "/v1/jobs") {
     if (!only("POST")) return;
-    if (!store_.mirrored()) return done(wire::userUnavailable("starting"));
+    if (!store_.cachesLoaded()) return done(wire::userUnavailable("starting"));
     userApi_.submit(r.body, std::move(done));
   } else if (path.compare(0, 9, "/v1/jobs/") == 0) {
     jobs(r, std::move(done));
@@ -286,7 +286,7 @@
   if (cancel) id.resize(id.size() - kCancelPath.size());
   if (r.method != (cancel ? "POST" : "GET")) return done(wire::userError(405, "method not allowed"));
   if (!wire::isJobId(id)) return done(wire::userError(404, "no such job"));
-  if (!store_.mirrored()) return done(wire::userUnavailable("starting"));
+  if (!store_.cachesLoaded()) return done(wire::userUnavailable("starting"));
   if (cancel)
     userApi_.cancel(JobId{id}, std::move(done));
   else
@@ -349,7 +349,7 @@
   if (shard == view_.shards.end() || shard->second.record.owner != owner) return false;
   auto epoch = shard->second.record.epoch;
   return epochOf(r.token) == std::max(machine->second.record.token, epoch) &&
-         peers_.deputyFor(peers_.numberOf(owner), shard->first, epoch, store_.revisionOf(keys::kJobs));
+         peers_.mayAnswerFor(peers_.numberOf(owner), shard->first, epoch, store_.revisionOf(keys::kJobs));
 }
 
 // The owner of the worker's shard is out of reach. Cut off together with the worker we keep its lease up for
--- a/src/controller/controller.h
+++ b/src/controller/controller.h
@@ -27,7 +27,7 @@
   mesh::Heartbeat heartbeat() const;
   bool mayAnswerFor(const ControllerId& owner, const wire::Report& r) const;
   HttpResponse answerFor(const ControllerId& owner, const wire::Report& r);
-  double partOfLimits() const;
+  double fractionOfLimits() const;
   void changed(const wire::KeyChange& c);
   void received(std::uint32_t from, const mesh::Payload& p);
   void takenOver(const ShardTakeover& t);
--- a/src/controller/user_api.cpp
+++ b/src/controller/user_api.cpp
@@ -88,8 +88,8 @@
 // --- questions ---
 
 // The owner's answer may have been given before an end that we have told, or heard of, since. An end that it
-// tells is taken in before the user hears it: the owner may have seen it in its mirror, before the answer to
-// its own commit, and so before it told its siblings.
+// tells is taken in before the user hears it: the owner may have seen it in its watch cache, before the
+// answer to its own commit, and so before it told its siblings.
 HttpResponse UserApi::relayed(const JobId& id, const mesh::Answer& a) {
   if (const JobEntry* job = known(id); job && job->status != JobStatus::Open) return ended(id, *job);
   if (auto end = a.status == 200 ? wire::parseEnd(a.body) : std::nullopt) callbacks_.ended(id, *end);
@@ -117,21 +117,22 @@
 
 void UserApi::strongRead(const JobId& id, Responder done) {
   if (!callbacks_.hasStore()) return done(wire::userUnavailable("no connection to the state service"));
-  store_.get(Urgency::User, keys::job(id), kStrongRead, [this, id, done = std::move(done)](GetResult r) {
-    switch (r.outcome) {
-      case GetResult::Outcome::Absent:
-        return done(wire::userError(404, "no such job"));
-      case GetResult::Outcome::Failed:
-        return done(wire::userUnavailable("the state service does not answer"));
-      case GetResult::Outcome::Found:
-        break;
-    }
-    callbacks_.learnt(r.entry);
-    const JobEntry* job = known(id);
-    if (!job) return done(wire::userUnavailable("the job's record is unreadable"));
-    if (job->status != JobStatus::Open) return done(ended(id, *job));
-    done({200, wire::encodeJob(id, {JobStatus::Open, job->tasks, 0, 0}), false, 0});
-  });
+  store_.get(RequestPriority::User, keys::job(id), kStrongRead,
+             [this, id, done = std::move(done)](GetResult r) {
+               switch (r.outcome) {
+                 case GetResult::Outcome::Absent:
+                   return done(wire::userError(404, "no such job"));
+                 case GetResult::Outcome::Failed:
+                   return done(wire::userUnavailable("the state service does not answer"));
+                 case GetResult::Outcome::Found:
+                   break;
+               }
+               callbacks_.learnt(r.entry);
+               const JobEntry* job = known(id);
+               if (!job) return done(wire::userUnavailable("the job's record is unreadable"));
+               if (job->status != JobStatus::Open) return done(ended(id, *job));
+               done({200, wire::encodeJob(id, {JobStatus::Open, job->tasks, 0, 0}), false, 0});
+             });
 }
 
 void UserApi::cancel(const JobId& id, Responder done) {
--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -48,7 +48,7 @@
   HttpClient client(loop, kIdlePerAddress, kept / 4, kept / 2, {settings.state, settings.cloud});
   LoopRuntime runtime(loop, client);
   std::vector<Address> addresses(settings.size());
-  for (const auto& s : settings.siblings) addresses[settings.homeShard(s.controller).value] = s.address;
+  for (const auto& s : settings.siblings) addresses[settings.preferredShard(s.controller).value] = s.address;
   auto seed = settings.tuning.seed;
   if (seed == 0)
     seed =
@@ -56,7 +56,7 @@
   Controller controller(settings, runtime, log, seed);
   int front = listening(settings.front);
   mesh::Transport transport(loop, listening(settings.mesh), addresses,
-                            settings.homeShard(settings.controller).value,
+                            settings.preferredShard(settings.controller).value,
                             [&controller](const mesh::Frame& f) { controller.frame(f); });
   runtime.attach(&transport);
   HttpServer server(
--- a/src/kvstore/group_commit.cpp
+++ b/src/kvstore/group_commit.cpp
@@ -21,18 +21,18 @@
 
 void GroupCommit::commitNext() {
   if (committing_ || waiting_.empty()) return;
-  budget_.refill(runtime_.now());
+  limiter_.refill(runtime_.now());
   // As many as there are changes to spend: a batch that waits for more would be passed by all else.
-  auto affordable = static_cast<std::size_t>(std::max(budget_.changes(), 0.0));
+  auto affordable = static_cast<std::size_t>(std::max(limiter_.changes(), 0.0));
   auto most = std::min<std::size_t>(settings_.txnOps, affordable);
-  if (most == 0 || budget_.paused(runtime_.now())) {
+  if (most == 0 || limiter_.paused(runtime_.now())) {
     refuseExpired();
     return commitLater();
   }
   auto batch = takeBatch(most);
   committing_ = true;
   auto wait = std::clamp(batch->giveUp - runtime_.now(), Duration{1}, kMostWait);
-  client_.txn(Urgency::Control, batch->transaction, wait,
+  client_.txn(RequestPriority::Control, batch->transaction, wait,
               [this, batch](const TxnResult& result) { committed(*batch, result); });
 }
 
@@ -46,14 +46,14 @@
     const auto& write = creation.write;
     weight += wire::weightOf(write);
     bool full = batch->creations.size() >= most || (!batch->creations.empty() && weight > wire::kMostWeight);
-    bool twice = transaction.when.count(write.key) > 0;  // a key may stand in a transaction once
+    bool twice = transaction.conditions.count(write.key) > 0;  // a key may stand in a transaction once
     if (full || twice) {
       later.push_back(std::move(creation));
       continue;
     }
     batch->giveUp = std::max(batch->giveUp, creation.giveUp);
-    transaction.when[write.key] = Version{0};
-    transaction.apply.push_back(write);
+    transaction.conditions[write.key] = Version{0};
+    transaction.operations.push_back(write);
     batch->creations.push_back(std::move(creation));
   }
   waiting_ = std::move(later);
--- a/src/kvstore/group_commit.h
+++ b/src/kvstore/group_commit.h
@@ -13,9 +13,9 @@
 // One transaction is on its way at a time; what comes meanwhile goes into the next.
 class GroupCommit {
  public:
-  GroupCommit(const Settings& settings, Runtime& runtime, KeyValueClient& client, RequestBudget& budget,
+  GroupCommit(const Settings& settings, Runtime& runtime, KeyValueClient& client, RateLimiter& limiter,
               RequestTally& tally)
-      : settings_(settings), runtime_(runtime), client_(client), budget_(budget), tally_(tally) {}
+      : settings_(settings), runtime_(runtime), client_(client), limiter_(limiter), tally_(tally) {}
   // Always ends in one call of done. A conflict of another key in the transaction does not count.
   void create(wire::Write write, Duration deadline, std::function<void(TxnResult)> done);
   // How many have not had their turn.
@@ -41,7 +41,7 @@
   const Settings& settings_;
   Runtime& runtime_;
   KeyValueClient& client_;
-  RequestBudget& budget_;
+  RateLimiter& limiter_;
   RequestTally& tally_;
   std::deque<Creation> waiting_;
   bool committing_ = false;
--- a/src/kvstore/key_value_client.cpp
+++ b/src/kvstore/key_value_client.cpp
@@ -8,12 +8,12 @@
 namespace {
 
 constexpr Duration kListDeadline{3'000};
-constexpr Duration kOpenHoldDeadline{1'000};
+constexpr Duration kGrantLeaseDeadline{1'000};
 
 std::string prefixOf(const std::string& key) { return key.substr(0, key.find('/') + 1); }
 
 // A transaction whose keys hang on a lease is small: 400 tells that the lease is gone.
-TxnResult txnAnswered(const HttpResponse& response, bool onHold) {
+TxnResult txnAnswered(const HttpResponse& response, bool withLease) {
   TxnResult out;
   switch (response.status) {
     case 200:
@@ -27,7 +27,7 @@
       out.failed = wire::parseFailed(response.body);
       break;
     case 400:
-      out.outcome = onHold ? TxnResult::Outcome::NoHold : TxnResult::Outcome::Rejected;
+      out.outcome = withLease ? TxnResult::Outcome::LeaseExpired : TxnResult::Outcome::Rejected;
       break;
     case 429:
     case 503:
@@ -39,12 +39,12 @@
   return out;
 }
 
-TxnResult txnResultOf(const HttpResult& result, bool onHold) {
+TxnResult txnResultOf(const HttpResult& result, bool withLease) {
   TxnResult out;
   if (result.outcome == HttpResult::Outcome::NotSent)
     out.outcome = TxnResult::Outcome::Refused;
   else if (result.outcome == HttpResult::Outcome::Answered)
-    out = txnAnswered(result.response, onHold);
+    out = txnAnswered(result.response, withLease);
   return out;
 }
 
@@ -70,72 +70,75 @@
   return out;
 }
 
-HoldRenewal renewalOf(const HttpResult& result) {
-  if (result.answered(200)) return HoldRenewal::Good;
-  return result.answered(404) ? HoldRenewal::Gone : HoldRenewal::NoAnswer;
+LeaseRenewal renewalOf(const HttpResult& result) {
+  if (result.answered(200)) return LeaseRenewal::Good;
+  return result.answered(404) ? LeaseRenewal::Gone : LeaseRenewal::NoAnswer;
 }
 
 }  // namespace
 
-void KeyValueClient::txn(Urgency urgency, const wire::Transaction& transaction, Duration deadline,
+void KeyValueClient::txn(RequestPriority priority, const wire::Transaction& transaction, Duration deadline,
                          std::function<void(TxnResult)> done) {
-  for (const auto& write : transaction.apply) ++tally_.changes[prefixOf(write.key)];
+  for (const auto& write : transaction.operations) ++tally_.changes[prefixOf(write.key)];
   HttpRequest request{"POST", "/txn", wire::encodeTransaction(transaction), false};
-  auto changes = static_cast<unsigned>(transaction.apply.size());
-  bool onHold = std::any_of(transaction.apply.begin(), transaction.apply.end(),
-                            [](const auto& write) { return write.hold.has_value(); });
-  queue_.push(
-      urgency, {"txn", std::move(request), changes}, deadline,
-      [done = std::move(done), onHold](const HttpResult& result) { done(txnResultOf(result, onHold)); });
+  auto changes = static_cast<unsigned>(transaction.operations.size());
+  bool withLease = std::any_of(transaction.operations.begin(), transaction.operations.end(),
+                               [](const auto& write) { return write.lease.has_value(); });
+  queue_.push(priority, {"txn", std::move(request), changes}, deadline,
+              [done = std::move(done), withLease](const HttpResult& result) {
+                done(txnResultOf(result, withLease));
+              });
 }
 
-void KeyValueClient::get(Urgency urgency, const std::string& key, Duration deadline,
+void KeyValueClient::get(RequestPriority priority, const std::string& key, Duration deadline,
                          std::function<void(GetResult)> done) {
-  queue_.push(urgency, {"get", {"GET", "/keys/" + key, "", false}, 0}, deadline,
+  queue_.push(priority, {"get", {"GET", "/keys/" + key, "", false}, 0}, deadline,
               [done = std::move(done)](const HttpResult& result) { done(getResultOf(result)); });
 }
 
-void KeyValueClient::list(Urgency urgency, const std::string& prefix, std::function<void(ListResult)> done) {
-  listFrom(urgency, prefix, "", std::make_shared<ListResult>(), std::move(done));
+void KeyValueClient::list(RequestPriority priority, const std::string& prefix,
+                          std::function<void(ListResult)> done) {
+  listFrom(priority, prefix, "", std::make_shared<ListResult>(), std::move(done));
 }
 
-void KeyValueClient::listFrom(Urgency urgency, const std::string& prefix, const std::string& since,
+void KeyValueClient::listFrom(RequestPriority priority, const std::string& prefix, const std::string& since,
                               std::shared_ptr<ListResult> pages, std::function<void(ListResult)> done) {
   std::string path = "/keys?prefix=" + prefix + "&limit=1000";
   if (!since.empty()) path += "&since=" + since;
-  auto listed = [this, urgency, prefix, pages, done = std::move(done)](const HttpResult& result) mutable {
+  auto listed = [this, priority, prefix, pages, done = std::move(done)](const HttpResult& result) mutable {
     auto page = result.answered(200) ? wire::parseEntries(result.response.body) : std::nullopt;
     if (!page) return done({});
     if (pages->entries.empty()) pages->revision = page->revision;
     bool more = page->truncated && !page->entries.empty();
     std::string last = more ? page->entries.back().key : "";
     std::move(page->entries.begin(), page->entries.end(), std::back_inserter(pages->entries));
-    if (more) return listFrom(urgency, prefix, last, pages, std::move(done));
+    if (more) return listFrom(priority, prefix, last, pages, std::move(done));
     pages->ok = true;
     done(std::move(*pages));
   };
-  queue_.push(urgency, {"list", {"GET", path, "", false}, 0}, kListDeadline, std::move(listed));
+  queue_.push(priority, {"list", {"GET", path, "", false}, 0}, kListDeadline, std::move(listed));
 }
 
 void KeyValueClient::follow(const std::string& prefix, Version since, Duration wait, Duration deadline,
                             std::function<void(FollowResult)> done) {
   std::string path = "/follow?prefix=" + prefix + "&since=" + std::to_string(since.value) +
                      "&wait_ms=" + std::to_string(wait.count());
-  queue_.push(Urgency::Control, {"follow", {"GET", path, "", false}, 0}, deadline,
+  queue_.push(RequestPriority::Control, {"follow", {"GET", path, "", false}, 0}, deadline,
               [done = std::move(done)](const HttpResult& result) { done(followResultOf(result)); });
 }
 
-void KeyValueClient::openHold(Duration ttl, std::function<void(std::optional<std::uint64_t>)> done) {
+void KeyValueClient::grantLease(Duration ttl, std::function<void(std::optional<std::uint64_t>)> done) {
   auto body = "{\"ttl_ms\":" + std::to_string(ttl.count()) + "}";
-  queue_.push(Urgency::Hold, {"hold", {"POST", "/holds", body, false}, 0}, kOpenHoldDeadline,
+  queue_.push(RequestPriority::Lease, {"hold", {"POST", "/holds", body, false}, 0}, kGrantLeaseDeadline,
               [done = std::move(done)](const HttpResult& result) {
-                done(result.answered(200) ? wire::parseHold(result.response.body) : std::nullopt);
+                done(result.answered(200) ? wire::parseLeaseId(result.response.body) : std::nullopt);
               });
 }
 
-void KeyValueClient::renewHold(std::uint64_t hold, Duration deadline, std::function<void(HoldRenewal)> done) {
-  auto path = "/holds/" + std::to_string(hold) + "/renew";
-  queue_.push(Urgency::Hold, {"hold", {"POST", path, "{}", false}, 0}, deadline,
+void KeyValueClient::renewLease(std::uint64_t lease, Duration deadline,
+                                std::function<void(LeaseRenewal)> done) {
+  auto path = "/holds/" + std::to_string(lease) + "/renew";
+  queue_.push(RequestPriority::Lease, {"hold", {"POST", path, "{}", false}, 0}, deadline,
               [done = std::move(done)](const HttpResult& result) { done(renewalOf(result)); });
 }
 
--- a/src/kvstore/key_value_client.h
+++ b/src/kvstore/key_value_client.h
@@ -15,11 +15,11 @@
 struct TxnResult {
   enum class Outcome : std::uint8_t {
     Ok,
-    Conflict,  // not executed, failed names the keys
-    NoHold,    // not executed, the lease is gone
-    Refused,   // not executed, may be sent again
-    Rejected,  // not executed, and never will be as it is: beyond the limits of the service
-    Unknown,   // may have been executed, or may be yet
+    Conflict,      // not executed, failed names the keys
+    LeaseExpired,  // not executed, the lease is gone
+    Refused,       // not executed, may be sent again
+    Rejected,      // not executed, and never will be as it is: beyond the limits of the service
+    Unknown,       // may have been executed, or may be yet
   };
   Outcome outcome = Outcome::Unknown;
   Version revision;
@@ -39,7 +39,7 @@
   wire::KeyChange entry;
 };
 
-enum class HoldRenewal : std::uint8_t { Good, Gone, NoAnswer };
+enum class LeaseRenewal : std::uint8_t { Good, Gone, NoAnswer };
 
 struct FollowResult {
   enum class Outcome : std::uint8_t {
@@ -54,18 +54,19 @@
 class KeyValueClient {
  public:
   KeyValueClient(RequestQueue& queue, RequestTally& tally) : queue_(queue), tally_(tally) {}
-  void txn(Urgency urgency, const wire::Transaction& transaction, Duration deadline,
+  void txn(RequestPriority priority, const wire::Transaction& transaction, Duration deadline,
            std::function<void(TxnResult)> done);
-  void get(Urgency urgency, const std::string& key, Duration deadline, std::function<void(GetResult)> done);
-  void list(Urgency urgency, const std::string& prefix, std::function<void(ListResult)> done);
+  void get(RequestPriority priority, const std::string& key, Duration deadline,
+           std::function<void(GetResult)> done);
+  void list(RequestPriority priority, const std::string& prefix, std::function<void(ListResult)> done);
   // The changes under the prefix after that revision; waits so long for one if there are none yet.
   void follow(const std::string& prefix, Version since, Duration wait, Duration deadline,
               std::function<void(FollowResult)> done);
-  void openHold(Duration ttl, std::function<void(std::optional<std::uint64_t>)> done);
-  void renewHold(std::uint64_t hold, Duration deadline, std::function<void(HoldRenewal)> done);
+  void grantLease(Duration ttl, std::function<void(std::optional<std::uint64_t>)> done);
+  void renewLease(std::uint64_t lease, Duration deadline, std::function<void(LeaseRenewal)> done);
 
  private:
-  void listFrom(Urgency urgency, const std::string& prefix, const std::string& since,
+  void listFrom(RequestPriority priority, const std::string& prefix, const std::string& since,
                 std::shared_ptr<ListResult> pages, std::function<void(ListResult)> done);
 
   RequestQueue& queue_;
--- a/src/kvstore/rate_limiter.cpp
+++ b/src/kvstore/rate_limiter.cpp
@@ -11,17 +11,17 @@
 
 }  // namespace
 
-RequestBudget::RequestBudget(const Settings& settings, Time now)
-    : settings_(settings), part_(1.0 / settings.size()), refilledAt_(now) {
+RateLimiter::RateLimiter(const Settings& settings, Time now)
+    : settings_(settings), fractionOfLimits_(1.0 / settings.size()), refilledAt_(now) {
   requests_ = requestsPerSecond();
   changes_ = changesPerSecond();
 }
 
-double RequestBudget::requestsPerSecond() const { return settings_.stateRps * part_ * kOfPart; }
+double RateLimiter::requestsPerSecond() const { return settings_.stateRps * fractionOfLimits_ * kOfPart; }
 
-double RequestBudget::changesPerSecond() const { return settings_.stateWriteRps * part_ * kOfPart; }
+double RateLimiter::changesPerSecond() const { return settings_.stateWriteRps * fractionOfLimits_ * kOfPart; }
 
-void RequestBudget::refill(Time now) {
+void RateLimiter::refill(Time now) {
   double elapsedS = inSeconds(now - refilledAt_);
   refilledAt_ = now;
   // A transaction at the limit must always be affordable, however small our part.
@@ -31,7 +31,7 @@
   changes_ = std::min(changes_ + elapsedS * changesPerSecond(), mostChanges);
 }
 
-void RequestBudget::spend(unsigned changes) {
+void RateLimiter::spend(unsigned changes) {
   requests_ -= 1;
   changes_ -= changes;
 }
--- a/src/kvstore/rate_limiter.h
+++ b/src/kvstore/rate_limiter.h
@@ -6,11 +6,11 @@
 namespace cherryloft {
 
 // Two token buckets that fill at this controller's part of the service's limits.
-class RequestBudget {
+class RateLimiter {
  public:
-  RequestBudget(const Settings& settings, Time now);
+  RateLimiter(const Settings& settings, Time now);
   // This controller's part of the limits, as the load of all is not parted equally.
-  void setPart(double part) { part_ = part; }
+  void setFractionOfLimits(double part) { fractionOfLimits_ = part; }
   double requestsPerSecond() const;
   double changesPerSecond() const;
   // Adds what came free since the last call.
@@ -26,7 +26,7 @@
 
  private:
   const Settings& settings_;
-  double part_;
+  double fractionOfLimits_;
   double requests_ = 0;
   double changes_ = 0;
   Time refilledAt_;
--- a/src/kvstore/request_queue.cpp
+++ b/src/kvstore/request_queue.cpp
@@ -13,25 +13,26 @@
 
 }  // namespace
 
-void RequestQueue::push(Urgency urgency, StoreRequest request, Duration deadline, HttpDone done) {
-  auto& queue = queues_[static_cast<std::size_t>(urgency)];
+void RequestQueue::push(RequestPriority priority, QueuedRequest request, Duration deadline, HttpDone done) {
+  auto& queue = queues_[static_cast<std::size_t>(priority)];
   // More questions than can have their turn in time: what can't is told at once, and never fills our memory.
-  double inTime = std::max(budget_.requestsPerSecond() * inSeconds(deadline), 1.0);
-  if (urgency == Urgency::User && static_cast<double>(queue.size()) > inTime) return drop(std::move(done));
+  double inTime = std::max(limiter_.requestsPerSecond() * inSeconds(deadline), 1.0);
+  if (priority == RequestPriority::User && static_cast<double>(queue.size()) > inTime)
+    return drop(std::move(done));
   queue.push_back({std::move(request), runtime_.now() + deadline, std::move(done)});
   sendAffordable();
 }
 
 void RequestQueue::sendAffordable() {
   auto now = runtime_.now();
-  budget_.refill(now);
-  for (std::size_t urgency = 0; urgency < queues_.size(); ++urgency) {
-    auto& queue = queues_[urgency];
+  limiter_.refill(now);
+  for (std::size_t priority = 0; priority < queues_.size(); ++priority) {
+    auto& queue = queues_[priority];
     // Renewals never wait for the budget; they are few, and all else depends on them.
-    bool exempt = urgency == static_cast<std::size_t>(Urgency::Hold);
+    bool exempt = priority == static_cast<std::size_t>(RequestPriority::Lease);
     while (!queue.empty()) {
       bool late = queue.front().giveUp <= now;
-      bool affordable = !budget_.paused(now) && budget_.affords(queue.front().request.changes);
+      bool affordable = !limiter_.paused(now) && limiter_.affords(queue.front().request.changes);
       if (!late && !exempt && !affordable) return sendLater();
       auto next = std::move(queue.front());
       queue.pop_front();
@@ -44,13 +45,13 @@
 }
 
 void RequestQueue::send(Queued next) {
-  budget_.spend(next.request.changes);
+  limiter_.spend(next.request.changes);
   ++tally_.requests[next.request.purpose];
   auto deadline = std::max(next.giveUp - runtime_.now(), Duration{1});
   auto answered = [this, done = std::move(next.done)](HttpResult result) {
     if (result.answered(kTooManyRequests)) {
       ++tally_.refused;
-      budget_.pauseUntil(runtime_.now() + kPause + Duration{rng_() % kPauseJitterMs});
+      limiter_.pauseUntil(runtime_.now() + kPause + Duration{rng_() % kPauseJitterMs});
     }
     done(std::move(result));
   };
--- a/src/kvstore/request_queue.h
+++ b/src/kvstore/request_queue.h
@@ -13,7 +13,7 @@
 namespace cherryloft {
 
 // In falling order.
-enum class Urgency : std::uint8_t { Hold, Control, Work, User, Count };
+enum class RequestPriority : std::uint8_t { Lease, Control, Work, User, Count };
 
 // What was asked of the service, by purpose.
 struct RequestTally {
@@ -22,7 +22,7 @@
   std::uint64_t outOfTime = 0;
 };
 
-struct StoreRequest {
+struct QueuedRequest {
   const char* purpose = "";
   HttpRequest request;
   unsigned changes = 0;
@@ -30,15 +30,15 @@
 
 class RequestQueue {
  public:
-  RequestQueue(const Settings& settings, Runtime& runtime, RequestBudget& budget, RequestTally& tally,
+  RequestQueue(const Settings& settings, Runtime& runtime, RateLimiter& limiter, RequestTally& tally,
                std::mt19937_64& rng)
-      : settings_(settings), runtime_(runtime), budget_(budget), tally_(tally), rng_(rng) {}
+      : settings_(settings), runtime_(runtime), limiter_(limiter), tally_(tally), rng_(rng) {}
   // Always ends in one call of done, at the latest when the deadline is over.
-  void push(Urgency urgency, StoreRequest request, Duration deadline, HttpDone done);
+  void push(RequestPriority priority, QueuedRequest request, Duration deadline, HttpDone done);
 
  private:
   struct Queued {
-    StoreRequest request;
+    QueuedRequest request;
     Time giveUp;
     HttpDone done;
   };
@@ -49,10 +49,10 @@
 
   const Settings& settings_;
   Runtime& runtime_;
-  RequestBudget& budget_;
+  RateLimiter& limiter_;
   RequestTally& tally_;
   std::mt19937_64& rng_;
-  std::array<std::deque<Queued>, static_cast<std::size_t>(Urgency::Count)> queues_;
+  std::array<std::deque<Queued>, static_cast<std::size_t>(RequestPriority::Count)> queues_;
   bool sendPending_ = false;
 };
 
--- a/src/kvstore/transaction_builder.cpp
+++ b/src/kvstore/transaction_builder.cpp
@@ -2,22 +2,22 @@
 
 namespace cherryloft {
 
-std::size_t TransactionDraft::writes() const { return transaction_.apply.size(); }
+std::size_t TransactionBuilder::writes() const { return transaction_.operations.size(); }
 
-bool TransactionDraft::fits(std::size_t writes, std::size_t bytes) const {
-  return transaction_.apply.size() + writes <= mostWrites_ &&
+bool TransactionBuilder::fits(std::size_t writes, std::size_t bytes) const {
+  return transaction_.operations.size() + writes <= mostWrites_ &&
          (empty() || bytes_ + bytes <= wire::kMostWeight);
 }
 
-bool TransactionDraft::hasRoom(std::size_t bytes) const { return fits(1, bytes); }
+bool TransactionBuilder::hasRoom(std::size_t bytes) const { return fits(1, bytes); }
 
-bool TransactionDraft::add(wire::Write write, Version version) {
+bool TransactionBuilder::add(wire::Write write, Version version) {
   if (!hasRoom(wire::weightOf(write))) return false;
   append({std::move(write), version});
   return true;
 }
 
-bool TransactionDraft::addAll(const std::vector<VersionedWrite>& writes) {
+bool TransactionBuilder::addAll(const std::vector<VersionedWrite>& writes) {
   std::size_t bytes = 0;
   for (const auto& [write, _] : writes) bytes += wire::weightOf(write);
   if (!fits(writes.size(), bytes)) return false;
@@ -25,10 +25,10 @@
   return true;
 }
 
-void TransactionDraft::append(VersionedWrite versioned) {
+void TransactionBuilder::append(VersionedWrite versioned) {
   bytes_ += wire::weightOf(versioned.write);
-  transaction_.when[versioned.write.key] = versioned.version;
-  transaction_.apply.push_back(std::move(versioned.write));
+  transaction_.conditions[versioned.write.key] = versioned.version;
+  transaction_.operations.push_back(std::move(versioned.write));
 }
 
 }  // namespace cherryloft
--- a/src/kvstore/transaction_builder.h
+++ b/src/kvstore/transaction_builder.h
@@ -13,13 +13,13 @@
   Version version;
 };
 
-class TransactionDraft {
+class TransactionBuilder {
  public:
   // mostWrites: how many the state service takes in one transaction.
-  explicit TransactionDraft(std::size_t mostWrites) : mostWrites_(mostWrites) {}
+  explicit TransactionBuilder(std::size_t mostWrites) : mostWrites_(mostWrites) {}
 
   // A condition without a write.
-  void require(const std::string& key, Version version) { transaction_.when[key] = version; }
+  void require(const std::string& key, Version version) { transaction_.conditions[key] = version; }
   // Whether a write of so many bytes can still be added. The first always can, as it could never be sent
   // otherwise.
   bool hasRoom(std::size_t bytes) const;
@@ -28,7 +28,7 @@
   // The same for writes that must be carried out together.
   bool addAll(const std::vector<VersionedWrite>& writes);
   std::size_t writes() const;
-  bool empty() const { return transaction_.apply.empty(); }
+  bool empty() const { return transaction_.operations.empty(); }
   wire::Transaction take() { return std::move(transaction_); }
 
  private:
--- a/src/kvstore/watch_cache.cpp
+++ b/src/kvstore/watch_cache.cpp
@@ -16,28 +16,29 @@
 
 }  // namespace
 
-void Mirror::restart() {
+void WatchCache::restart() {
   if (read_)
     follow();
   else
     readAll();
 }
 
-void Mirror::retry() {
+void WatchCache::retry() {
   backoff_ = std::clamp(backoff_ * 2, kFirstBackoff, kMostBackoff);
   runtime_.after(backoff_ + Duration{rng_() % kBackoffJitterMs}, [this, round = round_] {
     if (round == round_) restart();
   });
 }
 
-void Mirror::readAll() {
+void WatchCache::readAll() {
   auto round = ++round_;
-  client_.list(Urgency::Control, prefix_, [this, round, asked = runtime_.now()](const ListResult& result) {
-    if (round == round_) listed(asked, result);
-  });
+  client_.list(RequestPriority::Control, prefix_,
+               [this, round, asked = runtime_.now()](const ListResult& result) {
+                 if (round == round_) listed(asked, result);
+               });
 }
 
-void Mirror::listed(Time asked, const ListResult& result) {
+void WatchCache::listed(Time asked, const ListResult& result) {
   if (!result.ok) return retry();
   backoff_ = Duration{0};
   if (result.revision < revision_) {  // an answer that covers more has overtaken it
@@ -48,13 +49,13 @@
     if (take(entry)) changed_(entry);
   dropAbsent(result);
   revision_ = result.revision;
-  freshAt_ = std::max(freshAt_, asked);
+  currentAsOf_ = std::max(currentAsOf_, asked);
   read_ = true;
   follow();
 }
 
 // Keys that went while no watch was open.
-void Mirror::dropAbsent(const ListResult& result) {
+void WatchCache::dropAbsent(const ListResult& result) {
   std::set<std::string> present;
   for (const auto& entry : result.entries) present.insert(entry.key);
   for (auto it = known_.begin(); it != known_.end();) {
@@ -68,7 +69,7 @@
   }
 }
 
-void Mirror::follow() {
+void WatchCache::follow() {
   auto round = ++round_;
   client_.follow(prefix_, revision_, kFollowWait, kFollowDeadline,
                  [this, round, asked = runtime_.now()](const FollowResult& result) {
@@ -76,7 +77,7 @@
                  });
 }
 
-void Mirror::followed(Time asked, const FollowResult& result) {
+void WatchCache::followed(Time asked, const FollowResult& result) {
   using Outcome = FollowResult::Outcome;
   if (result.outcome == Outcome::TooOld) return readAgain();
   if (result.outcome == Outcome::Failed) return retry();
@@ -85,20 +86,20 @@
   follow();
 }
 
-void Mirror::readAgain() {
+void WatchCache::readAgain() {
   read_ = false;
   readAll();
 }
 
 // Whether a key that has a value is new in it.
-bool Mirror::take(const wire::KeyChange& change) {
+bool WatchCache::take(const wire::KeyChange& change) {
   auto& version = known_[change.key];
   if (change.version <= version) return false;
   version = change.version;
   return true;
 }
 
-void Mirror::apply(Time asked, const wire::KeyPage& news) {
+void WatchCache::apply(Time asked, const wire::KeyPage& news) {
   for (const auto& change : news.entries) {
     // Answers overtake each other: what an earlier one covered is in view, and may be gone again since.
     if (change.version <= revision_) continue;
@@ -112,10 +113,10 @@
     changed_(change);
   }
   revision_ = std::max(revision_, news.revision);
-  freshAt_ = std::max(freshAt_, asked);
+  currentAsOf_ = std::max(currentAsOf_, asked);
 }
 
-void Mirror::catchUp(std::function<void(bool)> done) {
+void WatchCache::waitUntilCurrent(std::function<void(bool)> done) {
   if (!read_) return done(false);
   auto caughtUp = [this, asked = runtime_.now(), done = std::move(done)](const FollowResult& result) {
     using Outcome = FollowResult::Outcome;
--- a/src/kvstore/watch_cache.h
+++ b/src/kvstore/watch_cache.h
@@ -12,12 +12,13 @@
 
 // Reads the prefix once and then follows its changes for ever, over requests that fail and answers that come
 // late and out of order.
-class Mirror {
+class WatchCache {
  public:
   // Is told every key at first and each change after that, in order.
   using Changed = std::function<void(const wire::KeyChange&)>;
 
-  Mirror(Runtime& runtime, KeyValueClient& client, std::mt19937_64& rng, std::string prefix, Changed changed)
+  WatchCache(Runtime& runtime, KeyValueClient& client, std::mt19937_64& rng, std::string prefix,
+             Changed changed)
       : runtime_(runtime),
         client_(client),
         rng_(rng),
@@ -26,12 +27,12 @@
   // Begins, or begins anew the request that is open: one from before a silence may never be answered.
   void restart();
   // Calls done once all that was committed before this call is in view; with false if that can't be told.
-  void catchUp(std::function<void(bool)> done);
+  void waitUntilCurrent(std::function<void(bool)> done);
   const std::string& prefix() const { return prefix_; }
   // All keys were read once.
   bool read() const { return read_; }
   // All that was committed before that moment is in view.
-  Time freshAt() const { return freshAt_; }
+  Time currentAsOf() const { return currentAsOf_; }
   // Every change up to it is in view.
   Version revision() const { return revision_; }
 
@@ -53,7 +54,7 @@
   Changed changed_;
   std::map<std::string, Version> known_;
   Version revision_;
-  Time freshAt_{};  // when the latest request that was answered was made
+  Time currentAsOf_{};  // when the latest request that was answered was made
   bool read_ = false;
   std::uint64_t round_ = 0;  // answers of earlier rounds are stale
   Duration backoff_{0};
--- a/src/mesh/messages.h
+++ b/src/mesh/messages.h
@@ -26,17 +26,18 @@
 struct Heartbeat {
   std::uint32_t hears = 0;     // bit per controller heard directly
   bool serving = false;        // it has loaded what it needs
-  std::int64_t ownsForMs = 0;  // its hold is good for so long
+  std::int64_t ownsForMs = 0;  // its lease is good for so long
   std::vector<OwnedShard> owns;
-  // What deputies need (actors/deputy.h), each for the sibling that the heartbeat goes to.
+  // What keep-alive proxies need (actors/keep-alive proxy.h), each for the sibling that the heartbeat goes
+  // to.
   std::uint64_t life = 0;           // of the process, later ones higher
   std::int64_t at = 0;              // when it was sent, by the sender's steady clock
   std::int64_t echo = 0;            // the at of the last heartbeat from there
-  bool deputy = false;              // the sender may answer workers in its name
+  bool proxy = false;               // the sender may answer workers in its name
   std::int64_t answeredAgoMs = -1;  // the last time it did, if ever
   template <class A>
   void serialize(A& a) {
-    a(hears, serving, ownsForMs, owns, life, at, echo, deputy, answeredAgoMs);
+    a(hears, serving, ownsForMs, owns, life, at, echo, proxy, answeredAgoMs);
   }
 };
 
--- a/src/scheduler/commits.cpp
+++ b/src/scheduler/commits.cpp
@@ -23,7 +23,7 @@
   if (job.status == JobStatus::Open && !job.delegation && job.finished()) ending_.insert(job.id);
 }
 
-void ShardScheduler::addTerminal(TransactionDraft& draft) {
+void ShardScheduler::addTerminal(TransactionBuilder& transaction) {
   for (auto it = ending_.begin(); it != ending_.end();) {
     Job* job = state_.job(*it);
     if (!job || job->status != JobStatus::Open) {
@@ -33,7 +33,7 @@
     bool done = job->finished();
     auto value = done ? wire::encodeJobRecord(doneRecord(*job))
                       : wire::encodeWithin(abortedRecord(*job), settings_.valueBytes);
-    if (!draft.add({keys::job(*it), std::move(value), {}}, job->version)) return;
+    if (!transaction.add({keys::job(*it), std::move(value), {}}, job->version)) return;
     flight_->ended.emplace_back(*it, done ? JobStatus::Done : JobStatus::Aborted);
     it = ending_.erase(it);
   }
@@ -46,13 +46,13 @@
   return pages * std::max<std::size_t>(settings_.valueBytes / fact, 1);
 }
 
-void ShardScheduler::addPages(TransactionDraft& draft) {
+void ShardScheduler::addPages(TransactionBuilder& transaction) {
   std::set<PageNo> taken;
-  while (!fresh_.empty() && draft.hasRoom(settings_.valueBytes + kKeyWeight)) {
-    auto d = state_.draft(fresh_, taken);
+  while (!fresh_.empty() && transaction.hasRoom(settings_.valueBytes + kKeyWeight)) {
+    auto d = state_.composePage(fresh_, taken);
     if (!d) continue;
-    draft.add({keys::page(takeover_.shard, d->number), wire::encodePage(d->record), {}},
-              state_.pages().at(d->number).version);
+    transaction.add({keys::page(takeover_.shard, d->number), wire::encodePage(d->record), {}},
+                    state_.pages().at(d->number).version);
     flight_->pages.push_back(d->number);
     for (const auto& [job, facts] : d->record.jobs) {
       for (const auto& e : facts.placed)
@@ -68,48 +68,50 @@
     // While changes are short, what comes within a moment shards a transaction; completions can wait longer.
     auto now = runtime_.now();
     bool urgent = startsFresh_ || !ending_.empty();
-    auto due = lastCommit_ + (urgent ? 1 : 3) * store_.workEvery();
-    if (store_.crowded() && now < due && !(fresh_.empty() && ending_.empty())) return commitAt(due);
+    auto due = lastCommit_ + (urgent ? 1 : 3) * store_.commitInterval();
+    if (store_.writesSaturated() && now < due && !(fresh_.empty() && ending_.empty())) return commitAt(due);
     lastCommit_ = now;
     startsFresh_ = false;
     flight_.emplace();
-    TransactionDraft draft(settings_.txnOps);
-    draft.require(keys::shard(takeover_.shard), takeover_.version);
-    addTerminal(draft);
-    addTransfers(draft);
-    addLeft(draft);
-    addDelegations(draft);
-    addReturns(draft);
+    TransactionBuilder transaction(settings_.txnOps);
+    transaction.require(keys::shard(takeover_.shard), takeover_.version);
+    addTerminal(transaction);
+    addTransfers(transaction);
+    addLeft(transaction);
+    addDelegations(transaction);
+    addReturns(transaction);
     // A shard that is to be handed back waits for nothing else: in a large one something is done at every
     // moment. The next owner learns from reports what is done, as nothing is forgotten before it is written
     // (invariant 8), and placements that were not written were not sent.
-    if (!givingTo_) addPages(draft);
+    if (!transferringTo_) addPages(transaction);
     auto& pages = state_.pages();
     auto spare = pages.spare({flight_->pages.begin(), flight_->pages.end()});
-    bool drops = spare && !draft.empty() &&
-                 draft.add({keys::page(takeover_.shard, *spare), std::nullopt, {}}, pages.at(*spare).version);
+    bool drops =
+        spare && !transaction.empty() &&
+        transaction.add({keys::page(takeover_.shard, *spare), std::nullopt, {}}, pages.at(*spare).version);
     if (drops) flight_->dropped.push_back(*spare);
-    bool nothing = draft.empty();
-    flight_->txn = draft.take();
+    bool nothing = transaction.empty();
+    flight_->txn = transaction.take();
     if (nothing) {
       flight_.reset();
-      if (givingTo_ && !gaveUpShare_) {
+      if (transferringTo_ && !ownershipTransferSent_) {
         // Nothing is on its way: let go. From here on this actor decides nothing.
-        gaveUpShare_ = true;
-        callbacks_.give(takeover_.version, *givingTo_, guarded([this](bool given) {
-                          gaveUpShare_ = false;
-                          givingTo_.reset();
-                          if (given)
-                            callbacks_.abandon();
-                          else
-                            wake(true);
-                        }));
+        ownershipTransferSent_ = true;
+        callbacks_.transferOwnership(takeover_.version, *transferringTo_, guarded([this](bool given) {
+                                       ownershipTransferSent_ = false;
+                                       transferringTo_.reset();
+                                       if (given)
+                                         callbacks_.dropOwnership();
+                                       else
+                                         wake(true);
+                                     }));
       }
       return;
     }
   }
   committing_ = true;
-  store_.txn(Urgency::Work, flight_->txn, Duration{2'000}, guarded([this](TxnResult r) { committed(r); }));
+  store_.txn(RequestPriority::Work, flight_->txn, Duration{2'000},
+             guarded([this](TxnResult r) { committed(r); }));
 }
 
 void ShardScheduler::commitAt(Time due) {
@@ -136,12 +138,12 @@
       return;
     case O::Rejected:
       log_->error("share {}: the state service takes no transaction of that size", takeover_.shard.value);
-      return callbacks_.abandon();
+      return callbacks_.dropOwnership();
     case O::Conflict:
-    case O::NoHold:
+    case O::LeaseExpired:
       log_->info("share {}: conflict on {}", takeover_.shard.value,
                  r.failed.empty() ? "?" : r.failed.front());
-      return callbacks_.abandon();
+      return callbacks_.dropOwnership();
   }
 }
 
--- a/src/scheduler/delegation.cpp
+++ b/src/scheduler/delegation.cpp
@@ -38,7 +38,7 @@
   delegationsReviewed_ = now;
   std::erase_if(partialOffers_,
                 [&](const auto& o) { return o.second.empty() || now - o.second.front().at > kOfferHolds; });
-  if (givingTo_ || gaveUpShare_) return;
+  if (transferringTo_ || ownershipTransferSent_) return;
   mesh::PartialRoomWanted wanted;
   wanted.shard = takeover_.shard.value;
   for (Job* job : oldestInVain(false, now)) {
@@ -188,7 +188,7 @@
   return record;
 }
 
-void ShardScheduler::addDelegations(TransactionDraft& draft) {
+void ShardScheduler::addDelegations(TransactionBuilder& transaction) {
   for (auto it = delegationWrites_.begin(); it != delegationWrites_.end();) {
     Job* job = state_.job(it->first);
     if (!job || !job->open()) {
@@ -200,7 +200,7 @@
     wire::Write w{keys::job(job->id), record ? wire::encodeJobRecord(*record) : "", {}};
     bool mayGrow =
         record && (it->second.recall ? w.value->size() <= settings_.valueBytes : staysWithinValue(*record));
-    if (!mayGrow || !draft.add(std::move(w), job->version)) {
+    if (!mayGrow || !transaction.add(std::move(w), job->version)) {
       if (it->second.recall) {
         ++it;  // its turn comes
         continue;
@@ -255,7 +255,9 @@
 
 void ShardScheduler::partialRoomWanted(const mesh::PartialRoomWanted& wanted) {
   auto now = runtime_.now();
-  if (!loaded_ || !owns() || givingTo_ || gaveUpShare_ || now - partialOfferedAt_ < kBetweenOffers) return;
+  if (!loaded_ || !owns() || transferringTo_ || ownershipTransferSent_ ||
+      now - partialOfferedAt_ < kBetweenOffers)
+    return;
   for (const auto& request : wanted.jobs) {
     JobId id{request.job};
     auto known = view_.jobs.find(id);
@@ -351,7 +353,7 @@
   });
 }
 
-void ShardScheduler::addReturns(TransactionDraft& draft) {
+void ShardScheduler::addReturns(TransactionBuilder& transaction) {
   for (const auto& id : delegatedHere_) {
     Job* job = state_.job(id);
     auto known = view_.jobs.find(id);
@@ -373,7 +375,7 @@
     wire::Write write{keys::job(id), wire::encodeJobRecord(record), {}};
     // One that was written under a larger limit waits until it has shrunk, or its job is over.
     if (write.value->size() > settings_.valueBytes) continue;
-    if (!draft.add(std::move(write), job->version)) return;
+    if (!transaction.add(std::move(write), job->version)) return;
     flight_->returned.push_back(std::move(written));
   }
 }
@@ -398,9 +400,10 @@
   state_.removeJob(written.job);
 }
 
-// A cancellation of a delegated job is confirmed by its owner, and we see it in the mirror (invariant 16).
+// A cancellation of a delegated job is confirmed by its owner, and we see it in the watch cache (invariant
+// 16).
 bool ShardScheduler::mayNotKnowCancellations(Time now) const {
-  return !delegatedHere_.empty() && now >= store_.freshAt(keys::kJobs) + settings_.blindFor();
+  return !delegatedHere_.empty() && now >= store_.currentAsOf(keys::kJobs) + settings_.blindFor();
 }
 
 }  // namespace cherryloft
--- a/src/scheduler/heartbeats.cpp
+++ b/src/scheduler/heartbeats.cpp
@@ -21,7 +21,7 @@
   if (!loaded_) {
     // Its lease must not run out while we load; build() counts the time from its own, later, moment. What the
     // former owner cancelled may be unknown to us, for so long only (invariant 16).
-    if (now >= store_.freshAt(keys::kJobs) + settings_.blindFor())
+    if (now >= store_.currentAsOf(keys::kJobs) + settings_.blindFor())
       return {503, R"({"error":"the share is not loaded"})"};
     auto known = view_.machines.find(r.machine);
     if (known == view_.machines.end()) return {503, R"({"error":"unknown machine"})"};
--- a/src/scheduler/job_migration.cpp
+++ b/src/scheduler/job_migration.cpp
@@ -69,7 +69,7 @@
   transfersReviewed_ = now;
   releaseElsewhere(now);
   std::erase_if(offers_, [&](const auto& o) { return now - o.second.at > kOfferHolds; });
-  if (givingTo_ || gaveUpShare_) return;
+  if (transferringTo_ || ownershipTransferSent_) return;
   mesh::RoomWanted wanted;
   wanted.shard = takeover_.shard.value;
   for (const Job* job : oldestInVain(true, now)) {
@@ -116,7 +116,8 @@
 
 void ShardScheduler::roomWanted(const mesh::RoomWanted& wanted) {
   auto now = runtime_.now();
-  if (!loaded_ || !owns() || givingTo_ || gaveUpShare_ || now - offeredAt_ < kBetweenOffers) return;
+  if (!loaded_ || !owns() || transferringTo_ || ownershipTransferSent_ || now - offeredAt_ < kBetweenOffers)
+    return;
   for (const auto& name : wanted.jobs) {
     JobId id{name};
     auto known = view_.jobs.find(id);
@@ -169,7 +170,7 @@
 
 // --- the write, and what it means for the team's limit ---
 
-void ShardScheduler::addTransfers(TransactionDraft& draft) {
+void ShardScheduler::addTransfers(TransactionBuilder& transaction) {
   for (const auto& transfer : std::exchange(transfers_, {})) {
     const Job* job = state_.job(transfer.job);
     bool still = job && job->open() && job->placed == 0 && job->done == 0 && job->cancelWaiters.empty();
@@ -180,7 +181,7 @@
       if (!home) record.atOnce = transfer.atOnce;
       w = {keys::job(job->id), wire::encodeJobRecord(record), {}};
     }
-    if (!still || w.value->size() > settings_.valueBytes || !draft.add(std::move(w), job->version)) {
+    if (!still || w.value->size() > settings_.valueBytes || !transaction.add(std::move(w), job->version)) {
       if (auto counted = elsewhere_.find(transfer.job); counted != elsewhere_.end()) {
         state_.uncountElsewhere(counted->second.team, counted->second.sum);
         elsewhere_.erase(counted);
@@ -201,9 +202,9 @@
 }
 
 // A record that does not get its turn now is left as it is: the team's own shard then waits for cancel_s.
-void ShardScheduler::addLeft(TransactionDraft& draft) {
+void ShardScheduler::addLeft(TransactionBuilder& transaction) {
   for (auto& left : std::exchange(left_, {}))
-    draft.add({keys::job(left.job), std::move(left.value), {}}, left.version);
+    transaction.add({keys::job(left.job), std::move(left.value), {}}, left.version);
 }
 
 void ShardScheduler::transferred(const JobId& id) {
--- a/src/scheduler/machine_records_writer.cpp
+++ b/src/scheduler/machine_records_writer.cpp
@@ -41,31 +41,31 @@
   bool allMove = std::all_of(changes.begin(), changes.end(), hasMoves);
   bool moves = anyMoves && (allMove || !recordsMoved_);
   recordsMoved_ = moves;
-  TransactionDraft draft(settings_.txnOps);
-  draft.require(keys::shard(takeover_.shard), takeover_.version);
+  TransactionBuilder transaction(settings_.txnOps);
+  transaction.require(keys::shard(takeover_.shard), takeover_.version);
   // What we sent under our token must have no effect under the next owner's (invariant 5).
   Epoch token{view_.epoch.value + 1};
-  if (moves) draft.add({keys::kEpoch, wire::encodeCounter(token), {}}, view_.epochVersion);
-  auto before = draft.writes();
-  auto most = store_.unhurried();
+  if (moves) transaction.add({keys::kEpoch, wire::encodeCounter(token), {}}, view_.epochVersion);
+  auto before = transaction.writes();
+  auto most = store_.backgroundBatchSize();
   for (auto& [key, change] : changes) {
-    if (draft.writes() > before && draft.writes() >= most) break;
+    if (transaction.writes() > before && transaction.writes() >= most) break;
     if (change.moved.empty() == moves || groupSplits_.settling(key, now)) continue;
-    if (!addGroupChange(draft, key, change, token)) break;
+    if (!addGroupChange(transaction, key, change, token)) break;
   }
-  if (draft.writes() == before) return;
+  if (transaction.writes() == before) return;
   addressSince_ = Time{};
   recordsBusy_ = true;
-  store_.txn(Urgency::Work, draft.take(), kRecordsDeadline,
+  store_.txn(RequestPriority::Work, transaction.take(), kRecordsDeadline,
              guarded([this](TxnResult r) { recordsWritten(r); }));
 }
 
 // Of a group whose machines go to more shards than fit the transaction, those of the first go now.
-bool ShardScheduler::addGroupChange(TransactionDraft& draft, const std::string& key, GroupChange& change,
-                                    Epoch token) {
+bool ShardScheduler::addGroupChange(TransactionBuilder& transaction, const std::string& key,
+                                    GroupChange& change, Epoch token) {
   auto add = [&] {
     auto rewrite = groupWrites(key, change, token);
-    return groupSplits_.add(draft, key, view_.groupVersion(key), rewrite, runtime_.now());
+    return groupSplits_.add(transaction, key, view_.groupVersion(key), rewrite, runtime_.now());
   };
   while (!add()) {
     if (change.moved.size() <= 1) return false;
@@ -110,7 +110,8 @@
   recordsBusy_ = false;
   // The directory is to show what was written before it is looked at again.
   recordsNotBefore_ = runtime_.now() + kUntilRecordsShow;
-  if (std::count(r.failed.begin(), r.failed.end(), keys::shard(takeover_.shard)) > 0) callbacks_.abandon();
+  if (std::count(r.failed.begin(), r.failed.end(), keys::shard(takeover_.shard)) > 0)
+    callbacks_.dropOwnership();
 }
 
 }  // namespace cherryloft
--- a/src/scheduler/placement_rounds.cpp
+++ b/src/scheduler/placement_rounds.cpp
@@ -34,11 +34,11 @@
 
 void ShardScheduler::round() {
   lastRound_ = runtime_.now();
-  if (!loaded_ || !owns() || gaveUpShare_ || committing_ || flight_) {
+  if (!loaded_ || !owns() || ownershipTransferSent_ || committing_ || flight_) {
     if (!committing_) commit();
     return;
   }
-  if (!givingTo_) {
+  if (!transferringTo_) {
     auto before = fresh_.size();
     place();
     ++spans_.rounds;
--- a/src/scheduler/shard_scheduler.cpp
+++ b/src/scheduler/shard_scheduler.cpp
@@ -52,14 +52,15 @@
 
 // Calls next once the cluster view shows what was committed under the prefix.
 void ShardScheduler::viewed(const std::string& prefix, std::function<void()> next) {
-  store_.catchUp(prefix, guarded([this, prefix, next](bool ok) {
-                   if (ok) return next();
-                   runtime_.after(kLoadRetry, guarded([this, prefix, next] { viewed(prefix, next); }));
-                 }));
+  store_.waitUntilCurrent(prefix, guarded([this, prefix, next](bool ok) {
+                            if (ok) return next();
+                            runtime_.after(kLoadRetry,
+                                           guarded([this, prefix, next] { viewed(prefix, next); }));
+                          }));
 }
 
 void ShardScheduler::loadRuns() {
-  store_.list(Urgency::Control, keys::placementPages(takeover_.shard), guarded([this](ListResult r) {
+  store_.list(RequestPriority::Control, keys::placementPages(takeover_.shard), guarded([this](ListResult r) {
                 if (r.ok) return build(r);
                 runtime_.after(kLoadRetry, guarded([this] { loadRuns(); }));
               }));
@@ -182,8 +183,8 @@
   auto known = view_.jobs.find(id);
   if (known == view_.jobs.end()) return;
   if (known->second.shard != takeover_.shard) return delegatedJobChanged(id, known->second);
-  // Our own commit may show here before its answer comes, and deputies must have seen it as well (invariant
-  // 15).
+  // Our own commit may show here before its answer comes, and keep-alive proxies must have seen it as well
+  // (invariant 15).
   if (known->second.status == JobStatus::Aborted)
     lastAborted_ = std::max(lastAborted_, known->second.version);
   if (Job* job = state_.job(id)) return ownedJobChanged(*job, known->second);
@@ -239,7 +240,7 @@
     return std::nullopt;
   // Its end is on its way or in doubt, or the shard is: a sibling may have seen it, and told the user, before
   // us.
-  if (gaveUpShare_) return std::nullopt;
+  if (ownershipTransferSent_) return std::nullopt;
   if (flight_ &&
       std::any_of(flight_->ended.begin(), flight_->ended.end(), [&](const auto& e) { return e.first == id; }))
     return std::nullopt;
@@ -263,9 +264,9 @@
   return true;
 }
 
-void ShardScheduler::handBack(const ControllerId& to) {
-  if (!loaded_ || givingTo_) return;
-  givingTo_ = to;
+void ShardScheduler::returnToPreferredOwner(const ControllerId& to) {
+  if (!loaded_ || transferringTo_) return;
+  transferringTo_ = to;
   wake(false);
 }
 
--- a/src/scheduler/shard_scheduler.h
+++ b/src/scheduler/shard_scheduler.h
@@ -25,10 +25,10 @@
   struct Callbacks {
     std::function<void(const JobId&, JobStatus, Version)> ended;  // committed as done or aborted
     std::function<void(const mesh::ShardLoad&)> load;             // to the leader
-    std::function<void()> abandon;  // our ownership or our shard state are in doubt
+    std::function<void()> dropOwnership;  // our ownership or our shard state are in doubt
     // Through siblings; done is told a machine's report if one of them reaches it.
     std::function<void(const std::string& address, std::function<void(const std::string& body)> done)> probe;
-    std::function<void(Version, const ControllerId&, std::function<void(bool)>)> give;
+    std::function<void(Version, const ControllerId&, std::function<void(bool)>)> transferOwnership;
     // The latest moment at which a sibling may have answered our workers in our name (invariant 15).
     std::function<Time()> answeredElsewhere;
     std::function<void(const mesh::RoomWanted&)> wantRoom;  // to the owners of all other shards
@@ -54,7 +54,7 @@
   void machineChanged(const MachineId& id);
   CheckInAnswer checkIn(const wire::Report& r);
   void wish(const mesh::MachineDirective& w);
-  void handBack(const ControllerId& to);
+  void returnToPreferredOwner(const ControllerId& to);
   // Another shard's owner looks for room for its jobs, or offers room for ours (scheduler_transfers.cpp).
   void roomWanted(const mesh::RoomWanted& wanted);
   void roomOffered(const mesh::RoomOffer& offer);
@@ -148,7 +148,8 @@
   };
   std::map<std::string, GroupChange> groupChanges(Time now);
   void settleRecords(Time now);
-  bool addGroupChange(TransactionDraft& draft, const std::string& key, GroupChange& change, Epoch token);
+  bool addGroupChange(TransactionBuilder& transaction, const std::string& key, GroupChange& change,
+                      Epoch token);
   MachineGroupRewrite groupWrites(const std::string& key, const GroupChange& change, Epoch token) const;
   void recordsWritten(const TxnResult& r);
   void stop(Machine& h, const TaskId& id, Placement& p);
@@ -245,11 +246,11 @@
   void countAllElsewhere();
   void countDelegated(const JobId& id, const JobEntry& known);
   void releaseElsewhere(Time now);
-  void addTransfers(TransactionDraft& draft);
+  void addTransfers(TransactionBuilder& transaction);
   void transferred(const JobId& id);
   struct Left;
   Left leftOf(const Job& job) const;
-  void addLeft(TransactionDraft& draft);
+  void addLeft(TransactionBuilder& transaction);
   // Delegations of tasks to other shards (invariant 18): of this shard's jobs, ...
   struct PartialOffer;
   void reviewDelegations(Time now);
@@ -259,7 +260,7 @@
   void planRecall(Job& job);
   void resumeDelegations(Job& job);
   void undoPlan(Job& job, const std::vector<Delegation>& planned);
-  void addDelegations(TransactionDraft& draft);
+  void addDelegations(TransactionBuilder& transaction);
   struct DelegationWrite;
   bool staysWithinValue(const wire::JobRecord& record) const;
   std::optional<wire::JobRecord> recordWith(const Job& job, const DelegationWrite& change) const;
@@ -272,7 +273,7 @@
   void abortDelegated(Job& job);
   std::vector<std::uint32_t> returnable(const Job& job, Time now) const;
   bool anyReturnable(Time now) const;
-  void addReturns(TransactionDraft& draft);
+  void addReturns(TransactionBuilder& transaction);
   struct DelegationReturn;
   void returnCommitted(const DelegationReturn& written, Version version);
   void stopTasks(const Job& job, std::set<MachineId>& machines);
@@ -283,8 +284,8 @@
   wire::JobRecord doneRecord(const Job& job) const;
   wire::JobRecord abortedRecord(const Job& job) const;
   void endIfFinished(const Job& job);
-  void addTerminal(TransactionDraft& draft);
-  void addPages(TransactionDraft& draft);
+  void addTerminal(TransactionBuilder& transaction);
+  void addPages(TransactionBuilder& transaction);
   void takeEffect(const TxnResult& r);
   std::size_t roundWidth() const;
   void cleanUp(Job& job);
@@ -308,8 +309,8 @@
   Version lastAborted_;
   Time loadStarted_{};
   std::uint64_t attempts_ = 0;
-  std::optional<ControllerId> givingTo_;
-  bool gaveUpShare_ = false;
+  std::optional<ControllerId> transferringTo_;
+  bool ownershipTransferSent_ = false;
 
   bool roundSet_ = false;
   bool drawEverywhere_ = false;
--- a/src/scheduler/shard_state.cpp
+++ b/src/scheduler/shard_state.cpp
@@ -330,7 +330,7 @@
   return t.state == TaskState::Placed || (t.state == TaskState::Done && j->status == JobStatus::Open);
 }
 
-std::optional<PageDraft> ShardState::draft(std::deque<TaskId>& fresh, std::set<PageNo>& taken) {
+std::optional<PageDraft> ShardState::composePage(std::deque<TaskId>& fresh, std::set<PageNo>& taken) {
   // What was done, lost or written meanwhile needs no writing.
   auto needed = [&](const TaskId& id) {
     Job* j = job(id.job);
--- a/src/scheduler/shard_state.h
+++ b/src/scheduler/shard_state.h
@@ -251,7 +251,7 @@
 
   // A page that is not taken yet, and is from then on. It takes from fresh the tasks whose state it will
   // hold; nothing if there are none.
-  std::optional<PageDraft> draft(std::deque<TaskId>& fresh, std::set<PageNo>& taken);
+  std::optional<PageDraft> composePage(std::deque<TaskId>& fresh, std::set<PageNo>& taken);
   void restored(const TaskId& task, PageNo page);
   Pages& pages() { return pages_; }
 
--- a/src/wire/kvstore.cpp
+++ b/src/wire/kvstore.cpp
@@ -11,21 +11,21 @@
   // Values are JSON text already: the document is put together by hand so that they are not parsed again.
   std::string out = "{\"when\":[";
   bool first = true;
-  for (const auto& [key, version] : t.when) {
+  for (const auto& [key, version] : t.conditions) {
     if (!first) out += ',';
     first = false;
     out += "{\"path\":" + dump(Json(key)) + ",\"stamp\":" + std::to_string(version.value) + "}";
   }
   out += ']';
-  if (!t.apply.empty()) {
+  if (!t.operations.empty()) {
     out += ",\"apply\":[";
     first = true;
-    for (const auto& w : t.apply) {
+    for (const auto& w : t.operations) {
       if (!first) out += ',';
       first = false;
       if (w.value) {
         out += "{\"write\":" + dump(Json(w.key)) + ",\"value\":" + *w.value;
-        if (w.hold) out += ",\"tenancy\":" + std::to_string(*w.hold);
+        if (w.lease) out += ",\"tenancy\":" + std::to_string(*w.lease);
         out += '}';
       } else {
         out += "{\"drop\":" + dump(Json(w.key)) + "}";
@@ -94,7 +94,7 @@
   return out;
 }
 
-std::optional<std::uint64_t> parseHold(const std::string& body) {
+std::optional<std::uint64_t> parseLeaseId(const std::string& body) {
   auto doc = parse(body);
   return doc ? countAt(*doc, "tenancy") : std::nullopt;
 }
--- a/src/wire/kvstore.h
+++ b/src/wire/kvstore.h
@@ -19,11 +19,11 @@
 struct Write {
   std::string key;
   std::optional<std::string> value;  // nothing: drop the key
-  std::optional<std::uint64_t> hold;
+  std::optional<std::uint64_t> lease;
 };
 struct Transaction {
-  std::map<std::string, Version> when;
-  std::vector<Write> apply;
+  std::map<std::string, Version> conditions;
+  std::vector<Write> operations;
 };
 
 std::string encodeTransaction(const Transaction& t);
@@ -41,7 +41,7 @@
 std::optional<KeyChange> parseKey(const std::string& body);
 std::optional<Version> parseRevision(const std::string& body);
 std::vector<std::string> parseFailed(const std::string& body);
-std::optional<std::uint64_t> parseHold(const std::string& body);
+std::optional<std::uint64_t> parseLeaseId(const std::string& body);
 
 // --- records ---
 
--- a/tests/unit/autoscaling_test.cpp
+++ b/tests/unit/autoscaling_test.cpp
@@ -69,7 +69,7 @@
 
 }  // namespace
 
-// A hold that went unheard and lives on makes the same controller lead again under the same epoch.
+// A lease that went unheard and lives on makes the same controller lead again under the same epoch.
 TEST_F(Leader, NoClaimIsUsedTwiceInOneEpoch) {
   lead(10'000);
   auto before = claims();
--- a/tests/unit/group_commit_test.cpp
+++ b/tests/unit/group_commit_test.cpp
@@ -15,7 +15,7 @@
 
 struct GroupCommitTest : StoreQueueFixture {
   KeyValueClient client{queue, tally};
-  GroupCommit commits{settings, runtime, client, budget, tally};
+  GroupCommit commits{settings, runtime, client, limiter, tally};
   std::map<std::string, std::vector<Outcome>> results;
 
   void create(const std::string& key, Duration deadline = Duration{10'000}) {
@@ -62,7 +62,7 @@
 }
 
 TEST_F(GroupCommitTest, WhatHadNoTurnInTimeIsRefused) {
-  budget.pauseUntil(runtime.now() + Duration{1'000});
+  limiter.pauseUntil(runtime.now() + Duration{1'000});
   create("job/a", Duration{100});
   runtime.clock.run(runtime.clock.now() + 500);
   EXPECT_EQ(results["job/a"], (std::vector<Outcome>{Outcome::Refused}));
--- a/tests/unit/keep_alive_proxy_test.cpp
+++ b/tests/unit/keep_alive_proxy_test.cpp
@@ -13,18 +13,19 @@
 
 Time at(std::int64_t s) { return Time{Duration{s * 1000}}; }
 
-// A deputy and an owner whose clocks are an hour apart, pulsing to each other.
+// A keep-alive proxy and an owner whose clocks are an hour apart, pulsing to each other.
 struct Pair : testing::Test {
-  DeputyLink deputy{at(100), kGrace, kGrace + kTtl};
-  DeputyLink owner{at(3700), kGrace, kGrace + kTtl};
+  KeepAliveProxyLink proxy{at(100), kGrace, kGrace + kTtl};
+  KeepAliveProxyLink owner{at(3700), kGrace, kGrace + kTtl};
   std::uint64_t deputyLife = 1;
-  Version cancelled{40}, seen{40};  // the owner's latest cancellation; what the deputy knows of all jobs
+  Version cancelled{40},
+      seen{40};  // the owner's latest cancellation; what the keep-alive proxy knows of all jobs
 
   static Time ownersTime(std::int64_t s) { return at(s + 3600); }
   mesh::Heartbeat fromDeputy(std::int64_t s, bool hears) {
     mesh::Heartbeat p;
     p.life = deputyLife;
-    deputy.fill(p, hears, at(s));
+    proxy.fill(p, hears, at(s));
     return p;
   }
   mesh::Heartbeat fromOwner(std::int64_t s, Duration ownsFor = kTtl) {
@@ -39,11 +40,11 @@
   void together(std::int64_t from, std::int64_t to) {
     for (auto s = from; s <= to; ++s) {
       owner.came(fromDeputy(s, true), ownersTime(s));
-      deputy.came(fromOwner(s), at(s));
+      proxy.came(fromOwner(s), at(s));
     }
   }
   bool may(std::int64_t s, bool hears = false) const {
-    return deputy.mayAnswer(kShare, kEpoch, seen, hears, at(s));
+    return proxy.mayAnswer(kShare, kEpoch, seen, hears, at(s));
   }
 };
 
@@ -59,10 +60,10 @@
   together(101, 110);
   EXPECT_FALSE(may(113));  // not long after its last word that it answers nobody
   EXPECT_TRUE(may(116));
-  EXPECT_FALSE(deputy.mayAnswer(kShare, Epoch{8}, seen, false, at(116)));
-  EXPECT_FALSE(deputy.mayAnswer(ShardId{1}, kEpoch, seen, false, at(116)));
+  EXPECT_FALSE(proxy.mayAnswer(kShare, Epoch{8}, seen, false, at(116)));
+  EXPECT_FALSE(proxy.mayAnswer(ShardId{1}, kEpoch, seen, false, at(116)));
   EXPECT_TRUE(may(130));
-  EXPECT_FALSE(may(131));  // 110 and the hold and the grace
+  EXPECT_FALSE(may(131));  // 110 and the lease and the grace
   // The owner assumes nothing while the last word holds, and then all that may be.
   EXPECT_EQ(owner.mayHaveAnswered(ownersTime(113)), Time{});
   EXPECT_EQ(owner.mayHaveAnswered(ownersTime(120)), ownersTime(120));
@@ -82,14 +83,14 @@
 
 TEST_F(Pair, AnOwnerWithoutAHoldLendsNothing) {
   together(101, 110);
-  deputy.came(fromOwner(111, Duration{0}), at(111));
+  proxy.came(fromOwner(111, Duration{0}), at(111));
   EXPECT_FALSE(may(120));
 }
 
 TEST_F(Pair, AHeldHeartbeatLendsNoLongerThanItsWordIsOld) {
   together(101, 110);
   auto held = fromOwner(111);
-  deputy.came(held, at(170));
+  proxy.came(held, at(170));
   EXPECT_FALSE(may(176));
 }
 
@@ -103,10 +104,10 @@
 
 TEST_F(Pair, OnceBackItTellsWhenItAnsweredLast) {
   together(101, 110);
-  deputy.answered(at(121));
+  proxy.answered(at(121));
   auto p = fromDeputy(125, false);
   owner.came(p, ownersTime(125));
-  deputy.came(fromOwner(126), at(126));
+  proxy.came(fromOwner(126), at(126));
   owner.came(fromDeputy(127, true), ownersTime(127));
   EXPECT_EQ(owner.mayHaveAnswered(ownersTime(128)), ownersTime(121));
 }
@@ -114,10 +115,10 @@
 TEST_F(Pair, AnEndedDeputyCountsAsHavingAnsweredUntilItCameBack) {
   together(101, 110);
   deputyLife = 2;
-  deputy = DeputyLink{at(122), kGrace, kGrace + kTtl};
+  proxy = KeepAliveProxyLink{at(122), kGrace, kGrace + kTtl};
   owner.came(fromDeputy(122, false), ownersTime(122));
   EXPECT_FALSE(may(128));
-  deputy.came(fromOwner(123), at(123));
+  proxy.came(fromOwner(123), at(123));
   owner.came(fromDeputy(124, true), ownersTime(124));
   EXPECT_EQ(owner.mayHaveAnswered(ownersTime(125)), ownersTime(122));
 }
--- a/tests/unit/key_value_store_test.cpp
+++ b/tests/unit/key_value_store_test.cpp
@@ -32,7 +32,7 @@
   KeyValueStore store(settings, runtime, silentLog(), 1);
   int failed = 0;
   for (int i = 0; i < 1000; ++i)
-    store.get(Urgency::User, "job/x", Duration{1000},
+    store.get(RequestPriority::User, "job/x", Duration{1000},
               [&](GetResult r) { failed += r.outcome == GetResult::Outcome::Failed; });
   for (auto& f : runtime.atOnce) f();
   // A third of the service's part for one second is sent, as much again waits.
--- a/tests/unit/membership_test.cpp
+++ b/tests/unit/membership_test.cpp
@@ -1,4 +1,4 @@
-// A controller's hold at the state service.
+// A controller's lease at the state service.
 #include <gtest/gtest.h>
 
 #include "cluster/membership.h"
@@ -46,7 +46,7 @@
                          [](bool) {}, [](ShardId, ControllerId) {}}};
   Held() {
     for (const auto& p : {keys::kJobs, keys::kMachines, keys::kShards, keys::kControllers})
-      store.mirror(p, [](const wire::KeyChange&) {});
+      store.watch(p, [](const wire::KeyChange&) {});
   }
   // What the counter gains in 10 s, once four holds are gone.
   int inTenSecondsAfterFourHolds(const int& counter) {
@@ -61,7 +61,7 @@
 
 }  // namespace
 
-// The store says now and then that a hold is gone before a renewal does: the next hold is renewed as often.
+// The store says now and then that a lease is gone before a renewal does: the next hold is renewed as often.
 TEST_F(Held, AHoldIsRenewedOnceAtATime) {
   int refused = 0;
   runtime.txnStatus = [&refused] { return ++refused <= 4 ? 400 : 409; };
--- a/tests/unit/policy_test.cpp
+++ b/tests/unit/policy_test.cpp
@@ -143,11 +143,11 @@
   d.types = {};
   auto s = parseSettings(d.settingsOf(1), {});
   EXPECT_EQ(s.controller.value, "loft-1");
-  EXPECT_EQ(s.homeShard(ControllerId{"loft-2"}).value, 2U);
+  EXPECT_EQ(s.preferredShard(ControllerId{"loft-2"}).value, 2U);
   EXPECT_EQ(s.shardOfTeam(TeamId{"team-1"}).value, 1U);
   // Invariant 6: all of it fits before a cancellation is due.
-  EXPECT_LE(inSeconds(s.holdTtl() + s.grace()) + s.leaseS, s.cancelS - 1);
-  EXPECT_EQ(s.blindFor(), s.holdTtl() + s.grace());
+  EXPECT_LE(inSeconds(s.leaseTtl() + s.grace()) + s.leaseS, s.cancelS - 1);
+  EXPECT_EQ(s.blindFor(), s.leaseTtl() + s.grace());
   // "A value of 0 means none": no guarantee, and no limit.
   d.guest = true;
   auto guest = parseSettings(d.settingsOf(1), {}).team(TeamId{"team-guest"})->coresMax;
@@ -185,21 +185,21 @@
         d.leaseS = lease;
         d.cancelS = lease + more;
         Tuning t;
-        t.holdTtl = Duration{ttlMs};
+        t.leaseTtl = Duration{ttlMs};
         auto s = parseSettings(d.settingsOf(0), t);
         SCOPED_TRACE(testing::Message() << "lease " << lease << " cancel " << d.cancelS << " ttl " << ttlMs);
-        EXPECT_GE(s.holdTtl(), Duration{500});
-        EXPECT_LE(s.holdTtl(), t.holdTtl);
+        EXPECT_GE(s.leaseTtl(), Duration{500});
+        EXPECT_LE(s.leaseTtl(), t.leaseTtl);
         EXPECT_GE(s.grace(), Duration{0});
         EXPECT_GE(s.blindFor(), Duration{0});
-        // Who answered last without knowing: a deputy or an owner not loaded, blindFor() after what they
-        // know; a former owner, the grace after the hold that must be over before another confirms.
+        // Who answered last without knowing: a keep-alive proxy or an owner not loaded, blindFor() after what
+        // they know; a former owner, the grace after the lease that must be over before another confirms.
         for (auto last : {s.blindFor(), s.grace()}) {
           double rest = inSeconds(last) * (1 + kDrift) + lease * (1 + kDrift);
           // Where there is nothing to part, only the clocks' own error is beyond anyone's reach.
           EXPECT_LE(rest, d.cancelS + (more < 2 * kDrift * d.cancelS ? 2 * kDrift * d.cancelS : 0.0));
         }
-        EXPECT_EQ(s.grace(), std::max(s.blindFor() - s.holdTtl(), Duration{0}));
+        EXPECT_EQ(s.grace(), std::max(s.blindFor() - s.leaseTtl(), Duration{0}));
       }
     }
   }
--- a/tests/unit/request_queue_fixture.h
+++ b/tests/unit/request_queue_fixture.h
@@ -14,10 +14,10 @@
 struct StoreQueueFixture : testing::Test {
   Settings settings = parseSettings(world::Deployment{}.settingsOf(0), {});
   HeldCallsRuntime runtime;
-  RequestBudget budget{settings, runtime.now()};
+  RateLimiter limiter{settings, runtime.now()};
   RequestTally tally;
   std::mt19937_64 rng{1};
-  RequestQueue queue{settings, runtime, budget, tally, rng};
+  RequestQueue queue{settings, runtime, limiter, tally, rng};
 };
 
 }  // namespace cherryloft
--- a/tests/unit/request_queue_test.cpp
+++ b/tests/unit/request_queue_test.cpp
@@ -12,13 +12,13 @@
 struct RequestQueueTest : StoreQueueFixture {
   std::vector<HttpResult::Outcome> outcomes;
 
-  void push(Urgency urgency, const std::string& target, Duration deadline = Duration{10'000},
+  void push(RequestPriority priority, const std::string& target, Duration deadline = Duration{10'000},
             unsigned changes = 0) {
-    queue.push(urgency, {"test", {"GET", target, "", false}, changes}, deadline,
+    queue.push(priority, {"test", {"GET", target, "", false}, changes}, deadline,
                [this](const HttpResult& result) { outcomes.push_back(result.outcome); });
   }
   void useUpRequests() {
-    while (budget.affords(0)) budget.spend(0);
+    while (limiter.affords(0)) limiter.spend(0);
   }
   void run(world::Ms ms) { runtime.clock.run(runtime.clock.now() + ms); }
 };
@@ -27,9 +27,9 @@
 
 TEST_F(RequestQueueTest, SendsTheUrgentFirst) {
   useUpRequests();
-  push(Urgency::User, "/user");
-  push(Urgency::Work, "/work");
-  push(Urgency::Control, "/control");
+  push(RequestPriority::User, "/user");
+  push(RequestPriority::Work, "/work");
+  push(RequestPriority::Control, "/control");
   EXPECT_TRUE(runtime.requests.empty());
   run(1'000);
   EXPECT_EQ(runtime.targets(), (std::vector<std::string>{"/control", "/work", "/user"}));
@@ -37,13 +37,13 @@
 
 TEST_F(RequestQueueTest, RenewalsOfHoldsDoNotWaitForTheBudget) {
   useUpRequests();
-  push(Urgency::Hold, "/hold");
+  push(RequestPriority::Lease, "/hold");
   EXPECT_EQ(runtime.targets(), (std::vector<std::string>{"/hold"}));
 }
 
 TEST_F(RequestQueueTest, WhatHadNoTurnInTimeIsNotSent) {
-  budget.pauseUntil(runtime.now() + Duration{1'000});
-  push(Urgency::Control, "/late", Duration{100});
+  limiter.pauseUntil(runtime.now() + Duration{1'000});
+  push(RequestPriority::Control, "/late", Duration{100});
   run(2'000);
   EXPECT_TRUE(runtime.requests.empty());
   EXPECT_EQ(outcomes, (std::vector<HttpResult::Outcome>{HttpResult::Outcome::NotSent}));
@@ -51,10 +51,10 @@
 }
 
 TEST_F(RequestQueueTest, PausesAfterTheServiceRefused) {
-  push(Urgency::Control, "/first");
+  push(RequestPriority::Control, "/first");
   auto answer = runtime.open.at(0);
   answer({HttpResult::Outcome::Answered, {429, "{}", false, 0}});
-  push(Urgency::Control, "/second");
+  push(RequestPriority::Control, "/second");
   run(200);
   EXPECT_EQ(runtime.requests.size(), 1U);
   run(1'000);
@@ -63,9 +63,9 @@
 }
 
 TEST_F(RequestQueueTest, ChangesAreSpentToo) {
-  auto most = static_cast<unsigned>(budget.changes());
-  push(Urgency::Work, "/all", Duration{10'000}, most);
-  push(Urgency::Work, "/more", Duration{10'000}, 1);
+  auto most = static_cast<unsigned>(limiter.changes());
+  push(RequestPriority::Work, "/all", Duration{10'000}, most);
+  push(RequestPriority::Work, "/more", Duration{10'000}, 1);
   EXPECT_EQ(runtime.targets(), (std::vector<std::string>{"/all"}));
   run(1'000);
   EXPECT_EQ(runtime.requests.size(), 2U);
--- a/tests/unit/shard_state_test.cpp
+++ b/tests/unit/shard_state_test.cpp
@@ -50,7 +50,7 @@
   state.place(job, 20, other, Attempt{1}, Time{});
   std::set<PageNo> taken;
   std::optional<PageDraft> draft;
-  while (!draft && !fresh.empty()) draft = state.draft(fresh, taken);
+  while (!draft && !fresh.empty()) draft = state.composePage(fresh, taken);
   ASSERT_TRUE(draft);
   EXPECT_NE(draft->number, kLarge);
   EXPECT_EQ(draft->record.jobs.at(job.id).placed.size(), 1U);
--- a/tests/unit/transaction_builder_test.cpp
+++ b/tests/unit/transaction_builder_test.cpp
@@ -8,34 +8,34 @@
 
 wire::Write writeOf(const std::string& key, std::size_t bytes) { return {key, std::string(bytes, 'x'), {}}; }
 
-TEST(TransactionDraft, TakesAsManyWritesAsAllowed) {
-  TransactionDraft draft(2);
+TEST(TransactionBuilder, TakesAsManyWritesAsAllowed) {
+  TransactionBuilder draft(2);
   EXPECT_TRUE(draft.empty());
   EXPECT_TRUE(draft.add(writeOf("a", 10), Version{1}));
   EXPECT_TRUE(draft.add(writeOf("b", 10), Version{2}));
   EXPECT_FALSE(draft.hasRoom(10));
   EXPECT_FALSE(draft.add(writeOf("c", 10), Version{3}));
   auto transaction = draft.take();
-  EXPECT_EQ(transaction.apply.size(), 2U);
-  EXPECT_EQ(transaction.when.size(), 2U);
-  EXPECT_EQ(transaction.when.count("c"), 0U);
+  EXPECT_EQ(transaction.operations.size(), 2U);
+  EXPECT_EQ(transaction.conditions.size(), 2U);
+  EXPECT_EQ(transaction.conditions.count("c"), 0U);
 }
 
-TEST(TransactionDraft, StaysWithinTheWeightButForTheFirst) {
-  TransactionDraft draft(8);
+TEST(TransactionBuilder, StaysWithinTheWeightButForTheFirst) {
+  TransactionBuilder draft(8);
   EXPECT_TRUE(draft.add(writeOf("a", 2 * wire::kMostWeight), Version{1}));
   EXPECT_FALSE(draft.add(writeOf("b", 1), Version{1}));
-  TransactionDraft second(8);
+  TransactionBuilder second(8);
   EXPECT_TRUE(second.add(writeOf("a", wire::kMostWeight / 2), Version{1}));
   EXPECT_FALSE(second.add(writeOf("b", wire::kMostWeight / 2), Version{1}));
   EXPECT_TRUE(second.add(writeOf("c", wire::kMostWeight / 4), Version{1}));
 }
 
-TEST(TransactionDraft, RequiresVersionsOfKeysThatItDoesNotWrite) {
-  TransactionDraft draft(8);
+TEST(TransactionBuilder, RequiresVersionsOfKeysThatItDoesNotWrite) {
+  TransactionBuilder draft(8);
   draft.require("share/0", Version{7});
   EXPECT_TRUE(draft.empty());
-  EXPECT_EQ(draft.take().when.at("share/0"), Version{7});
+  EXPECT_EQ(draft.take().conditions.at("share/0"), Version{7});
 }
 
 }  // namespace
--- a/tests/unit/watch_cache_test.cpp
+++ b/tests/unit/watch_cache_test.cpp
@@ -1,4 +1,4 @@
-// What a mirror of the state service shows when answers come late and out of order.
+// What a watch cache of the state service shows when answers come late and out of order.
 #include <gtest/gtest.h>
 
 #include "kvstore/key_value_store.h"
@@ -37,7 +37,7 @@
 
   // Calls 0 and 1 are the first list and the first watch.
   void begin(const std::string& entries) {
-    store.mirror("node/", [this](const wire::KeyChange& c) {
+    store.watch("node/", [this](const wire::KeyChange& c) {
       if (c.value)
         shown.insert(c.key);
       else
@@ -51,7 +51,7 @@
 
 TEST_F(Mirrored, ALateAnswerDoesNotBringBackADroppedKey) {
   begin("");
-  store.catchUp("node/", [](bool) {});
+  store.waitUntilCurrent("node/", [](bool) {});
   ASSERT_EQ(runtime.calls.size(), 3U);
   runtime.answer(
       2, R"({"ledger_rev":7,"news":[{"write":"node/x","value":{},"stamp":5},{"drop":"node/x","stamp":7}]})");
@@ -62,7 +62,7 @@
 
 TEST_F(Mirrored, AnOldListDoesNotDropANewerKey) {
   begin("");
-  store.catchUp("node/", [](bool) {});
+  store.waitUntilCurrent("node/", [](bool) {});
   // The watch is too old and all is read anew; the list is as old as its first page.
   auto tooOld = runtime.calls.at(1).done;
   tooOld({HttpResult::Outcome::Answered, {410, "{}", false, 0}});
