--- a/src/autoscaler/autoscaler.h
+++ b/src/autoscaler/autoscaler.h
@@ -27,7 +27,7 @@
   void leading(bool yes);
   void load(const mesh::ShardLoad& l);
   // A machine without a record has reported.
-  void unrecordedMachineSeen(const wire::Report& r) { adoption_.reported(r); }
+  void unrecordedMachineSeen(const wire::WorkerHeartbeat& r) { adoption_.reported(r); }
 
  private:
   struct ReportedLoad {
--- a/src/autoscaler/machine_adoption.cpp
+++ b/src/autoscaler/machine_adoption.cpp
@@ -52,7 +52,7 @@
 }
 
 // Its report may be a late copy, and the machine gone: it is asked.
-void MachineAdoption::reported(const wire::Report& report) {
+void MachineAdoption::reported(const wire::WorkerHeartbeat& report) {
   if (!context_.leadership.active || !unknown(report.machine) || report.address.empty()) return;
   if (records_.pending(report.machine) || asking_.size() >= kMostAsking) return;
   if (!asking_.insert(report.machine).second) return;
@@ -67,7 +67,7 @@
 }
 
 void MachineAdoption::asked(const MachineId& id, const HttpResult& result) {
-  auto report = result.answered(200) ? wire::parseReport(result.response.body) : std::nullopt;
+  auto report = result.answered(200) ? wire::parseHeartbeat(result.response.body) : std::nullopt;
   context_.runtime.after(kAskAgain, [this, id] { asking_.erase(id); });
   if (!context_.leadership.active || !report || report->machine != id || !unknown(id)) return;
   adopt(id, {ShardId{}, Epoch{}, wire::MachinePhase::InUse, report->type, report->zone, report->spot,
--- a/src/autoscaler/machine_adoption.h
+++ b/src/autoscaler/machine_adoption.h
@@ -33,7 +33,7 @@
   // A machine without a record is surely there. Those that turn up together are dealt out together.
   void adopt(const MachineId& id, wire::MachineRecord record);
   // A machine without a record has reported.
-  void reported(const wire::Report& report);
+  void reported(const wire::WorkerHeartbeat& report);
   // Deals out the machines that have waited for others.
   void dealOut();
 
--- a/src/base/types.h
+++ b/src/base/types.h
@@ -26,17 +26,17 @@
 using Attempt = Strong<struct AttemptTag, std::uint64_t>;
 using Epoch = Strong<struct EpochTag, std::uint64_t>;
 // What workers compare: an epoch in the high bits, the owner's own count of raises in the low ones.
-using Token = Strong<struct TokenTag, std::uint64_t>;
+using FencingToken = Strong<struct FencingTokenTag, std::uint64_t>;
 using Version = Strong<struct VersionTag, std::uint64_t>;
-using WorkerSession = Strong<struct WorkerSessionTag, std::uint64_t>;
-using Serial = Strong<struct SerialTag, std::uint64_t>;
+using Incarnation = Strong<struct IncarnationTag, std::uint64_t>;
+using SequenceNumber = Strong<struct SequenceNumberTag, std::uint64_t>;
 using ShardId = Strong<struct ShardTag, std::uint32_t>;
 
-inline constexpr unsigned kRaiseBits = 20;
-inline Token tokenOf(Epoch epoch, std::uint64_t raises = 0) {
-  return Token{(epoch.value << kRaiseBits) + raises};
+inline constexpr unsigned kTokenGenerationBits = 20;
+inline FencingToken tokenOf(Epoch epoch, std::uint64_t tokenGeneration = 0) {
+  return FencingToken{(epoch.value << kTokenGenerationBits) + tokenGeneration};
 }
-inline Epoch epochOf(Token t) { return Epoch{t.value >> kRaiseBits}; }
+inline Epoch epochOf(FencingToken t) { return Epoch{t.value >> kTokenGenerationBits}; }
 // Attempts are unique for ever, as the epoch they carry was drawn once.
 inline Attempt attemptOf(Epoch epoch, std::uint64_t count) { return Attempt{(epoch.value << 24) + count}; }
 
--- a/src/cluster/cluster_view.cpp
+++ b/src/cluster/cluster_view.cpp
@@ -99,18 +99,18 @@
   return {};
 }
 
-std::vector<wire::Order> ClusterView::endsOfAborted(const wire::Report& r) const {
-  std::vector<wire::Order> ends;
+std::vector<wire::Command> ClusterView::stopCommandsForCancelled(const wire::WorkerHeartbeat& r) const {
+  std::vector<wire::Command> ends;
   for (const auto& t : r.tasks) {
     if (ends.size() >= kMostEnds) break;
     auto job = jobs.find(t.task.job);
     if (job != jobs.end() && job->second.status == JobStatus::Aborted && t.phase != wire::TaskPhase::Exited)
-      ends.push_back({wire::Order::Verb::Stop, t.task, t.attempt, 0});
+      ends.push_back({wire::Command::Verb::Stop, t.task, t.attempt, 0});
   }
   return ends;
 }
 
-void ClusterView::ended(const JobId& id, JobStatus status, Version version) {
+void ClusterView::jobEnded(const JobId& id, JobStatus status, Version version) {
   auto it = jobs.find(id);
   if (it == jobs.end() || it->second.status != JobStatus::Open || it->second.version > version) return;
   it->second.status = status;
@@ -118,8 +118,8 @@
   if (status == JobStatus::Done) it->second.spec.reset();
 }
 
-void ClusterView::ended(const JobId& id, JobStatus status) {
-  if (auto it = jobs.find(id); it != jobs.end()) ended(id, status, it->second.version);
+void ClusterView::jobEnded(const JobId& id, JobStatus status) {
+  if (auto it = jobs.find(id); it != jobs.end()) jobEnded(id, status, it->second.version);
 }
 
 std::vector<MachineId> ClusterView::apply(const wire::KeyChange& c, const Log& log) {
--- a/src/cluster/cluster_view.h
+++ b/src/cluster/cluster_view.h
@@ -60,11 +60,11 @@
   std::vector<MachineId> apply(const wire::KeyChange& c, const Log& log);
   // What ends the tasks that a report shows of jobs that are called off. Any answer that prolongs a worker's
   // lease carries it, whoever gives that answer and in whatever role (invariant 16).
-  std::vector<wire::Order> endsOfAborted(const wire::Report& r) const;
+  std::vector<wire::Command> stopCommandsForCancelled(const wire::WorkerHeartbeat& r) const;
   // The word that the owner gives to users: the job is over. Its record comes later.
-  void ended(const JobId& id, JobStatus status);
+  void jobEnded(const JobId& id, JobStatus status);
   // The word of the owner of the job's shard that it is over: committed under that version, and final.
-  void ended(const JobId& id, JobStatus status, Version version);
+  void jobEnded(const JobId& id, JobStatus status, Version version);
   // A machine group as it is known, to be written anew with a change.
   wire::GroupRecord group(const std::string& key) const;
   // The version of its record; 0 if there is none.
--- a/src/cluster/keep_alive_proxy.cpp
+++ b/src/cluster/keep_alive_proxy.cpp
@@ -14,7 +14,7 @@
 Time time(std::int64_t ms) { return Time{Duration{ms}}; }
 }  // namespace
 
-void KeepAliveProxyLink::fill(mesh::Heartbeat& p, bool hears, Time now) {
+void KeepAliveProxyLink::fill(mesh::PeerHeartbeat& p, bool hears, Time now) {
   p.at = ms(now);
   p.echo = seenAt_;
   p.proxy = !hears;
@@ -22,7 +22,7 @@
   if (hears) lastQuiet_ = now;
 }
 
-bool KeepAliveProxyLink::came(const mesh::Heartbeat& p, Time now) {
+bool KeepAliveProxyLink::came(const mesh::PeerHeartbeat& p, Time now) {
   if (p.life < life_ || (p.life == life_ && p.at <= seenAt_)) return false;
   // A process that ended did not tell of its last answers.
   if (p.life > life_ && life_ > 0) told_ = std::max(told_, std::min(now, allowance_));
--- a/src/cluster/keep_alive_proxy.h
+++ b/src/cluster/keep_alive_proxy.h
@@ -1,5 +1,5 @@
 // Answering for a sibling that is out of reach (invariant 15). A controller that is cut off together with
-// workers of another's shards may answer their check-ins, without orders, for as long as that other itself
+// workers of another's shards may answer their heartbeats, without commands, for as long as that other itself
 // might after losing its lease; and the other, or whoever owns the shard after it, counts those workers'
 // leases from the last moment at which that may have happened. It must have seen every cancellation that the
 // other had committed when it said its last word (invariant 16). One link holds both sides' knowledge of one
@@ -23,9 +23,9 @@
   }
 
   // Completes a heartbeat to the sibling; hears: we have heard it of late.
-  void fill(mesh::Heartbeat& p, bool hears, Time now);
+  void fill(mesh::PeerHeartbeat& p, bool hears, Time now);
   // False if the heartbeat is older than one that came before.
-  bool came(const mesh::Heartbeat& p, Time now);
+  bool came(const mesh::PeerHeartbeat& p, Time now);
 
   // As its keep-alive proxy: whether we may answer a worker of that shard that holds a token of that epoch,
   // when we know of all jobs what was committed up to `seen`.
--- a/src/cluster/membership.h
+++ b/src/cluster/membership.h
@@ -11,7 +11,7 @@
 // Until when a controller may do what, by its own steady clock (invariant 6).
 struct LeaseValidity {
   Time ownsUntil{};     // starts, forgets, non-terminal answers
-  Time answersUntil{};  // check-ins without new orders
+  Time answersUntil{};  // heartbeats without new commands
   bool owns(Time now) const { return now < ownsUntil; }
   bool answers(Time now) const { return now < answersUntil; }
 };
@@ -20,7 +20,7 @@
   ShardId shard;
   Epoch epoch;
   Version version;
-  // How long the former owner, and keep-alive proxies of its, may have gone on answering check-ins.
+  // How long the former owner, and keep-alive proxies of its, may have gone on answering heartbeats.
   Duration formerAnswers{0};
 };
 
--- a/src/cluster/peers.cpp
+++ b/src/cluster/peers.cpp
@@ -112,7 +112,7 @@
 void Peers::frame(const mesh::Frame& f) {
   if (f.from >= neighbours_.size() || f.to >= neighbours_.size() || f.from == self_) return;
   if (f.to != self_) return runtime_.mesh(f.to, f);  // the one hop; the next stop is the last
-  if (const auto* heartbeat = std::get_if<mesh::Heartbeat>(&f.payload)) {
+  if (const auto* heartbeat = std::get_if<mesh::PeerHeartbeat>(&f.payload)) {
     auto& n = neighbours_[f.from];
     if (!n.link.came(*heartbeat, runtime_.now())) return;  // held back, and passed by a later one
     n.heard = runtime_.now();
--- a/src/cluster/peers.h
+++ b/src/cluster/peers.h
@@ -15,7 +15,7 @@
   struct Callbacks {
     // Something that is neither a heartbeat nor an answer came, from that controller.
     std::function<void(std::uint32_t from, const mesh::Payload&)> received;
-    std::function<mesh::Heartbeat()> heartbeat;  // what to say of ourselves; the rest is filled in here
+    std::function<mesh::PeerHeartbeat()> heartbeat;  // what to say of ourselves; the rest is filled in here
   };
   using Answered = std::function<void(const mesh::Answer*)>;  // null: none in time
 
@@ -51,7 +51,7 @@
  private:
   struct Neighbour {
     Time heard{};
-    mesh::Heartbeat heartbeat;
+    mesh::PeerHeartbeat heartbeat;
     Time remeshed{};
     KeepAliveProxyLink link;
   };
--- a/src/config/settings.h
+++ b/src/config/settings.h
@@ -80,7 +80,7 @@
   // The life of this controller's lease: the operators' choice, or less where the deployment leaves little
   // room.
   Duration leaseTtl() const;
-  // How long after its lease ran out a controller goes on answering check-ins (invariant 6).
+  // How long after its lease ran out a controller goes on answering heartbeats (invariant 6).
   Duration grace() const;
   // How long after a moment whose cancellations are all known a worker may be answered, though those since
   // are not (invariant 16). Nothing where cancel_s is hardly above lease_s.
--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -36,7 +36,7 @@
       userApi_(settings, runtime, log, store_, view_, peers_,
                {[this](ShardId k) { return scheduler(k); }, [this] { return owns(); },
                 [this](const wire::KeyChange& c) { changed(c); },
-                [this](const JobId& id, JobStatus s) { view_.ended(id, s); }}) {}
+                [this](const JobId& id, JobStatus s) { view_.jobEnded(id, s); }}) {}
 
 void Controller::start() {
   for (const auto& prefix : {keys::kJobs, keys::kMachines, keys::kShards, keys::kControllers})
@@ -52,8 +52,8 @@
   account();
 }
 
-mesh::Heartbeat Controller::heartbeat() const {
-  mesh::Heartbeat p;
+mesh::PeerHeartbeat Controller::heartbeat() const {
+  mesh::PeerHeartbeat p;
   p.serving = serving();
   p.ownsForMs = std::max((membership_.leaseValidity().ownsUntil - runtime_.now()).count(), std::int64_t{0});
   for (const auto& [k, epoch] : membership_.owned())
@@ -99,7 +99,7 @@
   for (const auto& [_, s] : schedulers_) {
     sum.starts += s->counts().starts;
     sum.looked += s->counts().looked;
-    sum.givenUp += s->counts().givenUp;
+    sum.quarantined += s->counts().quarantined;
   }
   return sum;
 }
@@ -178,7 +178,7 @@
 void Controller::lost(ShardId k) { schedulers_.erase(k); }
 
 void Controller::jobEnded(const JobId& id, JobStatus s, Version version) {
-  view_.ended(id, s, version);
+  view_.jobEnded(id, s, version);
   for (auto& [_, x] : schedulers_) x->jobChanged(id);
   // Whoever answers workers or users should know before the user does; no bound hangs on it.
   peers_.sendAll(mesh::JobEnded{id.value, s == JobStatus::Done, version.value});
@@ -212,24 +212,24 @@
   auto answer = [this, from](mesh::Answer a) { peers_.send(from, std::move(a)); };
   if (const auto* ask = std::get_if<mesh::JobAsk>(&p)) {
     userApi_.asked(*ask, answer);
-  } else if (const auto* relayed = std::get_if<mesh::CheckInAsk>(&p)) {
-    auto report = wire::parseReport(relayed->body);
-    auto machine = report ? view_.machines.find(report->machine) : view_.machines.end();
+  } else if (const auto* relayed = std::get_if<mesh::RelayedHeartbeat>(&p)) {
+    auto heartbeat = wire::parseHeartbeat(relayed->body);
+    auto machine = heartbeat ? view_.machines.find(heartbeat->machine) : view_.machines.end();
     ShardScheduler* s = machine == view_.machines.end() ? nullptr : scheduler(machine->second.record.shard);
     if (!s) return answer({relayed->id, 503, ""});
-    auto a = s->checkIn(*report);
+    auto a = s->handleHeartbeat(*heartbeat);
     answer({relayed->id, a.status, std::move(a.body)});
   } else if (const auto* probe = std::get_if<mesh::ProbeAsk>(&p)) {
     showOf(probe->address, [id = probe->id, answer](const HttpResult& r) {
       answer({id, r.response.status, r.response.body});
     });
   } else if (const auto* seen = std::get_if<mesh::UnrecordedMachineSeen>(&p)) {
-    if (auto report = wire::parseReport(seen->body)) fleet_.unrecordedMachineSeen(*report);
+    if (auto heartbeat = wire::parseHeartbeat(seen->body)) fleet_.unrecordedMachineSeen(*heartbeat);
   } else if (const auto* load = std::get_if<mesh::ShardLoad>(&p)) {
     fleet_.load(*load);
   } else if (const auto* over = std::get_if<mesh::JobEnded>(&p)) {
     JobId id{over->job};
-    view_.ended(id, over->done ? JobStatus::Done : JobStatus::Aborted, Version{over->version});
+    view_.jobEnded(id, over->done ? JobStatus::Done : JobStatus::Aborted, Version{over->version});
     for (auto& [_, s] : schedulers_) s->jobChanged(id);
   } else if (const auto* w = std::get_if<mesh::MachineDirective>(&p)) {
     if (auto* s = scheduler(ShardId{w->shard})) s->wish(*w);
@@ -267,7 +267,7 @@
   if (path == "/up") {
     if (only("GET")) up(std::move(done));
   } else if (path == "/checkin") {
-    if (only("POST")) checkIn(r.body, std::move(done));
+    if (only("POST")) handleHeartbeat(r.body, std::move(done));
   } else if (path == "/v1/jobs") {
     if (!only("POST")) return;
     if (!store_.cachesLoaded()) return done(wire::userUnavailable("starting"));
@@ -293,30 +293,30 @@
     userApi_.poll(JobId{id}, std::move(done));
 }
 
-void Controller::checkIn(const std::string& body, Responder done) {
+void Controller::handleHeartbeat(const std::string& body, Responder done) {
   auto unavailable = [&](const char* why) { done(wire::userError(503, why)); };
-  auto report = wire::parseReport(body);
-  if (!report) return done(wire::userError(400, "malformed report"));
-  auto machine = view_.machines.find(report->machine);
+  auto heartbeat = wire::parseHeartbeat(body);
+  if (!heartbeat) return done(wire::userError(400, "malformed report"));
+  auto machine = view_.machines.find(heartbeat->machine);
   if (machine == view_.machines.end()) {
     if (view_.leader && view_.leader->record.owner == settings_.controller)
-      fleet_.unrecordedMachineSeen(*report);
+      fleet_.unrecordedMachineSeen(*heartbeat);
     else if (view_.leader)
       peers_.send(view_.leader->record.owner, mesh::UnrecordedMachineSeen{body});
     return unavailable("unknown machine");
   }
   auto shard = machine->second.record.shard;
   if (auto* s = scheduler(shard)) {
-    auto a = s->checkIn(*report);
+    auto a = s->handleHeartbeat(*heartbeat);
     return done({a.status, std::move(a.body), false, 0});
   }
   const ControllerId* owner = view_.ownerOf(shard);
   if (!owner || *owner == settings_.controller || !view_.alive(*owner))
     return unavailable("share is being taken over");
   auto now = runtime_.now();
-  // Its lease and its orders come first: the check-in is relayed at once. Only a worker that stays is sent on
-  // to its owner, and one that comes back from there is relayed for long.
-  auto& guest = guests_[report->machine];
+  // Its lease and its commands come first: the heartbeat is relayed at once. Only a worker that stays is sent
+  // on to its owner, and one that comes back from there is relayed for long.
+  auto& guest = guests_[heartbeat->machine];
   if (guest.owner != *owner || now - guest.last > 2 * kRelayFirst) {
     bool returned = guest.owner == *owner && now - guest.steered < kSteerAgain;
     guest = {*owner, now, now, returned ? guest.steered : Time{}};
@@ -332,17 +332,17 @@
     guest.steered = now;
     return done({421, wire::encodeOwner(*owner), true, 0});
   }
-  if (!reached) return done(answerFor(*owner, *report));
-  peers_.ask(
-      *owner, mesh::CheckInAsk{0, body}, kRelay,
-      [this, owner = *owner, report = std::move(*report), done = std::move(done)](const mesh::Answer* a) {
-        if (a && a->status == 200) return done({200, a->body, false, 0});
-        done(answerFor(owner, report));
-      });
+  if (!reached) return done(answerFor(*owner, *heartbeat));
+  peers_.ask(*owner, mesh::RelayedHeartbeat{0, body}, kRelay,
+             [this, owner = *owner, heartbeat = std::move(*heartbeat),
+              done = std::move(done)](const mesh::Answer* a) {
+               if (a && a->status == 200) return done({200, a->body, false, 0});
+               done(answerFor(owner, heartbeat));
+             });
 }
 
 // The worker's token must be that owner's own: whoever came after it has not asked us to stand in.
-bool Controller::mayAnswerFor(const ControllerId& owner, const wire::Report& r) const {
+bool Controller::mayAnswerFor(const ControllerId& owner, const wire::WorkerHeartbeat& r) const {
   auto machine = view_.machines.find(r.machine);
   if (machine == view_.machines.end() || !membership_.leaseValidity().answers(runtime_.now())) return false;
   auto shard = view_.shards.find(machine->second.record.shard);
@@ -353,11 +353,12 @@
 }
 
 // The owner of the worker's shard is out of reach. Cut off together with the worker we keep its lease up for
-// a while (invariant 15): what it runs goes on. It gets no orders but to end what is aborted, which is final.
-HttpResponse Controller::answerFor(const ControllerId& owner, const wire::Report& r) {
+// a while (invariant 15): what it runs goes on. It gets no commands but to end what is aborted, which is
+// final.
+HttpResponse Controller::answerFor(const ControllerId& owner, const wire::WorkerHeartbeat& r) {
   if (!mayAnswerFor(owner, r)) return wire::userError(503, "the owner does not answer");
   peers_.answeredFor(peers_.numberOf(owner));
-  return {200, wire::encodeOrders(r.token, view_.endsOfAborted(r)), false, 0};
+  return {200, wire::encodeHeartbeatAnswer(r.token, view_.stopCommandsForCancelled(r)), false, 0};
 }
 
 }  // namespace cherryloft
--- a/src/controller/controller.h
+++ b/src/controller/controller.h
@@ -24,9 +24,9 @@
  private:
   void account();
   bool owns() const { return membership_.leaseValidity().owns(runtime_.now()); }
-  mesh::Heartbeat heartbeat() const;
-  bool mayAnswerFor(const ControllerId& owner, const wire::Report& r) const;
-  HttpResponse answerFor(const ControllerId& owner, const wire::Report& r);
+  mesh::PeerHeartbeat heartbeat() const;
+  bool mayAnswerFor(const ControllerId& owner, const wire::WorkerHeartbeat& r) const;
+  HttpResponse answerFor(const ControllerId& owner, const wire::WorkerHeartbeat& r);
   double fractionOfLimits() const;
   void changed(const wire::KeyChange& c);
   void received(std::uint32_t from, const mesh::Payload& p);
@@ -44,7 +44,7 @@
   void toOthersHere(ShardId asking, const Message& message, Handler<Message> handler);
   ShardScheduler* scheduler(ShardId k);
   void jobs(const HttpRequest& r, Responder done);
-  void checkIn(const std::string& body, Responder done);
+  void handleHeartbeat(const std::string& body, Responder done);
   void up(Responder done);
   bool serving() const;
 
--- a/src/mesh/messages.h
+++ b/src/mesh/messages.h
@@ -23,7 +23,7 @@
 };
 
 // Sent to every sibling at a steady interval.
-struct Heartbeat {
+struct PeerHeartbeat {
   std::uint32_t hears = 0;     // bit per controller heard directly
   bool serving = false;        // it has loaded what it needs
   std::int64_t ownsForMs = 0;  // its lease is good for so long
@@ -52,8 +52,8 @@
   }
 };
 
-// A worker's check-in, relayed to the owner of its shard; the body is passed on as it came.
-struct CheckInAsk {
+// A worker's heartbeat, relayed to the owner of its shard; the body is passed on as it came.
+struct RelayedHeartbeat {
   std::uint64_t id = 0;
   std::string body;
   template <class A>
@@ -241,7 +241,7 @@
 
 // New kinds go to the end: a controller of an earlier version refuses the frames that it does not know.
 using Payload =
-    std::variant<Heartbeat, JobAsk, CheckInAsk, ProbeAsk, Answer, UnrecordedMachineSeen, ShardLoad,
+    std::variant<PeerHeartbeat, JobAsk, RelayedHeartbeat, ProbeAsk, Answer, UnrecordedMachineSeen, ShardLoad,
                  MachineDirective, JobEnded, RoomWanted, RoomOffer, PartialRoomWanted, PartialRoomOffer>;
 
 struct Frame {
--- a/src/scheduler/commits.cpp
+++ b/src/scheduler/commits.cpp
@@ -34,7 +34,7 @@
     auto value = done ? wire::encodeJobRecord(doneRecord(*job))
                       : wire::encodeWithin(abortedRecord(*job), settings_.valueBytes);
     if (!transaction.add({keys::job(*it), std::move(value), {}}, job->version)) return;
-    flight_->ended.emplace_back(*it, done ? JobStatus::Done : JobStatus::Aborted);
+    flight_->endedJobs.emplace_back(*it, done ? JobStatus::Done : JobStatus::Aborted);
     it = ending_.erase(it);
   }
 }
@@ -171,7 +171,7 @@
     spans_.toCommitted.add(runtime_.now() - it->second.placedAt);
     if (!it->second.wanted || !h->open()) {
       // Never sent, so it is nowhere.
-      lose(*h, task);
+      taskLost(*h, task);
       wake(true);
       continue;
     }
@@ -180,12 +180,12 @@
       for (const auto& member : job->tasks)
         if (member.machine) machines.insert(member.machine->id);
   }
-  for (const auto& [id, status] : f.ended) {
+  for (const auto& [id, status] : f.endedJobs) {
     Job* j = state_.job(id);
     j->status = status;
     j->version = r.revision;
     log_->info("job {} {}", id.value, status == JobStatus::Done ? "done" : "aborted");
-    callbacks_.ended(id, status, r.revision);
+    callbacks_.jobEnded(id, status, r.revision);
     answerCancelWaiters(*j, status);
     if (status == JobStatus::Aborted) {
       lastAborted_ = std::max(lastAborted_, r.revision);
@@ -195,7 +195,7 @@
     if (Job* left = state_.job(id)) cleanUp(*left);
   }
   // Only now: a start must not go out beside the end of its own job.
-  directAll(machines);
+  sendCommandsToAll(machines);
   wake(false);
 }
 
--- a/src/scheduler/delegation.cpp
+++ b/src/scheduler/delegation.cpp
@@ -294,8 +294,8 @@
   Job* job = state_.job(id);
   if (!job) {
     auto returned = returnedAt_.find(id);
-    bool stale = returned != returnedAt_.end() && known.version < returned->second;
-    if (stale) return;
+    bool cordoned = returned != returnedAt_.end() && known.version < returned->second;
+    if (cordoned) return;
     if (returned != returnedAt_.end()) returnedAt_.erase(returned);
     if (!mine || known.status != JobStatus::Open || !known.spec) return;
     acceptDelegation(id, known, *mine);
@@ -317,7 +317,7 @@
   job.notBefore = Time::max();
   std::set<MachineId> machines;
   stopTasks(job, machines);
-  directAll(machines);
+  sendCommandsToAll(machines);
   wake(false);
 }
 
@@ -328,7 +328,7 @@
   std::set<MachineId> machines;
   stopTasks(job, machines);
   if (Job* left = state_.job(id)) cleanUp(*left);
-  directAll(machines);
+  sendCommandsToAll(machines);
   wake(true);
 }
 
--- a/src/scheduler/failure_attribution.cpp
+++ b/src/scheduler/failure_attribution.cpp
@@ -112,7 +112,7 @@
 
 void FailureAttribution::forget(const JobId& job) { jobs_.erase(job); }
 
-bool FailureAttribution::unsettled(const MachineId& machine, Time now) const {
+bool FailureAttribution::undecidedAbout(const MachineId& machine, Time now) const {
   auto failed = lastFailure_.find(machine);
   return failed != lastFailure_.end() && now - failed->second <= kSettlesWithin;
 }
--- a/src/scheduler/failure_attribution.h
+++ b/src/scheduler/failure_attribution.h
@@ -42,7 +42,7 @@
 
   // The machine has just failed a task and completed none since: whose fault that was may be known soon, and
   // by its present owner only.
-  bool unsettled(const MachineId& machine, Time now) const;
+  bool undecidedAbout(const MachineId& machine, Time now) const;
 
   void forget(const JobId& job);
   void forget(const MachineId& machine);
--- a/src/scheduler/gangs.cpp
+++ b/src/scheduler/gangs.cpp
@@ -55,7 +55,7 @@
   if (placeSome(job, all) == all) return true;
   fresh_.resize(before);
   for (std::uint32_t i = 0; i < job.tasks.size(); ++i)
-    if (Machine* h = job.tasks[i].machine) state_.gone(*h, TaskId{job.id, i}, runtime_.now());
+    if (Machine* h = job.tasks[i].machine) state_.markGone(*h, TaskId{job.id, i}, runtime_.now());
   std::sort(job.waiting.begin(), job.waiting.end());
   job.placedLast = placedLast;  // it waits on
   job.begun = begun;
@@ -71,7 +71,7 @@
 }
 
 // One decision stops all members: a save succeeds only if each is told soon after the first.
-void ShardScheduler::stopGang(Job& job, bool mayNotSave) {
+void ShardScheduler::stopGang(Job& job, bool skipCheckpoint) {
   std::vector<std::pair<MachineId, TaskId>> members;
   for (std::uint32_t i = 0; i < job.tasks.size(); ++i)
     if (const Machine* h = job.tasks[i].machine) members.emplace_back(h->id, TaskId{job.id, i});
@@ -80,11 +80,11 @@
     Machine* h = state_.machine(id);
     auto member = h->placements.find(task);
     if (member == h->placements.end() || !member->second.wanted) continue;
-    member->second.mayNotSave |= mayNotSave;
+    member->second.skipCheckpoint |= skipCheckpoint;
     stop(*h, task, member->second);
     on.insert(id);
   }
-  directAll(on);
+  sendCommandsToAll(on);
 }
 
 // Members complete together: once one is known to be done, so is what is known gone of the others.
--- a/src/scheduler/load_reports.cpp
+++ b/src/scheduler/load_reports.cpp
@@ -18,15 +18,15 @@
 std::string ShardScheduler::account() {
   std::size_t open = 0, waiting = 0;
   for (const auto& [_, j] : state_.jobs()) open += j.open(), waiting += j.waiting.size();
-  std::size_t booting = 0, silent = 0, doubtful = 0, emptying = 0, leaving = 0;  // why machines are not open
+  std::size_t booting = 0, silent = 0, suspected = 0, emptying = 0, leaving = 0;  // why machines are not open
   for (const auto& [_, h] : state_.machines()) {
     if (h.open()) continue;
     bool goes = h.leaving || h.reclaimAt || h.known.record.phase != wire::MachinePhase::InUse;
     (goes                                         ? leaving
      : h.emptying                                 ? emptying
      : !h.heard && h.known.record.address.empty() ? booting
-     : !h.heard || h.stale                        ? silent
-                                                  : doubtful) += 1;
+     : !h.heard || h.cordoned                     ? silent
+                                                  : suspected) += 1;
   }
   auto n = spans_.counts.starts - accounted_.starts, looked = spans_.counts.looked - accounted_.looked;
   accounted_ = spans_.counts;
@@ -37,7 +37,7 @@
       "{}, "
       "{} machines looked at, {} stopped for others; ms to placed {}; to committed {}; to shown {}",
       takeover_.shard.value, open, waiting, state_.machines().size(), state_.openMachines().size(), booting,
-      silent, doubtful, emptying, leaving, state_.pages().count(), n, std::exchange(spans_.rounds, 0),
+      silent, suspected, emptying, leaving, state_.pages().count(), n, std::exchange(spans_.rounds, 0),
       std::exchange(spans_.widest, 0), looked, std::exchange(spans_.evicted, 0), spans_.toPlaced.take(),
       spans_.toCommitted.take(), spans_.toShown.take());
 }
--- a/src/scheduler/machine_drain.cpp
+++ b/src/scheduler/machine_drain.cpp
@@ -27,7 +27,7 @@
       if (!h->placements.empty()) return;
       // A faulty machine is idle all the time, and must not go from shard to shard before it is known for
       // one.
-      if (w.kind == mesh::MachineDirective::Move && failures_.unsettled(h->id, runtime_.now())) return;
+      if (w.kind == mesh::MachineDirective::Move && failures_.undecidedAbout(h->id, runtime_.now())) return;
       h->leaving = true;
       h->giveTo = w.kind == mesh::MachineDirective::Move ? static_cast<std::int32_t>(w.toShard) : -1;
       state_.reindex(*h);
@@ -75,12 +75,12 @@
   log_->info("moving {} replicas off {}", move->size(), h.id.value);
   for (const auto& task : *move)
     if (auto it = h.placements.find(task); it != h.placements.end()) stop(h, task, it->second);
-  direct(h);
+  sendCommands(h);
 }
 
 // Nothing of ours can still act on it.
 bool ShardScheduler::mayLeave(const Machine& h) const {
-  return h.giveTo && h.placements.empty() && h.settled() && !h.directBusy;
+  return h.giveTo && h.placements.empty() && h.noCommandInDoubt() && !h.commandInFlight;
 }
 
 }  // namespace cherryloft
--- a/src/scheduler/preemption.cpp
+++ b/src/scheduler/preemption.cpp
@@ -113,13 +113,13 @@
     log_->debug("{} gives way on {} to {}", wire::encodeTask(task), h.id.value, job.id.value);
     const auto& spec = *victim->second.job->spec;
     room.of(h) += spec.each;
-    bool mayNotSave = !leavesTimeToSave(claimant, h, spec);
+    bool skipCheckpoint = !leavesTimeToSave(claimant, h, spec);
     ++spans_.evicted;
     if (victim->second.job->isGang()) {
-      stopGang(*victim->second.job, mayNotSave);
+      stopGang(*victim->second.job, skipCheckpoint);
       continue;
     }
-    victim->second.mayNotSave = mayNotSave;
+    victim->second.skipCheckpoint = skipCheckpoint;
     stop(h, task, victim->second);
   }
   room.of(h) -= job.spec->each;
@@ -169,7 +169,7 @@
     makeRoomFor(r, room, asked, changed);
   }
   if (asked >= kMostEvictionsAsked) makeRoomIn(kBetweenEvictions);
-  directAll(changed);
+  sendCommandsToAll(changed);
 }
 
 void ShardScheduler::makeRoomFor(const Ranked& blocked, RoomToCome& room, unsigned& asked,
--- a/src/scheduler/shard_scheduler.cpp
+++ b/src/scheduler/shard_scheduler.cpp
@@ -163,8 +163,8 @@
 Machine& ShardScheduler::admit(const MachineId& id, const MachineEntry& known) {
   auto now = runtime_.now();
   auto& h = state_.addMachine(id, known, findType(view_.catalog, known.record.type), now);
-  h.hint = WorkerSession{1};
-  h.base = tokenOf(std::max(known.record.token, takeover_.epoch));
+  h.expectedIncarnation = Incarnation{1};
+  h.lowestOwnToken = tokenOf(std::max(known.record.token, takeover_.epoch));
   // The former owner may have answered it until the end of its grace.
   h.aliveUntil = now + takeover_.formerAnswers + leaseAfterAnswer();
   return h;
@@ -209,13 +209,13 @@
     return;
   }
   if (!h) {
-    direct(admit(id, known->second));
+    sendCommands(admit(id, known->second));
     return;
   }
   if (h->known.version >= known->second.version) return;
   h->known = known->second;
-  auto base = tokenOf(std::max(h->known.record.token, takeover_.epoch));
-  if (base > h->base) h->base = base, h->raises = 0;
+  auto lowestOwnToken = tokenOf(std::max(h->known.record.token, takeover_.epoch));
+  if (lowestOwnToken > h->lowestOwnToken) h->lowestOwnToken = lowestOwnToken, h->tokenGeneration = 0;
   state_.reindex(*h);
 }
 
@@ -225,7 +225,7 @@
   bool held = !h->placements.empty();
   while (!h->placements.empty()) {
     auto task = h->placements.begin()->first;
-    lose(*h, task);
+    taskLost(*h, task);
   }
   drawAt_.erase(id);
   failures_.forget(id);
@@ -241,8 +241,8 @@
   // Its end is on its way or in doubt, or the shard is: a sibling may have seen it, and told the user, before
   // us.
   if (ownershipTransferSent_) return std::nullopt;
-  if (flight_ &&
-      std::any_of(flight_->ended.begin(), flight_->ended.end(), [&](const auto& e) { return e.first == id; }))
+  if (flight_ && std::any_of(flight_->endedJobs.begin(), flight_->endedJobs.end(),
+                             [&](const auto& e) { return e.first == id; }))
     return std::nullopt;
   if (flight_ && std::count(flight_->transferred.begin(), flight_->transferred.end(), id) > 0)
     return std::nullopt;
@@ -277,15 +277,15 @@
   auto now = runtime_.now();
   if (stoodStill(now)) return;
   for (auto& [id, h] : state_.machines()) {
-    watchSilence(h, now);
+    checkLiveness(h, now);
     if (!owns()) continue;
     if (h.size.cores <= 0)
       if (const auto* type = findType(view_.catalog, h.known.record.type)) state_.learnType(h, *type);
     settleEmptying(h);
-    if (h.attention) direct(h);
+    if (h.attention) sendCommands(h);
   }
   if (!owns()) return;
-  giveUpDoubtful(now);
+  returnSuspected(now);
   reviewFailures(now);
   reviewTransfers(now);
   reviewDelegations(now);
@@ -309,7 +309,7 @@
   if (still) {
     log_->info("share {}: stood still for {} ms", takeover_.shard.value, (now - ticked_).count());
     resumed_ = now;
-    for (auto& [_, h] : state_.machines()) h.askedInVain = 0;
+    for (auto& [_, h] : state_.machines()) h.unansweredProbes = 0;
   }
   ticked_ = now;
   return still;
--- a/src/scheduler/shard_scheduler.h
+++ b/src/scheduler/shard_scheduler.h
@@ -23,8 +23,8 @@
 class ShardScheduler {
  public:
   struct Callbacks {
-    std::function<void(const JobId&, JobStatus, Version)> ended;  // committed as done or aborted
-    std::function<void(const mesh::ShardLoad&)> load;             // to the leader
+    std::function<void(const JobId&, JobStatus, Version)> jobEnded;  // committed as done or aborted
+    std::function<void(const mesh::ShardLoad&)> load;                // to the leader
     std::function<void()> dropOwnership;  // our ownership or our shard state are in doubt
     // Through siblings; done is told a machine's report if one of them reaches it.
     std::function<void(const std::string& address, std::function<void(const std::string& body)> done)> probe;
@@ -36,11 +36,11 @@
     std::function<void(const mesh::PartialRoomWanted&)> wantPartialRoom;  // to the owners of all other shards
     std::function<void(const mesh::PartialRoomOffer&)> offerPartialRoom;  // to the owner that asked
   };
-  struct CheckInAnswer {
+  struct HeartbeatAnswer {
     int status = 503;
     std::string body;
   };
-  using CheckInDone = std::function<void(CheckInAnswer)>;
+  using HeartbeatDone = std::function<void(HeartbeatAnswer)>;
 
   ShardScheduler(const Settings& settings, Runtime& runtime, Log log, KeyValueStore& store,
                  const ClusterView& view, ShardTakeover takeover, LeaseValidity leaseValidity,
@@ -52,7 +52,7 @@
   void leaseValidity(const LeaseValidity& s);
   void jobChanged(const JobId& id);
   void machineChanged(const MachineId& id);
-  CheckInAnswer checkIn(const wire::Report& r);
+  HeartbeatAnswer handleHeartbeat(const wire::WorkerHeartbeat& r);
   void wish(const mesh::MachineDirective& w);
   void returnToPreferredOwner(const ControllerId& to);
   // Another shard's owner looks for room for its jobs, or offers room for ours (scheduler_transfers.cpp).
@@ -102,42 +102,43 @@
 
   // Machines.
   // False if the report is not newer than what is known, or is not proven to be of the present.
-  bool apply(Machine& h, const wire::Report& r, bool checkIn);
-  void proven(Machine& h, bool yes);
-  static void raiseToken(Machine& h);
-  static constexpr unsigned kAskedInVain = 2;  // questions without an answer that make a silent one doubtful
+  bool reconcile(Machine& h, const wire::WorkerHeartbeat& r, bool handleHeartbeat);
+  void noteTokenAcknowledged(Machine& h, bool yes);
+  static void advanceToken(Machine& h);
+  static constexpr unsigned kUnansweredProbesToSuspect =
+      2;  // questions without an answer that make a silent one suspected
   Duration reportDue() const;
-  Duration silence(const Machine& h) const;
-  bool late(const Machine& h) const;
-  void reborn(Machine& h, const wire::Report& r);
-  void newSession(Machine& h);
-  void lose(Machine& h, const TaskId& task);
-  void ended(Machine& h, const wire::ReportedTask& t);
-  void giveUpFaulty(const JobId& job);
+  Duration timeSinceHeartbeat(const Machine& h) const;
+  bool heartbeatOverdue(const Machine& h) const;
+  void handleWorkerRestart(Machine& h, const wire::WorkerHeartbeat& r);
+  void beginIncarnation(Machine& h);
+  void taskLost(Machine& h, const TaskId& task);
+  void taskEnded(Machine& h, const wire::ReportedTask& t);
+  void quarantineFaulty(const JobId& job);
   void reviewFailures(Time now);
-  void absent(Machine& h, const wire::Report& r, bool checkIn);
-  std::vector<wire::Order> orders(Machine& h, const wire::Report* checkIn);
-  static void addOrders(std::vector<wire::Order>& list, std::vector<wire::Order> more);
-  Duration mostSaving(const Job& job) const;
-  void strayOrders(Machine& h, std::vector<wire::Order>& out);
-  void direct(Machine& h);
-  void directAll(const std::set<MachineId>& machines);
+  void reconcileMissingTasks(Machine& h, const wire::WorkerHeartbeat& r, bool handleHeartbeat);
+  std::vector<wire::Command> commandsFor(Machine& h, const wire::WorkerHeartbeat* handleHeartbeat);
+  static void addCommands(std::vector<wire::Command>& list, std::vector<wire::Command> more);
+  Duration maxCheckpointTime(const Job& job) const;
+  void stopCommandsForUnknownTasks(Machine& h, std::vector<wire::Command>& out);
+  void sendCommands(Machine& h);
+  void sendCommandsToAll(const std::set<MachineId>& machines);
   // What a direct command went out with.
   struct Sent {
-    Token token;
-    WorkerSession session;
-    std::pair<WorkerSession, Serial> known;  // the latest that the machine had said
-    bool ask = false;                        // it carried no orders
+    FencingToken token;
+    Incarnation incarnation;
+    std::pair<Incarnation, SequenceNumber> known;  // the latest that the machine had said
+    bool ask = false;                              // it carried no commands
   };
-  void askThroughSiblings(Machine& h);
-  void directed(const MachineId& id, const Sent& sent, const HttpResult& r);
-  void noticed(Machine& h, const wire::Report& r);
+  void probeThroughPeers(Machine& h);
+  void handleDirectAnswer(const MachineId& id, const Sent& sent, const HttpResult& r);
+  void handleReclaimNotice(Machine& h, const wire::WorkerHeartbeat& r);
   Duration leaseAfterAnswer() const;
   void tick();
   bool stoodStill(Time now);
-  void watchSilence(Machine& h, Time now);
-  bool doubtful(const Machine& h, Time now) const;
-  void giveUpDoubtful(Time now);
+  void checkLiveness(Machine& h, Time now);
+  bool suspected(const Machine& h, Time now) const;
+  void returnSuspected(Time now);
   bool mayLeave(const Machine& h) const;
   void settleEmptying(Machine& h);
   std::optional<std::vector<TaskId>> movableReplicas(const Machine& h) const;
@@ -200,7 +201,7 @@
   bool placeGang(Job& job);
   bool placeWhole(Job& job);
   void gangBroken(Job& job);
-  void stopGang(Job& job, bool mayNotSave);
+  void stopGang(Job& job, bool skipCheckpoint);
   void settleDoneGang(Job& job);
   void restoreGang(Job& job);
   // Preemption.
@@ -343,7 +344,7 @@
     std::vector<PageNo> pages;
     std::vector<std::tuple<MachineId, TaskId, Attempt>> placed;
     std::vector<TaskId> done;
-    std::vector<std::pair<JobId, JobStatus>> ended;
+    std::vector<std::pair<JobId, JobStatus>> endedJobs;
     std::vector<JobId> transferred;
     std::vector<DelegationWrite> delegated;
     std::vector<DelegationReturn> returned;
@@ -356,11 +357,11 @@
   Time recordsNotBefore_{};
   MachineGroupSplits groupSplits_;
   Time addressSince_{};         // since when some address is not written
-  std::size_t asking_ = 0;      // questions to machines that carry no orders
+  std::size_t asking_ = 0;      // questions to machines that carry no commands
   std::size_t commanding_ = 0;  // direct commands under way, questions included
   // When so much was last silent that the fault is likely not the machines'.
-  std::optional<Time> manyInDoubt_;
-  std::map<Zone, Time> zoneInDoubt_;
+  std::optional<Time> manySuspectedAt_;
+  std::map<Zone, Time> zoneSuspectedAt_;
   Time ticked_{};
   Time resumed_{};  // the end of our own last standstill
 
--- a/src/scheduler/shard_state.cpp
+++ b/src/scheduler/shard_state.cpp
@@ -8,7 +8,7 @@
 std::vector<ImageId> ImageCache::touch(const ImageId& image, double gb) {
   recent_.remove_if([&](const auto& e) { return e.first == image; });
   recent_.emplace_front(image, gb);
-  std::vector<ImageId> gone;
+  std::vector<ImageId> markGone;
   double sum = 0;
   for (auto it = recent_.begin(); it != recent_.end();) {
     sum += it->second;
@@ -16,10 +16,10 @@
       ++it;
       continue;
     }
-    gone.push_back(it->first);
+    markGone.push_back(it->first);
     it = recent_.erase(it);
   }
-  return gone;
+  return markGone;
 }
 
 Resources Machine::leavingRoom() const {
@@ -179,7 +179,7 @@
 }
 
 void ShardState::cached(Machine& h, const ImageId& image, double gb) {
-  for (const auto& gone : h.images.touch(image, gb)) holders_[gone].erase(h.no);
+  for (const auto& markGone : h.images.touch(image, gb)) holders_[markGone].erase(h.no);
   holders_[image][h.no] = &h;
 }
 
@@ -228,7 +228,7 @@
   reindex(machine);
 }
 
-void ShardState::gone(Machine& machine, const TaskId& task, Time now) {
+void ShardState::markGone(Machine& machine, const TaskId& task, Time now) {
   auto it = machine.placements.find(task);
   if (it == machine.placements.end()) return;
   Job& job = *it->second.job;
--- a/src/scheduler/shard_state.h
+++ b/src/scheduler/shard_state.h
@@ -81,13 +81,13 @@
   Job* job = nullptr;
   Attempt attempt;
   bool committed = false;
-  bool wanted = true;       // false: it is to be stopped
-  bool mayNotSave = false;  // it is to be stopped at once, as others wait for its room
-  bool restored = false;    // read from the store: a former owner may have sent its start
-  bool sent = false;        // we sent its start
-  bool shown = false;       // a report of this session showed it
+  bool wanted = true;           // false: it is to be stopped
+  bool skipCheckpoint = false;  // it is to be stopped at once, as others wait for its room
+  bool restored = false;        // read from the store: a former owner may have sent its start
+  bool sent = false;            // we sent its start
+  bool shown = false;           // a report of this incarnation showed it
   wire::TaskPhase phase = wire::TaskPhase::Fetching;
-  Serial checkInStart;  // the last check-in whose answer carried its start
+  SequenceNumber startSentWith;  // the last heartbeat whose answer carried its start
   Time placedAt{};
   Time runningSince{};
   Time stopSent{};
@@ -118,22 +118,24 @@
   std::map<TaskId, Placement> placements;
   ImageCache images;
 
-  bool heard = false;  // a report with our token came (invariant 7)
-  bool stale = false;  // not heard of late: it gets no new work
-  WorkerSession session, expiredSession;
-  Serial serial;
+  bool heard = false;     // a report with our token came (invariant 7)
+  bool cordoned = false;  // not heard of late: it gets no new work
+  Incarnation incarnation, expiredIncarnation;
+  SequenceNumber sequence;
   Time lastHeard{};
-  Time aliveUntil{};  // beyond this its worker has ended its session (invariant 2)
-  Token base;         // the lowest token that is ours
-  std::uint64_t raises = 0;
-  Token seen;                      // highest token the worker reported
-  std::optional<Token> unsettled;  // direct commands up to this token may still arrive (invariant 3)
-  WorkerSession hint;              // the session that commands name while no report is trusted
-  bool directBusy = false, directAgain = false;
-  unsigned askedInVain = 0;  // direct commands in a row without an answer
-  Time directNotBefore{};
-  unsigned missedStarts = 0;  // check-ins in a row that lack what an answer to one before should have started
-  std::optional<Time> unprovenSince;  // reports come, but none that shows our token (invariant 11)
+  Time aliveUntil{};            // beyond this its worker has ended its incarnation (invariant 2)
+  FencingToken lowestOwnToken;  // the lowest token that is ours
+  std::uint64_t tokenGeneration = 0;
+  FencingToken highestTokenSeen;  // highest token the worker reported
+  std::optional<FencingToken>
+      commandInDoubt;               // direct commands up to this token may still arrive (invariant 3)
+  Incarnation expectedIncarnation;  // the incarnation that commands name while no report is trusted
+  bool commandInFlight = false, sendAgain = false;
+  unsigned unansweredProbes = 0;  // direct commands in a row without an answer
+  Time sendNotBefore{};
+  unsigned missedStarts =
+      0;  // heartbeats in a row that lack what an answer to one before should have started
+  std::optional<Time> tokenUnacknowledgedSince;  // reports come, but none that shows our token (invariant 11)
   std::vector<wire::ReportedTask> reported;
   std::optional<Time> reclaimAt;
 
@@ -143,22 +145,22 @@
   bool returnNow = false;              // to the cloud whatever is on it
   std::string address;                 // as it says itself
   Time idleSince{};
-  bool attention = true;  // has orders to be sent, or is to be asked
+  bool attention = true;  // has commands to be sent, or is to be asked
 
   // Where the index has it.
   std::optional<double> indexedFree;
   std::size_t openAt = 0;
 
-  Token token() const { return Token{base.value + raises}; }
-  bool settled() const { return !unsettled || seen > *unsettled; }
+  FencingToken token() const { return FencingToken{lowestOwnToken.value + tokenGeneration}; }
+  bool noCommandInDoubt() const { return !commandInDoubt || highestTokenSeen > *commandInDoubt; }
   bool spot() const { return known.record.spot; }
   const Zone& zone() const { return known.record.zone; }
   Resources free() const { return size - used; }
   double fetchS(const JobSpec& job) const { return fetchGbPerS > 0 ? job.imageGb / fetchGbPerS : 0; }
   // It takes new work.
   bool open() const {
-    return heard && !stale && !leaving && !emptying && !reclaimAt &&
-           known.record.phase == wire::MachinePhase::InUse && settled() && size.cores > 0;
+    return heard && !cordoned && !leaving && !emptying && !reclaimAt &&
+           known.record.phase == wire::MachinePhase::InUse && noCommandInDoubt() && size.cores > 0;
   }
   // Room that stopping tasks will leave.
   Resources leavingRoom() const;
@@ -219,7 +221,7 @@
 
   Placement& place(Job& job, std::uint32_t index, Machine& machine, Attempt attempt, Time now);
   // The task is known gone; it waits again unless its job is over.
-  void gone(Machine& machine, const TaskId& task, Time now);
+  void markGone(Machine& machine, const TaskId& task, Time now);
   void taskDone(Machine& machine, const TaskId& task, Time now);
   // A waiting task goes to another shard: it counts toward the team's limit and the zones' rules as if placed
   // there, until it is back.
--- a/src/scheduler/start_latencies.h
+++ b/src/scheduler/start_latencies.h
@@ -27,8 +27,8 @@
 // What decisions cost since the process began: the same every time in virtual time.
 struct Counts {
   std::size_t starts = 0;
-  std::size_t looked = 0;   // machines looked at
-  std::size_t givenUp = 0;  // machines given up as faulty
+  std::size_t looked = 0;       // machines looked at
+  std::size_t quarantined = 0;  // machines given up as faulty
 };
 
 // From a task's arrival to the round that placed it, to its commit, and to the report that showed it.
--- a/src/scheduler/task_failures.cpp
+++ b/src/scheduler/task_failures.cpp
@@ -11,7 +11,7 @@
 constexpr Duration kReviewFailuresEvery{1'000};
 }  // namespace
 
-void ShardScheduler::ended(Machine& h, const wire::ReportedTask& t) {
+void ShardScheduler::taskEnded(Machine& h, const wire::ReportedTask& t) {
   auto now = runtime_.now();
   Job& job = *h.placements.at(t.task).job;
   if (t.cause == ExitCause::Done) {
@@ -19,7 +19,7 @@
     state_.taskDone(h, t.task, now);
     leaving_.push_back({now, job.spec->each.cores, job.spec->lendable});
     failures_.completed(job.id, h.id, now);
-    giveUpFaulty(job.id);
+    quarantineFaulty(job.id);
     if (job.status == JobStatus::Open) {
       fresh_.push_back(t.task);
       settleDoneGang(job);
@@ -31,13 +31,13 @@
   const auto& placement = h.placements.at(t.task);
   bool ran = placement.shown && placement.phase == TaskPhase::Running;
   auto ranFor = ran ? now - placement.runningSince : Duration{};
-  state_.gone(h, t.task, now);
+  state_.markGone(h, t.task, now);
   log_->debug("{} on {} ended: {}", wire::encodeTask(t.task), h.id.value, static_cast<int>(t.cause));
   switch (t.cause) {
     case ExitCause::Error:
       if (auto wait = failures_.failed(t.task, h.id, ranFor, state_.machines().size(), now))
         job.notBefore = now + *wait;
-      giveUpFaulty(job.id);
+      quarantineFaulty(job.id);
       break;
     case ExitCause::NoRoom:
     case ExitCause::Busy:
@@ -56,7 +56,7 @@
 }
 
 // Machines whose failures of the job, beside its success elsewhere, show that the fault is theirs.
-void ShardScheduler::giveUpFaulty(const JobId& job) {
+void ShardScheduler::quarantineFaulty(const JobId& job) {
   for (const auto& id : failures_.faulty(job, runtime_.now())) {
     Machine* h = state_.machine(id);
     if (!h || h->leaving) continue;
@@ -64,7 +64,7 @@
     h->leaving = true;
     h->giveTo = -1;
     state_.reindex(*h);
-    ++spans_.counts.givenUp;
+    ++spans_.counts.quarantined;
   }
 }
 
@@ -81,9 +81,9 @@
       if (!h) continue;
       const auto& p = h->placements.at({id, i});
       bool runs = p.shown && p.phase == TaskPhase::Running && now - p.runningSince >= enough;
-      if (!runs || silence(*h) > reportDue()) continue;
+      if (!runs || timeSinceHeartbeat(*h) > reportDue()) continue;
       failures_.keptRunning(id, h->id, now);
-      giveUpFaulty(id);
+      quarantineFaulty(id);
       wake(true);
       break;
     }
--- a/src/wire/users.cpp
+++ b/src/wire/users.cpp
@@ -31,7 +31,9 @@
     if (!v) wrong(field);
     return v.value_or(false);
   }
-  bool absent(const char* field) const { return !o_.contains(field) || o_.at(field).is_null(); }
+  bool reconcileMissingTasks(const char* field) const {
+    return !o_.contains(field) || o_.at(field).is_null();
+  }
   void wrong(const char* field) {
     if (why_.empty()) why_ = std::string("field '") + field + "' is missing or invalid";
   }
@@ -85,7 +87,7 @@
   if (s.each.cores <= 0 && s.each.gpus <= 0) f.wrong("cores");
   s.image = ImageId{f.name("bundle")};
   s.imageGb = f.amount("image_gb", 0);
-  if (!f.absent("flavours")) {
+  if (!f.reconcileMissingTasks("flavours")) {
     if (!doc->at("flavours").is_array()) f.wrong("flavours");
     s.types.emplace();
     for (const auto& t : listAt(*doc, "flavours")) {
@@ -95,14 +97,14 @@
         f.wrong("flavours");
     }
   }
-  if (!f.absent("site")) s.zone = Zone{f.name("site")};
+  if (!f.reconcileMissingTasks("site")) s.zone = Zone{f.name("site")};
   s.oneZone = f.flag("one_zone");
   s.spread = f.flag("spread");
   s.lendable = f.flag("lendable");
   s.expectS = f.amount("expect_s", 0);
   s.snapshotEveryS = f.amount("snapshot_every_s", 0);
   s.snapshotS = f.amount("snapshot_s", 0);
-  if (!f.absent("due_s")) s.dueS = f.amount("due_s", 0);
+  if (!f.reconcileMissingTasks("due_s")) s.dueS = f.amount("due_s", 0);
   if (!f.why().empty()) return Malformed{f.why(), s.id};
   return s;
 }
--- a/src/wire/workers.cpp
+++ b/src/wire/workers.cpp
@@ -36,19 +36,19 @@
   return t;
 }
 
-Json ordersJson(const std::vector<Order>& orders) {
+Json commandsJson(const std::vector<Command>& commands) {
   Json list = Json::array();
-  for (const auto& o : orders) {
+  for (const auto& o : commands) {
     Json j{{"piece", encodeTask(o.task)}, {"try", o.attempt.value}};
     switch (o.verb) {
-      case Order::Verb::Start:
+      case Command::Verb::Start:
         j["verb"] = "start";
         break;
-      case Order::Verb::Stop:
+      case Command::Verb::Stop:
         j["verb"] = "kill";
         j["grace_s"] = o.graceS;
         break;
-      case Order::Verb::Forget:
+      case Command::Verb::Forget:
         j["verb"] = "forget";
         break;
     }
@@ -71,24 +71,24 @@
   return t;
 }
 
-std::optional<Report> parseReport(const std::string& body) {
+std::optional<WorkerHeartbeat> parseHeartbeat(const std::string& body) {
   auto doc = parse(body);
   if (!doc) return std::nullopt;
   auto machine = textAt(*doc, "host");
-  auto session = countAt(*doc, "tenure");
-  auto serial = countAt(*doc, "serial");
+  auto incarnation = countAt(*doc, "tenure");
+  auto sequence = countAt(*doc, "serial");
   auto token = countAt(*doc, "epoch");
-  if (!machine || machine->empty() || !session || !serial || !token) return std::nullopt;
-  Report r{MachineId{*machine},
-           textAt(*doc, "addr").value_or(""),
-           textAt(*doc, "flavour").value_or(""),
-           Zone{textAt(*doc, "site").value_or("")},
-           flagAt(*doc, "lendable").value_or(false),
-           WorkerSession{*session},
-           Serial{*serial},
-           Token{*token},
-           numberAt(*doc, "reclaim_in_s"),
-           {}};
+  if (!machine || machine->empty() || !incarnation || !sequence || !token) return std::nullopt;
+  WorkerHeartbeat r{MachineId{*machine},
+                    textAt(*doc, "addr").value_or(""),
+                    textAt(*doc, "flavour").value_or(""),
+                    Zone{textAt(*doc, "site").value_or("")},
+                    flagAt(*doc, "lendable").value_or(false),
+                    Incarnation{*incarnation},
+                    SequenceNumber{*sequence},
+                    FencingToken{*token},
+                    numberAt(*doc, "reclaim_in_s"),
+                    {}};
   for (const auto& e : listAt(*doc, "pieces")) {
     auto t = parseReported(e);
     // A list that cannot be read in full proves nothing about what is absent from it.
@@ -98,12 +98,14 @@
   return r;
 }
 
-std::string encodeOrders(Token token, const std::vector<Order>& orders) {
-  return dump(Json{{"epoch", token.value}, {"orders", ordersJson(orders)}});
+std::string encodeHeartbeatAnswer(FencingToken token, const std::vector<Command>& commands) {
+  return dump(Json{{"epoch", token.value}, {"orders", commandsJson(commands)}});
 }
 
-std::string encodeCommands(Token token, WorkerSession session, const std::vector<Order>& orders) {
-  return dump(Json{{"epoch", token.value}, {"tenure", session.value}, {"orders", ordersJson(orders)}});
+std::string encodeCommands(FencingToken token, Incarnation incarnation,
+                           const std::vector<Command>& commands) {
+  return dump(
+      Json{{"epoch", token.value}, {"tenure", incarnation.value}, {"orders", commandsJson(commands)}});
 }
 
 std::string encodeOwner(const ControllerId& owner) { return dump(Json{{"steward", owner.value}}); }
--- a/src/wire/workers.h
+++ b/src/wire/workers.h
@@ -1,4 +1,4 @@
-// The workers' side of the protocol: reports and orders.
+// The workers' side of the protocol: reports and commands.
 #pragma once
 
 #include <optional>
@@ -21,22 +21,22 @@
   friend bool operator==(const ReportedTask&, const ReportedTask&) = default;
 };
 
-struct Report {
+struct WorkerHeartbeat {
   MachineId machine;
   std::string address;
   std::string type;
   Zone zone;
   bool spot = false;
-  WorkerSession session;
-  Serial serial;
-  Token token;
+  Incarnation incarnation;
+  SequenceNumber sequence;
+  FencingToken token;
   std::optional<double> reclaimInS;
   std::vector<ReportedTask> tasks;
 };
 
-std::optional<Report> parseReport(const std::string& body);
+std::optional<WorkerHeartbeat> parseHeartbeat(const std::string& body);
 
-struct Order {
+struct Command {
   enum class Verb : std::uint8_t { Start, Stop, Forget };
   Verb verb = Verb::Start;
   TaskId task;
@@ -44,9 +44,9 @@
   double graceS = 0;
 };
 
-// The answer to a check-in, and the body of direct commands.
-std::string encodeOrders(Token token, const std::vector<Order>& orders);
-std::string encodeCommands(Token token, WorkerSession session, const std::vector<Order>& orders);
+// The answer to a heartbeat, and the body of direct commands.
+std::string encodeHeartbeatAnswer(FencingToken token, const std::vector<Command>& commands);
+std::string encodeCommands(FencingToken token, Incarnation incarnation, const std::vector<Command>& commands);
 std::string encodeOwner(const ControllerId& owner);
 
 std::string encodeTask(const TaskId& t);
--- a/tests/unit/failure_attribution_test.cpp
+++ b/tests/unit/failure_attribution_test.cpp
@@ -115,12 +115,12 @@
 // Guards against a faulty machine, which is idle most of the time, being moved to a shard that does not know
 // it.
 TEST_F(Failures, AMachineThatHasJustFailedIsUnsettled) {
-  EXPECT_FALSE(history_.unsettled(machine(1), now_));
+  EXPECT_FALSE(history_.undecidedAbout(machine(1), now_));
   fail("a", 1);
-  EXPECT_TRUE(history_.unsettled(machine(1), now_));
-  EXPECT_FALSE(history_.unsettled(machine(1), now_ + Duration{16'000}));
+  EXPECT_TRUE(history_.undecidedAbout(machine(1), now_));
+  EXPECT_FALSE(history_.undecidedAbout(machine(1), now_ + Duration{16'000}));
   complete("b", 1);
-  EXPECT_FALSE(history_.unsettled(machine(1), now_));
+  EXPECT_FALSE(history_.undecidedAbout(machine(1), now_));
 }
 
 TEST_F(Failures, AJobKeepsOffAMachineThatFailedItForAWhile) {
--- a/tests/unit/keep_alive_proxy_test.cpp
+++ b/tests/unit/keep_alive_proxy_test.cpp
@@ -22,14 +22,14 @@
       seen{40};  // the owner's latest cancellation; what the keep-alive proxy knows of all jobs
 
   static Time ownersTime(std::int64_t s) { return at(s + 3600); }
-  mesh::Heartbeat fromDeputy(std::int64_t s, bool hears) {
-    mesh::Heartbeat p;
+  mesh::PeerHeartbeat fromDeputy(std::int64_t s, bool hears) {
+    mesh::PeerHeartbeat p;
     p.life = deputyLife;
     proxy.fill(p, hears, at(s));
     return p;
   }
-  mesh::Heartbeat fromOwner(std::int64_t s, Duration ownsFor = kTtl) {
-    mesh::Heartbeat p;
+  mesh::PeerHeartbeat fromOwner(std::int64_t s, Duration ownsFor = kTtl) {
+    mesh::PeerHeartbeat p;
     p.life = 9;
     p.ownsForMs = ownsFor.count();
     p.owns = {{kShare.value, kEpoch.value, cancelled.value}};
--- a/tests/unit/loopback_test.cpp
+++ b/tests/unit/loopback_test.cpp
@@ -141,7 +141,7 @@
   constexpr int kSteps = 20;
   int steps = 0, under = 0;
   std::function<void()> step;
-  auto report = [&](int worker) {
+  auto heartbeat = [&](int worker) {
     auto& own = workers[static_cast<std::size_t>(worker)];
     own.call(at, {"POST", "/checkin", "{}", false}, Duration{5000}, [&](HttpResult r) {
       (r.answered(200) ? answered : lost) += 1;
@@ -154,7 +154,7 @@
   step = [&] {
     int first = steps++ % kSteps;
     for (int w = first; w < kWorkers; w += kSteps) ++under;
-    for (int w = first; w < kWorkers; w += kSteps) report(w);
+    for (int w = first; w < kWorkers; w += kSteps) heartbeat(w);
   };
   loop.after(Duration{0}, [&] { step(); });
   loop.after(Duration{150}, [&] {
--- a/tests/unit/policy_test.cpp
+++ b/tests/unit/policy_test.cpp
@@ -34,7 +34,7 @@
   EXPECT_EQ(std::set<std::size_t>(s.begin(), s.end()).size(), 64U);
 }
 
-TEST(Order, OverdueThenRankThenGuaranteeThenTurnsThenSlackThenAge) {
+TEST(Command, OverdueThenRankThenGuaranteeThenTurnsThenSlackThenAge) {
   Candidate base{false, Rank::Normal, false, true, 0, std::nullopt, 100, 10};
   auto with = [&](auto f) {
     auto c = base;
--- a/tests/unit/recorded_examples_test.cpp
+++ b/tests/unit/recorded_examples_test.cpp
@@ -112,13 +112,13 @@
 }
 
 TEST(Recorded, FramesOfControllersThatAnswerEachOther) {
-  mesh::Heartbeat heartbeat{5, true, 2900, {{1, 12, 412}}, 7, 100, 90, true, -1};
+  mesh::PeerHeartbeat heartbeat{5, true, 2900, {{1, 12, 412}}, 7, 100, 90, true, -1};
   EXPECT_EQ(frameOf(heartbeat),
             "010100000002000000000000000500000001540b0000000000000100000000000000010000000c000000000000009c01"
             "000000000000070000000000000064000000000000005a0000000000000001ffffffffffffffff");
   EXPECT_EQ(frameOf(mesh::JobAsk{3, true, "wk-000412"}),
             "010100000002000000010000000300000000000000010900000000000000776b2d303030343132");
-  EXPECT_EQ(frameOf(mesh::CheckInAsk{3, "{}"}),
+  EXPECT_EQ(frameOf(mesh::RelayedHeartbeat{3, "{}"}),
             "01010000000200000002000000030000000000000002000000000000007b7d");
   EXPECT_EQ(frameOf(mesh::ProbeAsk{3, "10.1.0.232:9000"}),
             "0101000000020000000300000003000000000000000f0000000000000031302e312e302e3233323a39303030");
--- a/tests/unit/wire_test.cpp
+++ b/tests/unit/wire_test.cpp
@@ -186,14 +186,14 @@
 }
 
 TEST(Workers, ReportsThatCannotBeReadInFullAreNone) {
-  EXPECT_FALSE(parseReport("{}"));
+  EXPECT_FALSE(parseHeartbeat("{}"));
   std::string head = R"({"host":"h","tenure":1,"serial":2,"epoch":3,"pieces":[)";
-  auto r = parseReport(head + R"({"piece":"wk-1/3","try":2,"status":"ended","exit_cause":"done"}]})");
+  auto r = parseHeartbeat(head + R"({"piece":"wk-1/3","try":2,"status":"ended","exit_cause":"done"}]})");
   ASSERT_TRUE(r);
   EXPECT_EQ(r->tasks[0].task.index, 3U);
   EXPECT_EQ(r->tasks[0].cause, ExitCause::Done);
-  EXPECT_FALSE(parseReport(head + R"({"piece":"wk-1","try":2,"status":"running"}]})"));
-  EXPECT_FALSE(parseReport(head + R"({"piece":"wk-1/1","try":2,"status":"dancing"}]})"));
+  EXPECT_FALSE(parseHeartbeat(head + R"({"piece":"wk-1","try":2,"status":"running"}]})"));
+  EXPECT_FALSE(parseHeartbeat(head + R"({"piece":"wk-1/1","try":2,"status":"dancing"}]})"));
 }
 
 TEST(Mesh, FramesComeBackAndRubbishDoesNot) {
--- a/tests/world/cloud.h
+++ b/tests/world/cloud.h
@@ -63,9 +63,9 @@
   void awake(std::function<void()> f);
   void schedule(Ms d);
   void report();
-  void answered(Ms sentAt, std::uint64_t session, const HttpResult& r, Ms givenAt);
+  void answered(Ms sentAt, std::uint64_t incarnation, const HttpResult& r, Ms givenAt);
   void handle(HttpRequest r, Reply reply, Ms givenAt);
-  void execute(const Json& orders, Ms givenAt);
+  void execute(const Json& commands, Ms givenAt);
   void start(const Key& k, std::uint64_t attempt, Ms givenAt);
   void fetched(const Key& k, std::uint64_t run);
   void kill(const Key& k, double graceS);
--- a/tests/world/gang_board.cpp
+++ b/tests/world/gang_board.cpp
@@ -52,7 +52,7 @@
   auto& gang = it->second;
   bool hangs = std::any_of(gang.members.begin(), gang.members.end(),
                            [](const auto& m) { return m.second.worker->hangs(); });
-  if (hangs) return lose(name);
+  if (hangs) return taskLost(name);
   if (gang.firstToldAt < 0 && progress(gang) >= gang.nature->run) return finish(name);
   clock_.after(kReviewEvery, [this, name] { review(name); });
 }
@@ -70,7 +70,7 @@
   if (every > 0) kept = std::max(kept, progress(gang) / every * every);
 }
 
-void GangBoard::lose(const Name& name) {
+void GangBoard::taskLost(const Name& name) {
   auto& gang = gangs_.at(name);
   gang.over = true;
   fallBack(name);
@@ -88,7 +88,7 @@
   gang.members.erase(member);
   if (gang.startedAt < 0 || gang.over) return;
   if (gang.firstToldAt >= 0) ++counts_.lostSaves;
-  lose(it->first);
+  taskLost(it->first);
 }
 
 void GangBoard::told(const std::string& job, std::uint32_t index, std::uint64_t attempt) {
@@ -112,7 +112,7 @@
       std::all_of(gang.members.begin(), gang.members.end(), [](const auto& m) { return m.second.told; });
   if (!all) {
     ++counts_.lostSaves;
-    return lose(name);
+    return taskLost(name);
   }
   ++counts_.saves;
   kept_[name.first] = progress(gang);
--- a/tests/world/gang_board.h
+++ b/tests/world/gang_board.h
@@ -49,7 +49,7 @@
   void start(const Name& name);
   void review(const Name& name);
   void finish(const Name& name);
-  void lose(const Name& name);
+  void taskLost(const Name& name);
   void settleStop(const Name& name);
   void endAll(const Name& name, const std::string& cause);
   Ms progress(const Gang& gang) const;
--- a/tests/world/scenario_expectations.cpp
+++ b/tests/world/scenario_expectations.cpp
@@ -144,7 +144,7 @@
       {"answers-lost", [](const World& w) { return static_cast<double>(w.store.answersLost()); }},
       {"old-reports", [](const World& w) { return static_cast<double>(w.oldReports()); }},
       {"outdated-commands", [](const World& w) -> double { return w.checker.commandsOutdated(); }},
-      {"given-up", [](const World& w) { return sumOfCounts(w, &cherryloft::Counts::givenUp); }},
+      {"given-up", [](const World& w) { return sumOfCounts(w, &cherryloft::Counts::quarantined); }},
       {"looked-per-start",
        [](const World& w) { return perStart(w, sumOfCounts(w, &cherryloft::Counts::looked)); }},
       {"writes-per-start",
--- a/tests/world/worker.cpp
+++ b/tests/world/worker.cpp
@@ -86,16 +86,16 @@
   HttpRequest r{"POST", "/checkin", body().dump(), false};
   net_.call(
       machine_.id, "node" + std::to_string(target_), std::move(r), 4000,
-      [this, sent = clock_.now(), session = session_, alive = std::weak_ptr<bool>(alive_)](HttpResult h) {
+      [this, sent = clock_.now(), incarnation = session_, alive = std::weak_ptr<bool>(alive_)](HttpResult h) {
         if (!alive.lock()) return;
-        awake([this, sent, session, h, given = net_.sentAt()] {
+        awake([this, sent, incarnation, h, given = net_.sentAt()] {
           reporting_ = false;
-          answered(sent, session, h, given);
+          answered(sent, incarnation, h, given);
         });
       });
 }
 
-void Worker::answered(Ms sentAt, std::uint64_t session, const HttpResult& r, Ms givenAt) {
+void Worker::answered(Ms sentAt, std::uint64_t incarnation, const HttpResult& r, Ms givenAt) {
   auto next = [this] {
     checker_.reportLost();
     target_ = (target_ + 1) % controllers_;
@@ -116,7 +116,7 @@
   auto doc = Json::parse(r.response.body);
   schedule(static_cast<Ms>(settings_.reportS * 1000 * clock_.uniform(0.75, 1.25)));
   auto token = doc.value("epoch", std::uint64_t{0});
-  if (session != session_ || token < token_) return;  // dropped: renews nothing
+  if (incarnation != session_ || token < token_) return;  // dropped: renews nothing
   bool higher = token > token_;
   token_ = token;
   leaseFrom_ = sentAt;
@@ -140,8 +140,8 @@
   if (higher) changed();
 }
 
-void Worker::execute(const Json& orders, Ms givenAt) {
-  for (const auto& o : orders) {
+void Worker::execute(const Json& commands, Ms givenAt) {
+  for (const auto& o : commands) {
     auto name = o["piece"].get<std::string>();
     auto slash = name.rfind('/');
     Key k{name.substr(0, slash), static_cast<std::uint32_t>(std::stoul(name.substr(slash + 1)))};
