--- a/apps/cherryloft/main.cpp
+++ b/apps/cherryloft/main.cpp
@@ -33,7 +33,7 @@
       ->envname("CHERRYLOFT_MOVE_EVERY_S")
       ->check(CLI::Range(1.0, 3600.0))
       ->capture_default_str();
-  app.add_option("--sample", tuning.sample, "machines peeked at for a placement (K)")
+  app.add_option("--sample", tuning.sampleSize, "machines peeked at for a placement (K)")
       ->envname("CHERRYLOFT_SAMPLE")
       ->check(CLI::Range(1, 100000))
       ->capture_default_str();
--- a/src/autoscaler/autoscaler.h
+++ b/src/autoscaler/autoscaler.h
@@ -14,15 +14,15 @@
 
 namespace cherryloft {
 
-class Fleet {
+class Autoscaler {
  public:
   struct Callbacks {
-    std::function<void(const mesh::MachineDirective&)> wish;  // to the owner of the shard
+    std::function<void(const mesh::MachineDirective&)> sendDirective;  // to the owner of the shard
     // Whether our lease is good this very moment: leadership was judged by a clock read before.
-    std::function<bool()> entitled;
+    std::function<bool()> mayAct;
   };
-  Fleet(const Settings& settings, Runtime& runtime, Log log, KeyValueStore& store, const ClusterView& view,
-        std::uint64_t seed, Callbacks out);
+  Autoscaler(const Settings& settings, Runtime& runtime, Log log, KeyValueStore& store,
+             const ClusterView& view, std::uint64_t seed, Callbacks out);
   void start();
   void leading(bool yes);
   void load(const mesh::ShardLoad& l);
@@ -37,19 +37,19 @@
 
   void tick();
   void plan();
-  void planShard(ShardId k, const policy::ShardFleet& f, const policy::Targets& t, double spareSpot);
-  void cede(const std::map<ShardId, policy::ShardFleet>& fleets);
+  void planShard(ShardId k, const policy::ShardFleet& f, const policy::CapacityTargets& t, double spareSpot);
+  void moveAfterDrain(const std::map<ShardId, policy::ShardFleet>& fleets);
   void rentInTurn(const std::map<ShardId, policy::ShardFleet>& fleets,
-                  const std::map<ShardId, policy::Targets>& targets);
+                  const std::map<ShardId, policy::CapacityTargets>& targets);
   static std::vector<ShardId> byPressure(const std::map<ShardId, policy::ShardFleet>& fleets,
-                                         const std::map<ShardId, policy::Targets>& targets);
-  void emptySome(ShardId k, const policy::ShardFleet& f, const policy::Targets& t);
+                                         const std::map<ShardId, policy::CapacityTargets>& targets);
+  void drainSome(ShardId k, const policy::ShardFleet& f, const policy::CapacityTargets& t);
   double comingTo(ShardId to);
   void move(const std::map<ShardId, policy::ShardFleet>& fleets,
-            const std::map<ShardId, policy::Targets>& targets, bool beat);
-  void startRental(ShardId k, const policy::Wish& wish);
+            const std::map<ShardId, policy::CapacityTargets>& targets, bool beat);
+  void startRental(ShardId k, const policy::ScaleOutRequest& directive);
   policy::ShardFleet fleetOf(ShardId k) const;
-  std::set<policy::Offer> unavailable() const { return rentals_.refused(); }
+  std::set<policy::InstanceOffering> unavailable() const { return scaleOut_.refused(); }
   ShardGaps shardGaps() const;
 
   const Settings& settings_;
@@ -58,15 +58,15 @@
   const ClusterView& view_;
   Callbacks callbacks_;
   Leadership leadership_;
-  FleetContext context_;
+  AutoscalerContext context_;
   CallBudget calls_;
   CloudCatalog catalog_;
   const Catalog& prices_;
   MachineRecords records_;
-  MachineReturns returns_;
-  Rentals rentals_;
+  ScaleIn scaleIn_;
+  ScaleOut scaleOut_;
   MachineAdoption adoption_;
-  MachineList list_;
+  MachineInventory inventory_;
   std::map<ShardId, ReportedLoad> loads_;
   Time moveAt_{};
   struct Moving {
@@ -75,7 +75,7 @@
     double cores;
   };
   std::map<MachineId, Moving> moving_;
-  std::map<ShardId, Time> cededAt_;
+  std::map<ShardId, Time> moveAfterDrainAt_;
   std::map<MachineId, Time> asked_;  // machines whose owner was told to give them up
 };
 
--- a/src/autoscaler/autoscaler_context.h
+++ b/src/autoscaler/autoscaler_context.h
@@ -57,7 +57,7 @@
 inline constexpr Duration kSettle{5'000};  // a new leader looks before it acts
 
 // Everything in it outlives the parts.
-struct FleetContext {
+struct AutoscalerContext {
   const Settings& settings;
   Runtime& runtime;
   Log log;
--- a/src/autoscaler/cloud_catalog.h
+++ b/src/autoscaler/cloud_catalog.h
@@ -8,7 +8,7 @@
 
 class CloudCatalog {
  public:
-  explicit CloudCatalog(const FleetContext& context) : context_(context) {}
+  explicit CloudCatalog(const AutoscalerContext& context) : context_(context) {}
   // The cloud's own, with current spot prices; until it answers, what was kept of it.
   const Catalog& prices() const { return prices_; }
   // Takes what was kept if nothing is known yet.
@@ -21,7 +21,7 @@
   void fetched(const HttpResult& result);
   void keep(const Catalog& fresh);
 
-  const FleetContext& context_;
+  const AutoscalerContext& context_;
   Catalog prices_;
   Time refreshedAt_{};
   bool fetching_ = false;
--- a/src/autoscaler/machine_adoption.cpp
+++ b/src/autoscaler/machine_adoption.cpp
@@ -28,12 +28,12 @@
   return std::min_element(gaps.begin(), gaps.end(), needier)->first;
 }
 
-MachineAdoption::MachineAdoption(const FleetContext& context, const CloudCatalog& catalog,
-                                 MachineRecords& records, const MachineReturns& returns, FindGaps findGaps)
+MachineAdoption::MachineAdoption(const AutoscalerContext& context, const CloudCatalog& catalog,
+                                 MachineRecords& records, const ScaleIn& returns, FindGaps findGaps)
     : context_(context),
       catalog_(catalog),
       records_(records),
-      returns_(returns),
+      scaleIn_(returns),
       findGaps_(std::move(findGaps)) {}
 
 void MachineAdoption::restart() {
@@ -48,7 +48,7 @@
 }
 
 bool MachineAdoption::unknown(const MachineId& id) const {
-  return context_.clusterView.machines.count(id) == 0 && !returns_.returned(id);
+  return context_.clusterView.machines.count(id) == 0 && !scaleIn_.returned(id);
 }
 
 // Its report may be a late copy, and the machine gone: it is asked.
--- a/src/autoscaler/machine_adoption.h
+++ b/src/autoscaler/machine_adoption.h
@@ -26,8 +26,8 @@
   // Tells what each shard lacks now.
   using FindGaps = std::function<ShardGaps()>;
 
-  MachineAdoption(const FleetContext& context, const CloudCatalog& catalog, MachineRecords& records,
-                  const MachineReturns& returns, FindGaps findGaps);
+  MachineAdoption(const AutoscalerContext& context, const CloudCatalog& catalog, MachineRecords& records,
+                  const ScaleIn& returns, FindGaps findGaps);
   // A new leadership begins.
   void restart();
   // A machine without a record is surely there. Those that turn up together are dealt out together.
@@ -42,10 +42,10 @@
   void asked(const MachineId& id, const HttpResult& result);
   std::vector<MachineId> smallestFirst() const;
 
-  const FleetContext& context_;
+  const AutoscalerContext& context_;
   const CloudCatalog& catalog_;
   MachineRecords& records_;
-  const MachineReturns& returns_;
+  const ScaleIn& scaleIn_;
   FindGaps findGaps_;
   std::map<MachineId, wire::MachineRecord> waiting_;
   Time dealAt_{};
--- a/src/autoscaler/machine_inventory.cpp
+++ b/src/autoscaler/machine_inventory.cpp
@@ -14,12 +14,12 @@
 
 }  // namespace
 
-void MachineList::refresh(CallBudget& calls) {
+void MachineInventory::refresh(CallBudget& calls) {
   bool due = askedAt_ == Time{} || context_.runtime.now() - askedAt_ >= kRefreshEvery;
   if (!fetching_ && due && calls.tryTake()) fetchFrom("", std::make_shared<Machines>());
 }
 
-void MachineList::fetchFrom(const std::string& since, const std::shared_ptr<Machines>& machines) {
+void MachineInventory::fetchFrom(const std::string& since, const std::shared_ptr<Machines>& machines) {
   fetching_ = true;
   askedAt_ = context_.runtime.now();
   std::string path = "/hosts?limit=500";
@@ -38,7 +38,7 @@
   });
 }
 
-void MachineList::fetched(const Machines& machines) {
+void MachineInventory::fetched(const Machines& machines) {
   listedAt_ = askedAt_;
   for (const auto& machine : machines) {
     seen_.try_emplace(machine.id, Seen{askedAt_, askedAt_}).first->second.last = askedAt_;
@@ -50,25 +50,25 @@
 }
 
 // Rented by a leader that did not live to note it, or there from the start.
-void MachineList::reviewUnrecorded(const wire::ListedMachine& machine) {
+void MachineInventory::reviewUnrecorded(const wire::ListedMachine& machine) {
   bool settled = context_.runtime.now() - context_.leadership.since >= kSettle;
-  if (machine.state == wire::ListedMachine::State::Failed || returns_.returned(machine.id) || !settled)
+  if (machine.state == wire::ListedMachine::State::Failed || scaleIn_.returned(machine.id) || !settled)
     return;
   adoption_.adopt(machine.id, {ShardId{}, Epoch{}, wire::MachinePhase::InUse, machine.type, machine.zone,
                                machine.spot, machine.address, context_.runtime.wall()});
 }
 
-void MachineList::reviewRecorded(const wire::ListedMachine& machine) {
+void MachineInventory::reviewRecorded(const wire::ListedMachine& machine) {
   const auto& record = context_.clusterView.machines.at(machine.id).record;
   if (record.phase == wire::MachinePhase::Returning) return;
-  if (machine.state == wire::ListedMachine::State::Failed) returns_.request(machine.id, "failed");
+  if (machine.state == wire::ListedMachine::State::Failed) scaleIn_.request(machine.id, "failed");
   const auto* type = findType(catalog_.prices(), machine.type);
   bool starting = machine.state == wire::ListedMachine::State::Starting;
   if (starting && type && machine.heldS > kNeverUp * type->bootS + kNeverUpPlusS)
-    returns_.request(machine.id, "never came up");
+    scaleIn_.request(machine.id, "never came up");
 }
 
-void MachineList::reviewRecords() {
+void MachineInventory::reviewRecords() {
   reviewNoLongerListed();
   if (listedAt_ >= context_.leadership.since) reviewNeverListed();
 }
@@ -76,7 +76,7 @@
 // Records of machines that the list once named and now lacks. A list is at most twice the lag old, and a
 // machine once listed stays listed until it is gone: one that was listed for longer than that is gone for
 // sure, and of the others one waits until no list can be older than the first that named it.
-void MachineList::reviewNoLongerListed() {
+void MachineInventory::reviewNoLongerListed() {
   auto now = context_.runtime.now();
   double lagS = context_.settings.listLagS;
   const auto& machines = context_.clusterView.machines;
@@ -89,20 +89,20 @@
     }
     bool gone = seen.last < listedAt_ && listedAt_ - seen.first > seconds(2 * lagS + 2);
     if (known != machines.end() && gone && known->second.record.phase != wire::MachinePhase::Returning)
-      returns_.request(id, "not listed any more");
+      scaleIn_.request(id, "not listed any more");
     ++it;
   }
 }
 
 // Records of machines that were gone before any list named them.
-void MachineList::reviewNeverListed() {
+void MachineInventory::reviewNeverListed() {
   auto listAgeS = inSeconds(context_.runtime.now() - listedAt_);
   for (const auto& [id, machine] : context_.clusterView.machines) {
     if (machine.record.phase != wire::MachinePhase::InUse || seen_.count(id) > 0) continue;
     auto ageMs = context_.runtime.wall().value - machine.record.since.value;
     double ageAtListS = static_cast<double>(ageMs) / kMsPerSecond - listAgeS;
     if (ageAtListS > 4 * context_.settings.listLagS + kNeverListedPlusS)
-      returns_.request(id, "was never listed");
+      scaleIn_.request(id, "was never listed");
   }
 }
 
--- a/src/autoscaler/machine_inventory.h
+++ b/src/autoscaler/machine_inventory.h
@@ -10,11 +10,11 @@
 
 namespace cherryloft {
 
-class MachineList {
+class MachineInventory {
  public:
-  MachineList(const FleetContext& context, const CloudCatalog& catalog, MachineAdoption& adoption,
-              MachineReturns& returns)
-      : context_(context), catalog_(catalog), adoption_(adoption), returns_(returns) {}
+  MachineInventory(const AutoscalerContext& context, const CloudCatalog& catalog, MachineAdoption& adoption,
+                   ScaleIn& returns)
+      : context_(context), catalog_(catalog), adoption_(adoption), scaleIn_(returns) {}
   // A new leadership begins.
   void restart() { seen_.clear(); }
   // Asks for the list if it is time to and the budget has a call left.
@@ -34,10 +34,10 @@
   void reviewNoLongerListed();
   void reviewNeverListed();
 
-  const FleetContext& context_;
+  const AutoscalerContext& context_;
   const CloudCatalog& catalog_;
   MachineAdoption& adoption_;
-  MachineReturns& returns_;
+  ScaleIn& scaleIn_;
   Time askedAt_{};
   Time listedAt_{};  // when the last list that came was asked for
   bool fetching_ = false;
--- a/src/autoscaler/machine_records.h
+++ b/src/autoscaler/machine_records.h
@@ -15,7 +15,7 @@
   // Whether a machine was returned already, and must not be recorded again.
   using WasReturned = std::function<bool(const MachineId&)>;
 
-  MachineRecords(const FleetContext& context, WasReturned wasReturned)
+  MachineRecords(const AutoscalerContext& context, WasReturned wasReturned)
       : context_(context), wasReturned_(std::move(wasReturned)) {}
   // A new leadership begins: forgets what was on its way and looks at what there is.
   void restart();
@@ -35,7 +35,7 @@
   void send(const wire::Transaction& transaction);
   void sent(const wire::Transaction& transaction, const TxnResult& result);
 
-  const FleetContext& context_;
+  const AutoscalerContext& context_;
   WasReturned wasReturned_;
   bool current_ = false;
   std::deque<wire::GroupRecord> waiting_;
--- a/src/autoscaler/scale_in.cpp
+++ b/src/autoscaler/scale_in.cpp
@@ -12,12 +12,12 @@
 
 }  // namespace
 
-void MachineReturns::request(const MachineId& id, const char* why) {
+void ScaleIn::request(const MachineId& id, const char* why) {
   if (context_.clusterView.machines.count(id) == 0 || !toMark_.insert(id).second) return;
   context_.log->info("{} {}: returning it", id.value, why);
 }
 
-void MachineReturns::markRequested() {
+void ScaleIn::markRequested() {
   const auto& machines = context_.clusterView.machines;
   std::erase_if(toMark_, [&](const MachineId& id) {
     auto machine = machines.find(id);
@@ -30,7 +30,7 @@
 }
 
 // The record goes only after the cloud's word: its absence proves to all that nothing is left on the machine.
-void MachineReturns::returnMarked(CallBudget& calls) {
+void ScaleIn::returnMarked(CallBudget& calls) {
   if (returning_ || !calls.tryTake()) return;
   auto machines = markedMachines();
   if (machines.empty() || !context_.clusterView.leader) return calls.giveBack();
@@ -40,7 +40,7 @@
 }
 
 // As many as one call takes, of as many groups as one transaction takes.
-std::vector<MachineId> MachineReturns::markedMachines() const {
+std::vector<MachineId> ScaleIn::markedMachines() const {
   std::vector<MachineId> machines;
   std::set<std::string> groups;
   for (const auto& [id, machine] : context_.clusterView.machines) {
@@ -52,7 +52,7 @@
   return machines;
 }
 
-void MachineReturns::answered(const std::vector<MachineId>& machines, const HttpResult& result) {
+void ScaleIn::answered(const std::vector<MachineId>& machines, const HttpResult& result) {
   returning_ = result.answered(200) && context_.leadership.active && context_.clusterView.leader;
   if (!returning_) return;
   for (const auto& id : machines) noteReturned(id);
@@ -61,7 +61,7 @@
   if (written.empty()) returning_ = false;
 }
 
-void MachineReturns::noteReturned(const MachineId& id) {
+void ScaleIn::noteReturned(const MachineId& id) {
   context_.log->info("{} returned", id.value);
   auto known = context_.clusterView.machines.find(id);
   if (known != context_.clusterView.machines.end()) {
@@ -73,8 +73,8 @@
 
 // Writes machine groups anew with a change to some of their members, as many as one transaction takes.
 // Returns the machines that it changed.
-std::vector<MachineId> MachineReturns::rewrite(const std::set<MachineId>& ids, Change change,
-                                               std::function<void(const TxnResult&)> done) {
+std::vector<MachineId> ScaleIn::rewrite(const std::set<MachineId>& ids, Change change,
+                                        std::function<void(const TxnResult&)> done) {
   const auto& clusterView = context_.clusterView;
   std::map<std::string, std::set<MachineId>> byGroup;
   for (const auto& id : ids)
@@ -106,8 +106,7 @@
   return written;
 }
 
-void MachineReturns::applyChange(wire::GroupRecord& group, const std::set<MachineId>& changed,
-                                 Change change) {
+void ScaleIn::applyChange(wire::GroupRecord& group, const std::set<MachineId>& changed, Change change) {
   auto isChanged = [&](const auto& member) { return changed.count(member.id) > 0; };
   if (change == Change::Drop) {
     std::erase_if(group.members, isChanged);
--- a/src/autoscaler/scale_in.h
+++ b/src/autoscaler/scale_in.h
@@ -12,12 +12,12 @@
 
 namespace cherryloft {
 
-class MachineReturns {
+class ScaleIn {
  public:
   // There is a machine of that offer to be had again.
-  using Freed = std::function<void(const policy::Offer&)>;
+  using Freed = std::function<void(const policy::InstanceOffering&)>;
 
-  MachineReturns(const FleetContext& context, Freed freed) : context_(context), freed_(std::move(freed)) {}
+  ScaleIn(const AutoscalerContext& context, Freed freed) : context_(context), freed_(std::move(freed)) {}
   // A new leadership begins.
   void restart() { toMark_.clear(); }
   // The machine is to be returned, for that reason.
@@ -38,7 +38,7 @@
                                  std::function<void(const TxnResult&)> done);
   static void applyChange(wire::GroupRecord& group, const std::set<MachineId>& changed, Change change);
 
-  const FleetContext& context_;
+  const AutoscalerContext& context_;
   Freed freed_;
   std::set<MachineId> toMark_;
   bool marking_ = false;
--- a/src/autoscaler/scale_out.h
+++ b/src/autoscaler/scale_out.h
@@ -15,20 +15,20 @@
 
 namespace cherryloft {
 
-class Rentals {
+class ScaleOut {
  public:
-  Rentals(const FleetContext& context, MachineRecords& records, std::uint64_t seed)
+  ScaleOut(const AutoscalerContext& context, MachineRecords& records, std::uint64_t seed)
       : context_(context), records_(records), rng_(seed) {}
   // A new leadership begins.
   void restart() { open_.clear(); }
   // Orders machines for a shard.
-  void start(ShardId shard, const policy::Wish& wish);
+  void start(ShardId shard, const policy::ScaleOutRequest& request);
   // Adds the machines that are on order for the shard to its fleet.
   void addOrdered(ShardId shard, policy::ShardFleet& fleet) const;
   // Offers that the cloud refused of late.
-  std::set<policy::Offer> refused() const;
+  std::set<policy::InstanceOffering> refused() const;
   // There is a machine of that offer to be had again.
-  void available(const policy::Offer& offer) { refusedUntil_.erase(offer); }
+  void available(const policy::InstanceOffering& offer) { refusedUntil_.erase(offer); }
 
  private:
   struct Rental {
@@ -42,17 +42,17 @@
   void send(const RentalPtr& rental);
   void answered(const RentalPtr& rental, const HttpResult& result);
   void rented(const Rental& rental, const std::vector<MachineId>& machines);
-  void backOff(const policy::Offer& offer);
+  void backOff(const policy::InstanceOffering& offer);
   void sendAgain(const RentalPtr& rental);
   void close(const RentalPtr& rental);
 
-  const FleetContext& context_;
+  const AutoscalerContext& context_;
   MachineRecords& records_;
   std::mt19937_64 rng_;
   std::uint64_t claims_ = 0;     // of this process: it may lead twice under one epoch
   std::vector<RentalPtr> open_;  // not yet answered
-  std::map<policy::Offer, Time> refusedUntil_;
-  std::map<policy::Offer, Duration> refusedFor_;
+  std::map<policy::InstanceOffering, Time> refusedUntil_;
+  std::map<policy::InstanceOffering, Duration> refusedFor_;
 };
 
 }  // namespace cherryloft
--- a/src/autoscaler/shard_fleet.cpp
+++ b/src/autoscaler/shard_fleet.cpp
@@ -12,20 +12,20 @@
 constexpr double kMsPerSecond = 1000;
 
 policy::Work workOf(const mesh::Demand& demand) {
-  policy::Work work{demand.used,        demand.waiting,    demand.arriving,   demand.leaving, demand.runS,
-                    demand.largestTask, demand.largestJob, demand.ramPerCore, demand.types,   {}};
+  policy::Work work{demand.used,        demand.waiting,    demand.arriving,   demand.departing, demand.runS,
+                    demand.largestTask, demand.largestJob, demand.ramPerCore, demand.types,     {}};
   for (const auto& zone : demand.stuckZones) work.stuckZones.push_back(Zone{zone});
   return work;
 }
 
 // What the owner says of a machine.
 void applyLoad(const mesh::MachineLoad& load, bool boots, policy::FleetMachine& machine) {
-  machine.emptying = load.emptying;
+  machine.draining = load.draining;
   machine.pinned = load.pinned;
   machine.ageS = load.ageS;
   machine.usedCores = machine.cores - load.freeCores;
   if (load.usable) machine.idleS = load.idleS > 0 ? load.idleS : -1;
-  machine.counts = !machine.emptying && !load.draining && (load.usable || boots);
+  machine.counts = !machine.draining && !load.decommissioning && (load.usable || boots);
 }
 
 }  // namespace
@@ -35,8 +35,8 @@
   policy::ShardFleet fleet;
   std::map<std::string, const mesh::MachineLoad*> reported;
   if (load) {
-    fleet.firm = workOf(load->firm);
-    fleet.lendable = workOf(load->lendable);
+    fleet.onDemandOnly = workOf(load->onDemandOnly);
+    fleet.spotAllowed = workOf(load->spotAllowed);
     for (const auto& machine : load->machines) reported[machine.machine] = &machine;
   }
   for (const auto& [id, known] : clusterView.machines) {
--- a/src/base/job.h
+++ b/src/base/job.h
@@ -10,9 +10,9 @@
 
 namespace cherryloft {
 
-enum class Rank : std::uint8_t { BestEffort, Normal, High, Production };
-enum class Shape : std::uint8_t { Array, Service, Gang };
-enum class JobStatus : std::uint8_t { Open, Done, Aborted };
+enum class PriorityClass : std::uint8_t { BestEffort, Normal, High, Production };
+enum class JobKind : std::uint8_t { Array, Service, Gang };
+enum class JobStatus : std::uint8_t { Open, Done, Cancelled };
 
 // Sums of decimal numbers are not exact: what is missing by less does not count.
 inline constexpr double kResourceSlack = 1e-6;
@@ -43,21 +43,21 @@
   JobId id;
   std::string jobClass;
   TeamId team;
-  Shape shape = Shape::Array;
-  Rank rank = Rank::Normal;
+  JobKind kind = JobKind::Array;
+  PriorityClass priority = PriorityClass::Normal;
   std::uint32_t tasks = 1;
   Resources each;
   std::optional<std::vector<std::string>> types;
   std::optional<Zone> zone;
   bool oneZone = false;
   bool spread = false;
-  bool lendable = false;
+  bool spotAllowed = false;
   ImageId image;
   double imageGb = 0;
-  double expectS = 0;
-  double snapshotEveryS = 0;
-  double snapshotS = 0;
-  std::optional<double> dueS;
+  double expectedRunSeconds = 0;
+  double checkpointIntervalSeconds = 0;
+  double checkpointSeconds = 0;
+  std::optional<double> deadlineSeconds;
 
   bool allowsType(const std::string& type) const {
     if (!types) return true;
--- a/src/cluster/cluster_view.cpp
+++ b/src/cluster/cluster_view.cpp
@@ -104,7 +104,7 @@
   for (const auto& t : r.tasks) {
     if (ends.size() >= kMostEnds) break;
     auto job = jobs.find(t.task.job);
-    if (job != jobs.end() && job->second.status == JobStatus::Aborted && t.phase != wire::TaskPhase::Exited)
+    if (job != jobs.end() && job->second.status == JobStatus::Cancelled && t.phase != wire::TaskPhase::Exited)
       ends.push_back({wire::Command::Verb::Stop, t.task, t.attempt, 0});
   }
   return ends;
@@ -135,7 +135,7 @@
     if (j.status !=
         JobStatus::Open) {  // terminal is final; the end may have been heard of before its record came
       j.version = c.version;
-      j.atOnce = r->atOnce;
+      j.maxConcurrent = r->maxConcurrent;
       return {};
     }
     j.status = r->status;
@@ -143,9 +143,9 @@
     j.tasks = r->tasks;
     j.submitted = r->submitted;
     j.version = c.version;
-    j.atOnce = r->atOnce;
+    j.maxConcurrent = r->maxConcurrent;
     j.delegations = std::move(r->delegations);
-    j.doneElsewhere = std::move(r->doneElsewhere);
+    j.doneRemotely = std::move(r->doneRemotely);
     j.spec = r->spec ? std::make_shared<const JobSpec>(std::move(*r->spec)) : nullptr;
   } else if (under(c.key, keys::kMachines)) {
     return applyGroup(c, log);
--- a/src/cluster/cluster_view.h
+++ b/src/cluster/cluster_view.h
@@ -20,10 +20,11 @@
   std::uint32_t tasks = 0;
   WallTime submitted;
   Version version;
-  std::shared_ptr<const JobSpec> spec;    // while open
-  std::optional<std::uint32_t> atOnce{};  // of a job in another shard than its team's (wire::JobRecord)
+  std::shared_ptr<const JobSpec> spec;  // while open
+  std::optional<std::uint32_t>
+      maxConcurrent{};  // of a job in another shard than its team's (wire::JobRecord)
   std::vector<Delegation> delegations{};
-  std::vector<std::uint32_t> doneElsewhere{};
+  std::vector<std::uint32_t> doneRemotely{};
 };
 
 struct MachineEntry {
--- a/src/cluster/membership.cpp
+++ b/src/cluster/membership.cpp
@@ -132,14 +132,14 @@
 
 void Membership::changed() { review(); }
 
-unsigned Membership::rankFor(ShardId k) const {
-  unsigned rank = 0;
+unsigned Membership::takeoverPosition(ShardId k) const {
+  unsigned position = 0;
   for (unsigned i = 0; i < settings_.size(); ++i) {
     const auto& n = settings_.controllers[(k.value + i) % settings_.size()];
-    if (n == settings_.controller) return rank;
-    rank += view_.alive(n);
+    if (n == settings_.controller) return position;
+    position += view_.alive(n);
   }
-  return rank;
+  return position;
 }
 
 void Membership::review() {
@@ -207,7 +207,7 @@
     return;
   }
   auto since = orphanSince_.try_emplace(k, now).first->second;
-  auto wait = kStep * rankFor(k);
+  auto wait = kStep * takeoverPosition(k);
   if (!o && settings_.controllers[k.value] != settings_.controller) wait += kColdStart;
   if (now - since >= wait) take(k, o);
 }
@@ -221,7 +221,7 @@
     return;
   }
   if (!leaderless_) leaderless_ = now;
-  if (left || now - *leaderless_ >= kStep * rankFor(ShardId{0}))
+  if (left || now - *leaderless_ >= kStep * takeoverPosition(ShardId{0}))
     allocateEpoch(keys::kLeader, o,
                   [this](Epoch e, Version) { log_->info("leading with epoch {}", e.value); });
 }
--- a/src/cluster/membership.h
+++ b/src/cluster/membership.h
@@ -62,7 +62,7 @@
   void adopt(ShardId k, Epoch e, Version s);
   bool mine(const OwnerEntry& o) const { return o.record.owner == settings_.controller; }
   // How many living controllers come before us in line for a shard.
-  unsigned rankFor(ShardId k) const;
+  unsigned takeoverPosition(ShardId k) const;
 
   const Settings& settings_;
   Runtime& runtime_;
--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -109,25 +109,26 @@
 Duration Settings::grace() const { return std::max(blindFor() - leaseTtl(), Duration{0}); }
 
 namespace {
-std::optional<double> tightest(const std::vector<TimeAim>& aims, const std::string& jobClass) {
+std::optional<double> tightest(const std::vector<ServiceLevelObjective>& objectives,
+                               const std::string& jobClass) {
   std::optional<double> best;
-  for (const auto& a : aims)
+  for (const auto& a : objectives)
     if (a.jobClass == jobClass && (!best || a.withinS < *best)) best = a.withinS;
   return best;
 }
 }  // namespace
 
 std::optional<double> Settings::finishWithin(const std::string& jobClass) const {
-  return tightest(finishAims, jobClass);
+  return tightest(finishObjectives, jobClass);
 }
 
 std::optional<double> Settings::startWithin(const std::string& jobClass) const {
-  return tightest(startAims, jobClass);
+  return tightest(startObjectives, jobClass);
 }
 
 double Settings::patienceS() const {
   double s = guaranteeWithinS ? 0.75 * *guaranteeWithinS : 1e9;
-  for (const auto& a : finishAims) s = std::min(s, 0.1 * a.withinS);
+  for (const auto& a : finishObjectives) s = std::min(s, 0.1 * a.withinS);
   return s < 1e9 ? s : 0;
 }
 
@@ -184,10 +185,10 @@
       if (!o.is_object() || !o.contains("within_s") || !o.at("within_s").is_number()) continue;
       if (o.value("kind", json()) == "guarantee") s.guaranteeWithinS = o.at("within_s").get<double>();
       if (!o.contains("class") || !o.at("class").is_string()) continue;
-      TimeAim aim{o.at("class").get<std::string>(), o.at("within_s").get<double>()};
+      ServiceLevelObjective objective{o.at("class").get<std::string>(), o.at("within_s").get<double>()};
       auto kind = o.value("kind", json());
-      if (kind == "finished") s.finishAims.push_back(aim);
-      if (kind == "wait") s.startAims.push_back(aim);
+      if (kind == "finished") s.finishObjectives.push_back(objective);
+      if (kind == "wait") s.startObjectives.push_back(objective);
     }
   }
   const auto& w = object(d, "workers");
--- a/src/config/settings.h
+++ b/src/config/settings.h
@@ -31,11 +31,12 @@
 
 struct Team {
   TeamId name;
-  double cores = 0, coresMax = 0, gpus = 0, gpusMax = 0;  // guaranteed, and at most; without a limit infinite
+  double cores = 0, coreQuota = 0, gpus = 0,
+         gpuQuota = 0;  // guaranteed, and at most; without a limit infinite
 };
 
 // "This fraction of the jobs of a class should be done", or their tasks started, "so long after submission."
-struct TimeAim {
+struct ServiceLevelObjective {
   std::string jobClass;
   double withinS = 0;
 };
@@ -45,7 +46,7 @@
   Duration leaseTtl{3000};
   Duration returnOwnershipAfter{8000};
   Duration moveEvery{30000};
-  unsigned sample = 64;         // K
+  unsigned sampleSize = 64;     // K
   double spareFraction = 0.25;  // room kept free above what is asked for, as a fraction of it
   std::uint64_t seed = 0;       // 0: from the node's name and the time of day
 };
@@ -59,7 +60,7 @@
   Address state;
   std::vector<Zone> zones;
   std::vector<Team> teams;  // sorted by name
-  std::vector<TimeAim> finishAims, startAims;
+  std::vector<ServiceLevelObjective> finishObjectives, startObjectives;
   std::optional<double> guaranteeWithinS;  // "work within a guarantee should have started so soon"
   double reportS = 3, leaseS = 45, cancelS = 75;
   // A gang that is not complete within the first gives up; its members notice a lost one within the second.
--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -25,14 +25,15 @@
                      for (auto& [_, x] : schedulers_) x->leaseValidity(s);
                    },
                    [this](const ShardTakeover& t) { takenOver(t); }, [this](ShardId k) { lost(k); },
-                   [this](bool leads) { fleet_.leading(leads); },
+                   [this](bool leads) { autoscaler_.leading(leads); },
                    [this](ShardId k, ControllerId to) {
                      if (auto* s = scheduler(k)) s->returnToPreferredOwner(to);
                    }}),
-      fleet_(
-          settings, runtime, log, store_, view_, rng_(),
-          {[this](const mesh::MachineDirective& w) { toShard(ShardId{w.shard}, w, &ShardScheduler::wish); },
-           [this] { return owns(); }}),
+      autoscaler_(settings, runtime, log, store_, view_, rng_(),
+                  {[this](const mesh::MachineDirective& w) {
+                     toShard(ShardId{w.shard}, w, &ShardScheduler::handleDirective);
+                   },
+                   [this] { return owns(); }}),
       userApi_(settings, runtime, log, store_, view_, peers_,
                {[this](ShardId k) { return scheduler(k); }, [this] { return owns(); },
                 [this](const wire::KeyChange& c) { changed(c); },
@@ -48,8 +49,8 @@
         settings_.cancelS - settings_.leaseS);
   membership_.start();
   peers_.start();
-  fleet_.start();
-  account();
+  autoscaler_.start();
+  summarizeLastMinute();
 }
 
 mesh::PeerHeartbeat Controller::heartbeat() const {
@@ -58,19 +59,19 @@
   p.ownsForMs = std::max((membership_.leaseValidity().ownsUntil - runtime_.now()).count(), std::int64_t{0});
   for (const auto& [k, epoch] : membership_.owned())
     if (auto s = schedulers_.find(k); s != schedulers_.end() && s->second->knowsCancellations())
-      p.owns.push_back({k.value, epoch.value, s->second->lastAborted().value});
+      p.owns.push_back({k.value, epoch.value, s->second->lastCancelled().value});
   return p;
 }
 
 // What the controller did in the last minute, for operators (OPERATING.md).
-void Controller::account() {
-  runtime_.after(kAccount, [this] { account(); });
+void Controller::summarizeLastMinute() {
+  runtime_.after(kAccount, [this] { summarizeLastMinute(); });
   auto t = store_.takeTally();
   std::string line;
   for (const auto& [what, n] : t.requests) line += " " + what + "=" + std::to_string(n);
   line += "; changes";
   for (const auto& [what, n] : t.changes) line += " " + what + "=" + std::to_string(n);
-  for (auto& [_, s] : schedulers_) log_->info("last minute: {}", s->account());
+  for (auto& [_, s] : schedulers_) log_->info("last minute: {}", s->summarizeLastMinute());
   log_->info("last minute: store requests{}; refused {}, out of time {}", line, t.refused, t.outOfTime);
 }
 
@@ -94,11 +95,11 @@
   }
 }
 
-Counts Controller::counts() const {
-  Counts sum;
+ShardCounters Controller::counts() const {
+  ShardCounters sum;
   for (const auto& [_, s] : schedulers_) {
     sum.starts += s->counts().starts;
-    sum.looked += s->counts().looked;
+    sum.machinesExamined += s->counts().machinesExamined;
     sum.quarantined += s->counts().quarantined;
   }
   return sum;
@@ -137,17 +138,19 @@
         membership_.transferOwnership(k, version, to, std::move(done));
       },
       [this] { return peers_.answeredElsewhere(); },
-      [this, k = t.shard](const mesh::RoomWanted& w) {
+      [this, k = t.shard](const mesh::CapacityRequest& w) {
         peers_.sendAll(w);
-        toOthersHere(k, w, &ShardScheduler::roomWanted);
+        toOthersHere(k, w, &ShardScheduler::handleCapacityRequest);
+      },
+      [this](const mesh::CapacityOffer& o) {
+        toShard(ShardId{o.toShard}, o, &ShardScheduler::handleCapacityOffer);
       },
-      [this](const mesh::RoomOffer& o) { toShard(ShardId{o.toShard}, o, &ShardScheduler::roomOffered); },
-      [this, k = t.shard](const mesh::PartialRoomWanted& w) {
+      [this, k = t.shard](const mesh::TaskCapacityRequest& w) {
         peers_.sendAll(w);
-        toOthersHere(k, w, &ShardScheduler::partialRoomWanted);
+        toOthersHere(k, w, &ShardScheduler::handleTaskCapacityRequest);
       },
-      [this](const mesh::PartialRoomOffer& o) {
-        toShard(ShardId{o.toShard}, o, &ShardScheduler::partialRoomOffered);
+      [this](const mesh::TaskCapacityOffer& o) {
+        toShard(ShardId{o.toShard}, o, &ShardScheduler::handleTaskCapacityOffer);
       }};
   auto& s = schedulers_[t.shard];
   s = std::make_unique<ShardScheduler>(settings_, runtime_, log_, store_, view_, t,
@@ -187,7 +190,7 @@
 void Controller::sendLoad(const mesh::ShardLoad& l) {
   if (!view_.leader) return;
   if (view_.leader->record.owner == settings_.controller)
-    fleet_.load(l);
+    autoscaler_.load(l);
   else
     peers_.send(view_.leader->record.owner, l);
 }
@@ -224,23 +227,23 @@
       answer({id, r.response.status, r.response.body});
     });
   } else if (const auto* seen = std::get_if<mesh::UnrecordedMachineSeen>(&p)) {
-    if (auto heartbeat = wire::parseHeartbeat(seen->body)) fleet_.unrecordedMachineSeen(*heartbeat);
+    if (auto heartbeat = wire::parseHeartbeat(seen->body)) autoscaler_.unrecordedMachineSeen(*heartbeat);
   } else if (const auto* load = std::get_if<mesh::ShardLoad>(&p)) {
-    fleet_.load(*load);
+    autoscaler_.load(*load);
   } else if (const auto* over = std::get_if<mesh::JobEnded>(&p)) {
     JobId id{over->job};
-    view_.jobEnded(id, over->done ? JobStatus::Done : JobStatus::Aborted, Version{over->version});
+    view_.jobEnded(id, over->done ? JobStatus::Done : JobStatus::Cancelled, Version{over->version});
     for (auto& [_, s] : schedulers_) s->jobChanged(id);
   } else if (const auto* w = std::get_if<mesh::MachineDirective>(&p)) {
-    if (auto* s = scheduler(ShardId{w->shard})) s->wish(*w);
-  } else if (const auto* wanted = std::get_if<mesh::RoomWanted>(&p)) {
-    toOthersHere(ShardId{wanted->shard}, *wanted, &ShardScheduler::roomWanted);
-  } else if (const auto* offer = std::get_if<mesh::RoomOffer>(&p)) {
-    if (auto* s = scheduler(ShardId{offer->toShard})) s->roomOffered(*offer);
-  } else if (const auto* partial = std::get_if<mesh::PartialRoomWanted>(&p)) {
-    toOthersHere(ShardId{partial->shard}, *partial, &ShardScheduler::partialRoomWanted);
-  } else if (const auto* some = std::get_if<mesh::PartialRoomOffer>(&p)) {
-    if (auto* s = scheduler(ShardId{some->toShard})) s->partialRoomOffered(*some);
+    if (auto* s = scheduler(ShardId{w->shard})) s->handleDirective(*w);
+  } else if (const auto* wanted = std::get_if<mesh::CapacityRequest>(&p)) {
+    toOthersHere(ShardId{wanted->shard}, *wanted, &ShardScheduler::handleCapacityRequest);
+  } else if (const auto* offer = std::get_if<mesh::CapacityOffer>(&p)) {
+    if (auto* s = scheduler(ShardId{offer->toShard})) s->handleCapacityOffer(*offer);
+  } else if (const auto* partial = std::get_if<mesh::TaskCapacityRequest>(&p)) {
+    toOthersHere(ShardId{partial->shard}, *partial, &ShardScheduler::handleTaskCapacityRequest);
+  } else if (const auto* some = std::get_if<mesh::TaskCapacityOffer>(&p)) {
+    if (auto* s = scheduler(ShardId{some->toShard})) s->handleTaskCapacityOffer(*some);
   }
 }
 
@@ -300,7 +303,7 @@
   auto machine = view_.machines.find(heartbeat->machine);
   if (machine == view_.machines.end()) {
     if (view_.leader && view_.leader->record.owner == settings_.controller)
-      fleet_.unrecordedMachineSeen(*heartbeat);
+      autoscaler_.unrecordedMachineSeen(*heartbeat);
     else if (view_.leader)
       peers_.send(view_.leader->record.owner, mesh::UnrecordedMachineSeen{body});
     return unavailable("unknown machine");
@@ -316,20 +319,20 @@
   auto now = runtime_.now();
   // Its lease and its commands come first: the heartbeat is relayed at once. Only a worker that stays is sent
   // on to its owner, and one that comes back from there is relayed for long.
-  auto& guest = guests_[heartbeat->machine];
-  if (guest.owner != *owner || now - guest.last > 2 * kRelayFirst) {
-    bool returned = guest.owner == *owner && now - guest.steered < kSteerAgain;
-    guest = {*owner, now, now, returned ? guest.steered : Time{}};
+  auto& foreignWorker = foreignWorkers_[heartbeat->machine];
+  if (foreignWorker.owner != *owner || now - foreignWorker.last > 2 * kRelayFirst) {
+    bool returned = foreignWorker.owner == *owner && now - foreignWorker.steered < kSteerAgain;
+    foreignWorker = {*owner, now, now, returned ? foreignWorker.steered : Time{}};
   }
-  guest.last = now;
+  foreignWorker.last = now;
   auto n = peers_.numberOf(*owner);
   bool reached = peers_.reaches(n);
   // One that has been here since before we lost sight of its owner may well find it by itself.
-  bool steer =
-      (reached ? now - guest.since > kRelayFirst && peers_.hears(n) : guest.since <= peers_.heardAt(n)) &&
-      (guest.steered == Time{} || now - guest.steered > kSteerAgain);
+  bool steer = (reached ? now - foreignWorker.since > kRelayFirst && peers_.hears(n)
+                        : foreignWorker.since <= peers_.heardAt(n)) &&
+               (foreignWorker.steered == Time{} || now - foreignWorker.steered > kSteerAgain);
   if (steer) {
-    guest.steered = now;
+    foreignWorker.steered = now;
     return done({421, wire::encodeOwner(*owner), true, 0});
   }
   if (!reached) return done(answerFor(*owner, *heartbeat));
@@ -353,7 +356,7 @@
 }
 
 // The owner of the worker's shard is out of reach. Cut off together with the worker we keep its lease up for
-// a while (invariant 15): what it runs goes on. It gets no commands but to end what is aborted, which is
+// a while (invariant 15): what it runs goes on. It gets no commands but to end what is cancelled, which is
 // final.
 HttpResponse Controller::answerFor(const ControllerId& owner, const wire::WorkerHeartbeat& r) {
   if (!mayAnswerFor(owner, r)) return wire::userError(503, "the owner does not answer");
--- a/src/controller/controller.h
+++ b/src/controller/controller.h
@@ -18,11 +18,11 @@
   void start();
   void request(HttpRequest r, Responder done);
   void frame(const mesh::Frame& f) { peers_.frame(f); }
-  Counts counts() const;
+  ShardCounters counts() const;
   static bool fromWorker(const HttpRequest& r) { return r.target == "/checkin"; }
 
  private:
-  void account();
+  void summarizeLastMinute();
   bool owns() const { return membership_.leaseValidity().owns(runtime_.now()); }
   mesh::PeerHeartbeat heartbeat() const;
   bool mayAnswerFor(const ControllerId& owner, const wire::WorkerHeartbeat& r) const;
@@ -56,15 +56,15 @@
   KeyValueStore store_;
   Peers peers_;
   Membership membership_;
-  Fleet fleet_;
+  Autoscaler autoscaler_;
   UserApi userApi_;
   std::map<ShardId, std::unique_ptr<ShardScheduler>> schedulers_;
   // Workers of other controllers' shards that report here.
-  struct Guest {
+  struct ForeignWorker {
     ControllerId owner;
     Time since{}, last{}, steered{};
   };
-  std::map<MachineId, Guest> guests_;
+  std::map<MachineId, ForeignWorker> foreignWorkers_;
 };
 
 }  // namespace cherryloft
--- a/src/mesh/messages.h
+++ b/src/mesh/messages.h
@@ -86,7 +86,7 @@
 // To everybody: a job's end that is committed and about to be told to users. No bound depends on its arrival.
 struct JobEnded {
   std::string job;
-  bool done = false;  // or aborted
+  bool done = false;  // or cancelled
   std::uint64_t version = 0;
   template <class A>
   void serialize(A& a) {
@@ -111,23 +111,23 @@
   double freeCores = 0;
   double idleS = 0;  // how long nothing has been on it
   bool usable = false;
+  bool decommissioning = false;
   bool draining = false;
-  bool emptying = false;
   bool pinned = false;  // replicas on it have nowhere to go
   double ageS = 0;
   template <class A>
   void serialize(A& a) {
-    a(machine, type, zone, spot, freeCores, idleS, usable, draining, emptying, pinned, ageS);
+    a(machine, type, zone, spot, freeCores, idleS, usable, decommissioning, draining, pinned, ageS);
   }
 };
 
 // Work of one kind in a shard; cores unless said otherwise.
 struct Demand {
   double used = 0;
-  double waiting = 0;   // within the teams' limits
-  double arriving = 0;  // cores asked for per second of late
-  double leaving = 0;   // cores that tasks done left per second of late
-  double runS = 0;      // how long tasks take, as their owners say
+  double waiting = 0;    // within the teams' limits
+  double arriving = 0;   // cores asked for per second of late
+  double departing = 0;  // cores that tasks done left per second of late
+  double runS = 0;       // how long tasks take, as their owners say
   double largestTask = 0;
   double largestJob = 0;  // of those that came of late
   double ramPerCore = 0;
@@ -135,7 +135,7 @@
   std::vector<std::string> stuckZones;  // where machines are missing for tasks that may go nowhere else
   template <class A>
   void serialize(A& a) {
-    a(used, waiting, arriving, leaving, runS, largestTask, largestJob, ramPerCore, types, stuckZones);
+    a(used, waiting, arriving, departing, runS, largestTask, largestJob, ramPerCore, types, stuckZones);
   }
 };
 
@@ -143,24 +143,24 @@
 struct ShardLoad {
   std::uint32_t shard = 0;
   std::uint64_t epoch = 0;
-  Demand firm;      // work that may use ordinary machines only
-  Demand lendable;  // work that may use spot machines too
+  Demand onDemandOnly;  // work that may use ordinary machines only
+  Demand spotAllowed;   // work that may use spot machines too
   // Machines that are idle, don't take work, or could best be emptied. All others are in plain use.
   std::vector<MachineLoad> machines;
   template <class A>
   void serialize(A& a) {
-    a(shard, epoch, firm, lendable, machines);
+    a(shard, epoch, onDemandOnly, spotAllowed, machines);
   }
 };
 
 // From the leader to a shard's owner: what is to become of one of its machines.
 struct MachineDirective {
   enum Kind : std::int32_t {
-    Return,  // back to the cloud if it is idle
-    Move,    // to another shard if it is idle
-    Empty,   // takes no more work and goes once what ends by itself has ended, unless room gets short
-    Keep,    // takes work again after all
-    Cede,    // to another shard once what ends by itself has ended
+    Return,          // back to the cloud if it is idle
+    Move,            // to another shard if it is idle
+    Drain,           // takes no more work and goes once what ends by itself has ended, unless room gets short
+    Keep,            // takes work again after all
+    MoveAfterDrain,  // to another shard once what ends by itself has ended
   };
   std::uint32_t shard = 0;
   std::string machine;
@@ -174,7 +174,7 @@
 
 // From a shard's owner to everybody: jobs that have waited long and that none of the shard's machines has
 // room for.
-struct RoomWanted {
+struct CapacityRequest {
   std::uint32_t shard = 0;
   std::vector<std::string> jobs;
   template <class A>
@@ -184,7 +184,7 @@
 };
 
 // The reply of another shard's owner: its machines have room for so many tasks of the job now.
-struct RoomOffer {
+struct CapacityOffer {
   std::uint32_t shard = 0;    // whose machines they are
   std::uint32_t toShard = 0;  // that asked
   std::string job;
@@ -207,7 +207,7 @@
 
 // Waiting tasks of a job that its shard has no room for, while others of it are placed or done, or while it
 // must be placed whole.
-struct PartialRoomRequest {
+struct TaskCapacityNeed {
   std::string job;
   std::uint32_t tasks = 0;
   std::vector<ZoneTasks> zones;
@@ -218,9 +218,9 @@
 };
 
 // From a shard's owner to everybody.
-struct PartialRoomWanted {
+struct TaskCapacityRequest {
   std::uint32_t shard = 0;
-  std::vector<PartialRoomRequest> jobs;
+  std::vector<TaskCapacityNeed> jobs;
   template <class A>
   void serialize(A& a) {
     a(shard, jobs);
@@ -228,7 +228,7 @@
 };
 
 // The reply of another shard's owner: its machines in that zone have room for so many of the tasks now.
-struct PartialRoomOffer {
+struct TaskCapacityOffer {
   std::uint32_t shard = 0;    // whose machines they are
   std::uint32_t toShard = 0;  // that asked
   std::string job;
@@ -240,9 +240,9 @@
 };
 
 // New kinds go to the end: a controller of an earlier version refuses the frames that it does not know.
-using Payload =
-    std::variant<PeerHeartbeat, JobAsk, RelayedHeartbeat, ProbeAsk, Answer, UnrecordedMachineSeen, ShardLoad,
-                 MachineDirective, JobEnded, RoomWanted, RoomOffer, PartialRoomWanted, PartialRoomOffer>;
+using Payload = std::variant<PeerHeartbeat, JobAsk, RelayedHeartbeat, ProbeAsk, Answer, UnrecordedMachineSeen,
+                             ShardLoad, MachineDirective, JobEnded, CapacityRequest, CapacityOffer,
+                             TaskCapacityRequest, TaskCapacityOffer>;
 
 struct Frame {
   std::uint32_t from = 0;
--- a/src/net/server.cpp
+++ b/src/net/server.cpp
@@ -25,7 +25,7 @@
 }
 
 void HttpServer::accepted(int fd) {
-  if (count_ >= max_) makeRoom();
+  if (count_ >= max_) preempt();
   auto c = std::make_shared<Connection>();
   c->stream = std::make_shared<Stream>(loop_, fd, false);
   c->since = loop_.now();
@@ -107,7 +107,7 @@
 
 // Those who wait for nothing before those who wait for an answer, and users before workers, whose leases hang
 // on their connections.
-void HttpServer::makeRoom() {
+void HttpServer::preempt() {
   if (auto now = loop_.now(); now - saidFull_ > kSayAgain) {
     saidFull_ = now;
     log_->info("at the bound of {} connections", max_);
--- a/src/policy/admission.cpp
+++ b/src/policy/admission.cpp
@@ -16,8 +16,8 @@
   if (zones.empty()) return "a task fits no allowed machine type";
   bool apart = job.spread && job.tasks > 1;
   if (apart && (job.oneZone || zones.size() < 2)) return "the tasks cannot be spread over zones";
-  auto need = job.each * (job.shape == Shape::Array ? 1.0 : job.tasks);
-  if (!Resources{need.cores, need.gpus, 0}.fitsIn({team->coresMax, team->gpusMax, 0}))
+  auto need = job.each * (job.kind == JobKind::Array ? 1.0 : job.tasks);
+  if (!Resources{need.cores, need.gpus, 0}.fitsIn({team->coreQuota, team->gpuQuota, 0}))
     return "the job needs more than its team's limit";
   return std::nullopt;
 }
--- a/src/policy/autoscaling.cpp
+++ b/src/policy/autoscaling.cpp
@@ -47,12 +47,13 @@
   return w.types.empty() || std::find(w.types.begin(), w.types.end(), type) != w.types.end();
 }
 
-std::optional<Wish> cheapest(const ShardFleet& f, const Work& w, double missing, bool spot,
-                             const Catalog& catalog, const std::set<Offer>& unavailable) {
+std::optional<ScaleOutRequest> cheapest(const ShardFleet& f, const Work& w, double missing, bool spot,
+                                        const Catalog& catalog,
+                                        const std::set<InstanceOffering>& unavailable) {
   std::map<Zone, double> inZone;  // cores of that kind
   for (const auto& h : f.machines)
     if (h.spot == spot) inZone[h.zone] += h.cores;
-  std::optional<Wish> best;
+  std::optional<ScaleOutRequest> best;
   double bestCost = 0;
   double bestZone = 0;
   for (const auto& t : catalog) {
@@ -63,14 +64,14 @@
     double worth = std::min(usable, missing) + 0.5 * std::max(0.0, usable - missing);
     double cost = price / worth;
     for (const auto& z : t.zones) {
-      Offer o{t.name, z, spot};
+      InstanceOffering o{t.name, z, spot};
       if (unavailable.count(o) > 0) continue;
       bool better = !best || cost < bestCost - 1e-12 || (cost < bestCost + 1e-12 && inZone[z] < bestZone);
       if (!better) continue;
       // Part of it only, so that the zones fill evenly.
       auto part = missing / usable / static_cast<double>(t.zones.size());
       auto count = static_cast<unsigned>(std::clamp(std::floor(part), 1.0, kMostAtOnce));
-      best = Wish{o, count, usable * count};
+      best = ScaleOutRequest{o, count, usable * count};
       bestCost = cost;
       bestZone = inZone[z];
     }
@@ -80,43 +81,45 @@
 
 }  // namespace
 
-Targets targets(const ShardFleet& f, const Catalog& catalog, double spareFraction, double patienceS) {
+CapacityTargets targets(const ShardFleet& f, const Catalog& catalog, double spareFraction, double patienceS) {
   double bootS = 0, ratio = 0;  // ratio: ordinary to spot price
   for (const auto& t : catalog) {
     bootS += t.bootS / static_cast<double>(catalog.size());
     if (t.spotPrice > 0) ratio = std::max(ratio, t.price / t.spotPrice);
   }
-  double need = f.firm.used + f.firm.waiting + f.lendable.used + f.lendable.waiting;
-  Targets t;
-  t.ordinary = f.firm.used + f.firm.waiting + f.firm.largestTask + f.firm.arriving * bootS;
+  double need = f.onDemandOnly.used + f.onDemandOnly.waiting + f.spotAllowed.used + f.spotAllowed.waiting;
+  CapacityTargets t;
+  t.ordinary = f.onDemandOnly.used + f.onDemandOnly.waiting + f.onDemandOnly.largestTask +
+               f.onDemandOnly.arriving * bootS;
   // Arrays end about as fast as they come, so what is there tells what will be needed.
-  t.total = need + f.firm.arriving * bootS + f.firm.largestTask + f.lendable.largestTask;
-  double lendable = f.lendable.used + f.lendable.waiting;
+  t.total = need + f.onDemandOnly.arriving * bootS + f.onDemandOnly.largestTask + f.spotAllowed.largestTask;
+  double spotAllowed = f.spotAllowed.used + f.spotAllowed.waiting;
   double largest = 0;
   for (const auto& type : catalog) largest = std::max(largest, type.size.cores);
   t.busy = kBusyRoom * t.total + kBusyMachines * largest;
-  t.ample = t.total + lendable * spareFraction * std::max(0.0, ratio - 1);
+  t.spotTarget = t.total + spotAllowed * spareFraction * std::max(0.0, ratio - 1);
   // What is there, or about to be, frees room at least as fast as its tasks take on average.
-  double turnover = f.lendable.leaving;
-  if (f.lendable.runS > 0)
-    turnover = std::max(turnover, std::min(lendable, coresOf(f) - f.firm.used) / f.lendable.runS);
-  t.total -= std::clamp(turnover * patienceS, 0.0, lendable);
+  double turnover = f.spotAllowed.departing;
+  if (f.spotAllowed.runS > 0)
+    turnover =
+        std::max(turnover, std::min(spotAllowed, coresOf(f) - f.onDemandOnly.used) / f.spotAllowed.runS);
+  t.total -= std::clamp(turnover * patienceS, 0.0, spotAllowed);
   return t;
 }
 
-bool isShort(const ShardFleet& f, const Targets& t) {
+bool isShort(const ShardFleet& f, const CapacityTargets& t) {
   auto have = capacityOf(f);
   return t.ordinary - have.ordinary > kEnough || t.total - have.ordinary - have.spot > kEnough;
 }
 
-std::optional<Wish> rent(const ShardFleet& f, const Targets& t, const Catalog& catalog,
-                         const std::set<Offer>& unavailable) {
+std::optional<ScaleOutRequest> rent(const ShardFleet& f, const CapacityTargets& t, const Catalog& catalog,
+                                    const std::set<InstanceOffering>& unavailable) {
   auto have = capacityOf(f);
-  for (const auto* w : {&f.firm, &f.lendable}) {
+  for (const auto* w : {&f.onDemandOnly, &f.spotAllowed}) {
     auto covered = [&](const Zone& z) {
       return std::any_of(f.machines.begin(), f.machines.end(), [&](const auto& h) {
         // One that boots is not used yet; those that are up and full help nobody.
-        return h.counts && h.zone == z && (!h.spot || w == &f.lendable) &&
+        return h.counts && h.zone == z && (!h.spot || w == &f.spotAllowed) &&
                h.cores - h.usedCores >= w->largestTask - kResourceSlack;
       });
     };
@@ -127,16 +130,17 @@
         for (bool spot : {false, true})
           if (std::find(w->stuckZones.begin(), w->stuckZones.end(), z) == w->stuckZones.end())
             elsewhere.insert({t.name, z, spot});
-    if (auto wish = cheapest(f, *w, w->largestTask, false, catalog, elsewhere)) return wish;
+    if (auto request = cheapest(f, *w, w->largestTask, false, catalog, elsewhere)) return request;
   }
   if (t.ordinary - have.ordinary > kEnough) {
-    auto w = cheapest(f, f.firm, t.ordinary - have.ordinary, false, catalog, unavailable);
+    auto w = cheapest(f, f.onDemandOnly, t.ordinary - have.ordinary, false, catalog, unavailable);
     if (w) return w;
   }
   double all = have.ordinary + have.spot;
-  const auto& kind = f.lendable.used + f.lendable.waiting + f.lendable.arriving > 0 ? f.lendable : f.firm;
-  if (&kind == &f.lendable && t.ample - all > kEnough)
-    if (auto w = cheapest(f, kind, t.ample - all, true, catalog, unavailable)) return w;
+  const auto& kind = f.spotAllowed.used + f.spotAllowed.waiting + f.spotAllowed.arriving > 0 ? f.spotAllowed
+                                                                                             : f.onDemandOnly;
+  if (&kind == &f.spotAllowed && t.spotTarget - all > kEnough)
+    if (auto w = cheapest(f, kind, t.spotTarget - all, true, catalog, unavailable)) return w;
   if (t.total - all <= kEnough) return std::nullopt;
   return cheapest(f, kind, t.total - all, false, catalog, unavailable);
 }
@@ -146,10 +150,11 @@
   return c.ordinary + c.spot;
 }
 
-double pressure(const ShardFleet& f, const Targets& t) { return t.total / std::max(coresOf(f), 1.0); }
+double pressure(const ShardFleet& f, const CapacityTargets& t) { return t.total / std::max(coresOf(f), 1.0); }
 
-std::optional<Wish> replacement(const ShardFleet& f, const Targets& t, const Catalog& catalog,
-                                const std::set<Offer>& unavailable, double minAgeS) {
+std::optional<ScaleOutRequest> replacement(const ShardFleet& f, const CapacityTargets& t,
+                                           const Catalog& catalog,
+                                           const std::set<InstanceOffering>& unavailable, double minAgeS) {
   constexpr double worthIt = 0.6;  // of the price, at most
   auto have = capacityOf(f);
   for (const auto& h : f.machines) {
@@ -158,7 +163,7 @@
     double missing = std::max(t.ordinary - (have.ordinary - h.cores),
                               t.total + surplus(t.total, catalog) - (have.ordinary + have.spot - h.cores));
     if (missing <= kEnough) continue;
-    auto w = cheapest(f, f.firm, missing, false, catalog, unavailable);
+    auto w = cheapest(f, f.onDemandOnly, missing, false, catalog, unavailable);
     const auto* small = w ? findType(catalog, w->offer.type) : nullptr;
     if (!small) continue;
     w->count = static_cast<unsigned>(std::ceil(missing / small->size.cores - 1e-9));
@@ -168,8 +173,8 @@
   return std::nullopt;
 }
 
-std::optional<std::size_t> letGo(const ShardFleet& f, const Targets& t, const Catalog& catalog,
-                                 double minIdleS, double spareSpot) {
+std::optional<std::size_t> machineToRelease(const ShardFleet& f, const CapacityTargets& t,
+                                            const Catalog& catalog, double minIdleS, double spareSpot) {
   auto have = capacityOf(f);
   std::optional<std::size_t> best;
   double bestPrice = 0;
@@ -192,9 +197,9 @@
   return best;
 }
 
-std::vector<std::size_t> toEmpty(const ShardFleet& f, const Targets& t, const Catalog& catalog,
-                                 double minAgeS, std::size_t most) {
-  bool anyIdle = letGo(f, t, catalog, 0, coresOf(f)).has_value();
+std::vector<std::size_t> machinesToDrain(const ShardFleet& f, const CapacityTargets& t,
+                                         const Catalog& catalog, double minAgeS, std::size_t most) {
+  bool anyIdle = machineToRelease(f, t, catalog, 0, coresOf(f)).has_value();
   auto have = capacityOf(f);
   std::vector<std::pair<double, std::size_t>> choices;  // what is gained by each
   for (std::size_t i = 0; i < f.machines.size(); ++i) {
@@ -202,7 +207,7 @@
     if (!h.counts) continue;
     // Idle machines will go first; nothing need be moved for them.
     if (h.idleS >= 0) (h.spot ? have.spot : have.ordinary) -= h.cores;
-    if (h.emptying || h.pinned || h.idleS >= 0 || h.ageS < minAgeS) continue;
+    if (h.draining || h.pinned || h.idleS >= 0 || h.ageS < minAgeS) continue;
     // Dear machines with little on them first.
     if (const auto* type = findType(catalog, h.type))
       choices.emplace_back((h.spot ? type->spotPrice : type->price) / (h.usedCores + 1), i);
@@ -213,11 +218,11 @@
   for (const auto& [_, i] : choices) {
     if (chosen.size() >= most) break;
     const auto& h = f.machines[i];
-    double keep = h.spot ? t.ample : t.total;
+    double keep = h.spot ? t.spotTarget : t.total;
     double left = have.ordinary + have.spot - h.cores;
     if (left < keep + surplus(keep, catalog)) continue;
     if (!h.spot && have.ordinary - h.cores < t.ordinary) continue;
-    // Near the target one at a time: what is emptied in vain is missed where work comes in bursts.
+    // Near the target one at a time: what is drained in vain is missed where work comes in bursts.
     bool single = left < t.busy;
     if (single && (anyIdle || !chosen.empty())) continue;
     (h.spot ? have.spot : have.ordinary) -= h.cores;
--- a/src/policy/gang.cpp
+++ b/src/policy/gang.cpp
@@ -18,8 +18,8 @@
   return order;
 }
 
-double lostSinceCheckpoint(double ranS, double snapshotEveryS) {
-  return snapshotEveryS > 0 ? std::fmod(ranS, snapshotEveryS) : ranS;
+double lostSinceCheckpoint(double ranS, double checkpointIntervalSeconds) {
+  return checkpointIntervalSeconds > 0 ? std::fmod(ranS, checkpointIntervalSeconds) : ranS;
 }
 
 }  // namespace cherryloft::policy
--- a/src/policy/gang.h
+++ b/src/policy/gang.h
@@ -22,6 +22,6 @@
 std::vector<Zone> zonesToTry(std::vector<GangZone> zones, std::uint32_t members);
 
 // Seconds of progress that every member loses when the gang is stopped without saving.
-double lostSinceCheckpoint(double ranS, double snapshotEveryS);
+double lostSinceCheckpoint(double ranS, double checkpointIntervalSeconds);
 
 }  // namespace cherryloft::policy
--- a/src/policy/order.cpp
+++ b/src/policy/order.cpp
@@ -6,7 +6,7 @@
 
 bool before(const Candidate& a, const Candidate& b) {
   if (a.overdue != b.overdue) return a.overdue;
-  if (a.rank != b.rank) return a.rank > b.rank;
+  if (a.priority != b.priority) return a.priority > b.priority;
   if (a.guaranteed != b.guaranteed) return a.guaranteed;
   if (a.hopeful != b.hopeful) return a.hopeful;
   if (a.turns != b.turns) return a.turns < b.turns;
--- a/src/policy/order.h
+++ b/src/policy/order.h
@@ -9,7 +9,7 @@
 
 struct Candidate {
   bool overdue = false;  // has waited so long for its first start that it goes before all others once
-  Rank rank = Rank::Normal;
+  PriorityClass priority = PriorityClass::Normal;
   bool guaranteed = false;       // fits its team's guarantee along with the team's earlier jobs
   bool hopeful = true;           // may still meet its deadline or the tightest aim of its class
   unsigned turns = 0;            // batches of tasks its team was given in this round
--- a/src/policy/preempt.cpp
+++ b/src/policy/preempt.cpp
@@ -5,7 +5,8 @@
 
 namespace cherryloft::policy {
 
-bool mayStop(Rank claimant, bool claimantGuaranteed, bool sameTeam, Rank victim, bool victimAboveGuarantee) {
+bool mayStop(PriorityClass claimant, bool claimantGuaranteed, bool sameTeam, PriorityClass victim,
+             bool victimAboveGuarantee) {
   return claimant > victim || (claimant == victim && claimantGuaranteed && !sameTeam && victimAboveGuarantee);
 }
 
--- a/src/policy/preempt.h
+++ b/src/policy/preempt.h
@@ -21,7 +21,8 @@
 // A higher rank may stop a lower one; work within a guarantee may stop what another team runs above its own.
 // The protocol allows the latter whatever the ranks; here lower ranks do not displace higher ones, as
 // services must not give way to batches.
-bool mayStop(Rank claimant, bool claimantGuaranteed, bool sameTeam, Rank victim, bool victimAboveGuarantee);
+bool mayStop(PriorityClass claimant, bool claimantGuaranteed, bool sameTeam, PriorityClass victim,
+             bool victimAboveGuarantee);
 
 // Least lost work first; nothing if stopping all of them would not make the room.
 std::optional<Eviction> evict(const Resources& free, const Resources& need,
--- a/src/scheduler/commands.cpp
+++ b/src/scheduler/commands.cpp
@@ -29,7 +29,7 @@
 
 // How long a task that was stopped may save. A member of a gang that has saved waits for the others.
 Duration ShardScheduler::maxCheckpointTime(const Job& job) const {
-  return seconds(2 * job.spec->snapshotS + kSavingSlackS + (job.isGang() ? settings_.gangPeerS : 0));
+  return seconds(2 * job.spec->checkpointSeconds + kSavingSlackS + (job.isGang() ? settings_.gangPeerS : 0));
 }
 
 // What the worker should do; for a heartbeat also what is repeated until it shows.
@@ -52,10 +52,10 @@
       bool sentBefore = p.stopSent != Time{};
       if (!heartbeat && now - p.stopSent < kStopAgain) continue;
       const auto& spec = *p.job->spec;
-      // An aborted job's work is of no use to anyone, and nothing saves for ever.
-      bool saves = spec.snapshotEveryS > 0 && p.job->open() && !p.skipCheckpoint &&
+      // An cancelled job's work is of no use to anyone, and nothing saves for ever.
+      bool saves = spec.checkpointIntervalSeconds > 0 && p.job->open() && !p.skipCheckpoint &&
                    (!sentBefore || now - p.stopSent < maxCheckpointTime(*p.job));
-      out.push_back({Command::Verb::Stop, task, p.attempt, saves ? spec.snapshotS + 1 : 0});
+      out.push_back({Command::Verb::Stop, task, p.attempt, saves ? spec.checkpointSeconds + 1 : 0});
       if (!sentBefore || !heartbeat) p.stopSent = now;
     }
   }
--- a/src/scheduler/commits.cpp
+++ b/src/scheduler/commits.cpp
@@ -13,9 +13,10 @@
   return {JobStatus::Done, takeover_.shard, static_cast<std::uint32_t>(job.tasks.size()), job.submitted, {}};
 }
 
-wire::JobRecord ShardScheduler::abortedRecord(const Job& job) const {
+wire::JobRecord ShardScheduler::cancelledRecord(const Job& job) const {
   auto tasks = static_cast<std::uint32_t>(job.tasks.size());
-  return {JobStatus::Aborted, takeover_.shard, tasks, job.submitted, *job.spec, job.atOnce, job.delegations};
+  return {JobStatus::Cancelled, takeover_.shard, tasks, job.submitted, *job.spec,
+          job.maxConcurrent,    job.delegations};
 }
 
 // The end of another shard's job is for its owner to write.
@@ -23,7 +24,7 @@
   if (job.status == JobStatus::Open && !job.delegation && job.finished()) ending_.insert(job.id);
 }
 
-void ShardScheduler::addTerminal(TransactionBuilder& transaction) {
+void ShardScheduler::addFinishedJobs(TransactionBuilder& transaction) {
   for (auto it = ending_.begin(); it != ending_.end();) {
     Job* job = state_.job(*it);
     if (!job || job->status != JobStatus::Open) {
@@ -32,9 +33,9 @@
     }
     bool done = job->finished();
     auto value = done ? wire::encodeJobRecord(doneRecord(*job))
-                      : wire::encodeWithin(abortedRecord(*job), settings_.valueBytes);
+                      : wire::encodeWithin(cancelledRecord(*job), settings_.valueBytes);
     if (!transaction.add({keys::job(*it), std::move(value), {}}, job->version)) return;
-    flight_->endedJobs.emplace_back(*it, done ? JobStatus::Done : JobStatus::Aborted);
+    commitInFlight_->endedJobs.emplace_back(*it, done ? JobStatus::Done : JobStatus::Cancelled);
     it = ending_.erase(it);
   }
 }
@@ -47,37 +48,38 @@
 }
 
 void ShardScheduler::addPages(TransactionBuilder& transaction) {
-  std::set<PageNo> taken;
-  while (!fresh_.empty() && transaction.hasRoom(settings_.valueBytes + kKeyWeight)) {
-    auto d = state_.composePage(fresh_, taken);
+  std::set<PageNumber> taken;
+  while (!unwrittenTasks_.empty() && transaction.hasRoom(settings_.valueBytes + kKeyWeight)) {
+    auto d = state_.composePage(unwrittenTasks_, taken);
     if (!d) continue;
     transaction.add({keys::page(takeover_.shard, d->number), wire::encodePage(d->record), {}},
                     state_.pages().at(d->number).version);
-    flight_->pages.push_back(d->number);
+    commitInFlight_->pages.push_back(d->number);
     for (const auto& [job, facts] : d->record.jobs) {
       for (const auto& e : facts.placed)
-        flight_->placed.emplace_back(e.machine, TaskId{job, e.index}, e.attempt);
-      for (auto i : facts.done) flight_->done.push_back({job, i});
+        commitInFlight_->placed.emplace_back(e.machine, TaskId{job, e.index}, e.attempt);
+      for (auto i : facts.done) commitInFlight_->done.push_back({job, i});
     }
   }
 }
 
 void ShardScheduler::commit() {
   if (committing_ || !owns() || runtime_.now() < commitNotBefore_) return;
-  if (!flight_) {
+  if (!commitInFlight_) {
     // While changes are short, what comes within a moment shards a transaction; completions can wait longer.
     auto now = runtime_.now();
-    bool urgent = startsFresh_ || !ending_.empty();
+    bool urgent = placementsUnwritten_ || !ending_.empty();
     auto due = lastCommit_ + (urgent ? 1 : 3) * store_.commitInterval();
-    if (store_.writesSaturated() && now < due && !(fresh_.empty() && ending_.empty())) return commitAt(due);
+    if (store_.writesSaturated() && now < due && !(unwrittenTasks_.empty() && ending_.empty()))
+      return commitAt(due);
     lastCommit_ = now;
-    startsFresh_ = false;
-    flight_.emplace();
+    placementsUnwritten_ = false;
+    commitInFlight_.emplace();
     TransactionBuilder transaction(settings_.txnOps);
     transaction.require(keys::shard(takeover_.shard), takeover_.version);
-    addTerminal(transaction);
-    addTransfers(transaction);
-    addLeft(transaction);
+    addFinishedJobs(transaction);
+    addMigrations(transaction);
+    addCleanups(transaction);
     addDelegations(transaction);
     addReturns(transaction);
     // A shard that is to be handed back waits for nothing else: in a large one something is done at every
@@ -85,15 +87,15 @@
     // (invariant 8), and placements that were not written were not sent.
     if (!transferringTo_) addPages(transaction);
     auto& pages = state_.pages();
-    auto spare = pages.spare({flight_->pages.begin(), flight_->pages.end()});
+    auto spare = pages.spare({commitInFlight_->pages.begin(), commitInFlight_->pages.end()});
     bool drops =
         spare && !transaction.empty() &&
         transaction.add({keys::page(takeover_.shard, *spare), std::nullopt, {}}, pages.at(*spare).version);
-    if (drops) flight_->dropped.push_back(*spare);
+    if (drops) commitInFlight_->dropped.push_back(*spare);
     bool nothing = transaction.empty();
-    flight_->txn = transaction.take();
+    commitInFlight_->txn = transaction.take();
     if (nothing) {
-      flight_.reset();
+      commitInFlight_.reset();
       if (transferringTo_ && !ownershipTransferSent_) {
         // Nothing is on its way: let go. From here on this actor decides nothing.
         ownershipTransferSent_ = true;
@@ -103,14 +105,14 @@
                                        if (given)
                                          callbacks_.dropOwnership();
                                        else
-                                         wake(true);
+                                         requestRound(true);
                                      }));
       }
       return;
     }
   }
   committing_ = true;
-  store_.txn(RequestPriority::Work, flight_->txn, Duration{2'000},
+  store_.txn(RequestPriority::Work, commitInFlight_->txn, Duration{2'000},
              guarded([this](TxnResult r) { committed(r); }));
 }
 
@@ -148,31 +150,31 @@
 }
 
 void ShardScheduler::takeEffect(const TxnResult& r) {
-  auto f = std::move(*flight_);
-  flight_.reset();
+  auto f = std::move(*commitInFlight_);
+  commitInFlight_.reset();
   for (auto n : f.pages) state_.pages().at(n).version = r.revision;
   for (auto n : f.dropped) state_.pages().drop(n);
   for (const auto& id : f.done)
     if (Job* j = state_.job(id.job)) {
       j->tasks[id.index].doneCommitted = true;
-      j->tasks[id.index].flying = false;
+      j->tasks[id.index].writeInFlight = false;
     }
-  for (const auto& id : f.transferred) transferred(id);
+  for (const auto& id : f.migrated) migrated(id);
   for (const auto& written : f.delegated) delegationsCommitted(written, r.revision);
   for (const auto& written : f.returned) returnCommitted(written, r.revision);
   std::set<MachineId> machines;
   for (const auto& [machineId, task, attempt] : f.placed) {
-    if (Job* j = state_.job(task.job)) j->tasks[task.index].flying = false;
+    if (Job* j = state_.job(task.job)) j->tasks[task.index].writeInFlight = false;
     Machine* h = state_.machine(machineId);
     if (!h) continue;
     auto it = h->placements.find(task);
     if (it == h->placements.end() || it->second.attempt != attempt || it->second.committed) continue;
     ShardState::commit(it->second);
-    spans_.toCommitted.add(runtime_.now() - it->second.placedAt);
+    latencies_.toCommitted.add(runtime_.now() - it->second.placedAt);
     if (!it->second.wanted || !h->open()) {
       // Never sent, so it is nowhere.
       taskLost(*h, task);
-      wake(true);
+      requestRound(true);
       continue;
     }
     machines.insert(machineId);
@@ -187,8 +189,8 @@
     log_->info("job {} {}", id.value, status == JobStatus::Done ? "done" : "aborted");
     callbacks_.jobEnded(id, status, r.revision);
     answerCancelWaiters(*j, status);
-    if (status == JobStatus::Aborted) {
-      lastAborted_ = std::max(lastAborted_, r.revision);
+    if (status == JobStatus::Cancelled) {
+      lastCancelled_ = std::max(lastCancelled_, r.revision);
       j->waiting.clear();
       stopTasks(*j, machines);
     }
@@ -196,7 +198,7 @@
   }
   // Only now: a start must not go out beside the end of its own job.
   sendCommandsToAll(machines);
-  wake(false);
+  requestRound(false);
 }
 
 void ShardScheduler::answerCancelWaiters(Job& job, JobStatus s) {
@@ -223,10 +225,11 @@
   if (job.status == JobStatus::Open || job.placed > 0) return;
   auto id = job.id;
   bool remains = !job.delegation && job.remote > 0;  // with other shards
-  if (job.status == JobStatus::Aborted && job.atOnce && !remains) left_.push_back(leftOf(job));
+  if (job.status == JobStatus::Cancelled && job.maxConcurrent && !remains)
+    migrationCleanups_.push_back(cleanupOf(job));
   if (remains) {
     auto sum = job.spec->each * static_cast<double>(job.remote);
-    elsewhere_[id] = {job.spec->team, sum, true, std::nullopt};  // the shard state count it already
+    remoteUsage_[id] = {job.spec->team, sum, true, std::nullopt};  // the shard state count it already
   }
   delegatedHere_.erase(id);
   failures_.forget(id);
--- a/src/scheduler/delegation.cpp
+++ b/src/scheduler/delegation.cpp
@@ -1,7 +1,7 @@
 // Delegations: waiting tasks of a job that another shard places for the shard that owns the job (invariant
 // 18).
 //
-// Used where a job can't be transferred whole: some of its tasks are placed or done, or it is a gang that no
+// Used where a job can't be migrated whole: some of its tasks are placed or done, or it is a gang that no
 // shard has room for alone. The owner keeps the job: it answers its users, writes its end, and counts what
 // it delegated toward the team's limit and the zones' rules. The delegate places the tasks, in one zone
 // where the job's rules ask for it, and gives back what is done, and what it finds no room for. Each step is
@@ -15,8 +15,8 @@
 namespace {
 
 constexpr Duration kReviewEvery{1'000};
-constexpr Duration kOfferHolds{3'000};
-constexpr Duration kBetweenOffers{1'000};  // so that one room is not offered to many
+constexpr Duration kOfferLifetime{3'000};
+constexpr Duration kOfferInterval{1'000};  // so that one room is not offered to many
 constexpr Duration kReturnsAfter{30'000};  // what found no room for so long goes back to the owner
 constexpr std::uint32_t kMostDelegated = 64;
 constexpr std::size_t kTaskBytes = 16;  // at most, of a task by itself in a list of a job's record
@@ -36,27 +36,28 @@
 void ShardScheduler::reviewDelegations(Time now) {
   if (now - delegationsReviewed_ < kReviewEvery) return;
   delegationsReviewed_ = now;
-  std::erase_if(partialOffers_,
-                [&](const auto& o) { return o.second.empty() || now - o.second.front().at > kOfferHolds; });
+  std::erase_if(taskOffers_, [&](const auto& o) {
+    return o.second.empty() || now - o.second.front().at > kOfferLifetime;
+  });
   if (transferringTo_ || ownershipTransferSent_) return;
-  mesh::PartialRoomWanted wanted;
+  mesh::TaskCapacityRequest wanted;
   wanted.shard = takeover_.shard.value;
-  for (Job* job : oldestInVain(false, now)) {
-    if (transferPlanned(job->id) || delegationWrites_.count(job->id) > 0) continue;
-    bool parted = job->spec->shape == Shape::Gang && job->remote > 0;
+  for (Job* job : oldestUnplaceable(false, now)) {
+    if (migrationPlanned(job->id) || delegationWrites_.count(job->id) > 0) continue;
+    bool parted = job->spec->kind == JobKind::Gang && job->remote > 0;
     if (parted) planRecall(*job);  // the members here found no room after all
     if (parted || planDelegations(*job, now))
-      wake(false);
+      requestRound(false);
     else
-      wanted.jobs.push_back(partialRequest(*job));
+      wanted.jobs.push_back(taskCapacityNeed(*job));
   }
-  if (!wanted.jobs.empty()) callbacks_.wantPartialRoom(wanted);
+  if (!wanted.jobs.empty()) callbacks_.requestTaskCapacity(wanted);
 }
 
 // How many of its tasks are to go, and how many of them each zone may take where that matters.
-mesh::PartialRoomRequest ShardScheduler::partialRequest(const Job& job) const {
+mesh::TaskCapacityNeed ShardScheduler::taskCapacityNeed(const Job& job) const {
   auto wanted = static_cast<std::uint32_t>(std::min<std::size_t>(job.waiting.size(), kMostDelegated));
-  mesh::PartialRoomRequest request{job.id.value, std::min(wanted, tasksWithinLimit(job)), {}};
+  mesh::TaskCapacityNeed request{job.id.value, std::min(wanted, tasksWithinLimit(job)), {}};
   if (!boundToZones(*job.spec)) {
     request.zones.push_back({"", request.tasks});
     return request;
@@ -69,29 +70,29 @@
   return request;
 }
 
-void ShardScheduler::partialRoomOffered(const mesh::PartialRoomOffer& offer) {
+void ShardScheduler::handleTaskCapacityOffer(const mesh::TaskCapacityOffer& offer) {
   JobId id{offer.job};
   if (!loaded_ || !owns() || !state_.job(id) || offer.room.tasks == 0) return;
-  auto& offers = partialOffers_[id];
+  auto& offers = taskOffers_[id];
   ShardId shard{offer.shard};
-  std::erase_if(offers, [&](const PartialOffer& o) { return o.shard == shard; });
+  std::erase_if(offers, [&](const ReceivedTaskOffer& o) { return o.shard == shard; });
   offers.push_back({shard, zoneNamed(offer.room.zone), offer.room.tasks, runtime_.now()});
 }
 
 // Hands tasks to those who offered room, the largest offer first. A gang goes only if all of it finds room,
 // with what there is here.
 bool ShardScheduler::planDelegations(Job& job, Time now) {
-  auto found = partialOffers_.find(job.id);
-  if (found == partialOffers_.end()) return false;
+  auto found = taskOffers_.find(job.id);
+  if (found == taskOffers_.end()) return false;
   auto offers = std::move(found->second);
-  partialOffers_.erase(found);
-  std::erase_if(offers, [&](const PartialOffer& o) {
-    return findDelegation(job.delegations, o.shard) || now - o.at > kOfferHolds;
+  taskOffers_.erase(found);
+  std::erase_if(offers, [&](const ReceivedTaskOffer& o) {
+    return findDelegation(job.delegations, o.shard) || now - o.at > kOfferLifetime;
   });
   std::stable_sort(offers.begin(), offers.end(),
-                   [](const PartialOffer& a, const PartialOffer& b) { return a.tasks > b.tasks; });
-  bool gang = job.spec->shape == Shape::Gang;
-  auto here = gang ? roomFor(job) : 0;
+                   [](const ReceivedTaskOffer& a, const ReceivedTaskOffer& b) { return a.tasks > b.tasks; });
+  bool gang = job.spec->kind == JobKind::Gang;
+  auto here = gang ? capacityFor(job) : 0;
   auto left = static_cast<std::uint32_t>(job.waiting.size()) - here;
   if (!gang) left = std::min(left, tasksWithinLimit(job));
   if (gang && tasksWithinLimit(job) < job.waiting.size()) return false;
@@ -116,7 +117,7 @@
   return false;
 }
 
-void ShardScheduler::delegate(Job& job, const PartialOffer& offer, std::uint32_t most) {
+void ShardScheduler::delegate(Job& job, const ReceivedTaskOffer& offer, std::uint32_t most) {
   Delegation d{offer.shard, offer.zone, {}, job.gangAttempt};
   most = std::min({most, offer.tasks, kMostDelegated});
   while (d.tasks.size() < most && (!offer.zone || zoneAllows(job, *offer.zone))) {
@@ -144,7 +145,7 @@
 // Of a gang whose members here are not placed a former owner may have tried some: it starts anew as a whole.
 void ShardScheduler::resumeDelegations(Job& job) {
   if (job.delegation && job.delegation->recalled) recallDelegated(job);
-  if (job.delegation || job.remote == 0 || job.spec->shape != Shape::Gang) return;
+  if (job.delegation || job.remote == 0 || job.spec->kind != JobKind::Gang) return;
   bool recalled = std::any_of(job.delegations.begin(), job.delegations.end(),
                               [](const Delegation& d) { return d.recalled; });
   if (recalled)
@@ -175,13 +176,13 @@
                  known->second.status == JobStatus::Open;
   if (!current || !job.open() || !job.cancelWaiters.empty()) return std::nullopt;
   wire::JobRecord record{
-      JobStatus::Open, takeover_.shard, known->second.tasks,       job.submitted,
-      *job.spec,       job.atOnce,      known->second.delegations, known->second.doneElsewhere};
+      JobStatus::Open, takeover_.shard,   known->second.tasks,       job.submitted,
+      *job.spec,       job.maxConcurrent, known->second.delegations, known->second.doneRemotely};
   record.delegations.insert(record.delegations.end(), change.planned.begin(), change.planned.end());
   if (change.recall)
     for (auto& d : record.delegations) d.recalled = true;
   // What pages tell by now.
-  std::erase_if(record.doneElsewhere, [&](auto index) {
+  std::erase_if(record.doneRemotely, [&](auto index) {
     const auto& task = job.tasks[index];
     return task.doneCommitted && task.page != kNoPage;
   });
@@ -210,7 +211,7 @@
       it = delegationWrites_.erase(it);
       continue;
     }
-    flight_->delegated.push_back(std::move(it->second));
+    commitInFlight_->delegated.push_back(std::move(it->second));
     it = delegationWrites_.erase(it);
   }
 }
@@ -234,9 +235,10 @@
     const auto* now = findDelegation(known.delegations, before.shard);
     for (auto index : before.tasks) {
       if ((now && now->covers(index)) || job.tasks[index].state != TaskState::Remote) continue;
-      bool done = std::binary_search(known.doneElsewhere.begin(), known.doneElsewhere.end(), index);
+      bool done = std::binary_search(known.doneRemotely.begin(), known.doneRemotely.end(), index);
       state_.remoteBack(job, index, before.zone, done);
-      if (done) fresh_.push_back({job.id, index});  // for a page, so that the record need not keep it
+      if (done)
+        unwrittenTasks_.push_back({job.id, index});  // for a page, so that the record need not keep it
       notDone |= !done;
       any = true;
     }
@@ -248,15 +250,15 @@
   settleDoneGang(job);
   if (notDone) gangBroken(job);
   endIfFinished(job);
-  if (any) wake(true);
+  if (any) requestRound(true);
 }
 
 // --- the delegate ---
 
-void ShardScheduler::partialRoomWanted(const mesh::PartialRoomWanted& wanted) {
+void ShardScheduler::handleTaskCapacityRequest(const mesh::TaskCapacityRequest& wanted) {
   auto now = runtime_.now();
   if (!loaded_ || !owns() || transferringTo_ || ownershipTransferSent_ ||
-      now - partialOfferedAt_ < kBetweenOffers)
+      now - taskCapacityOfferedAt_ < kOfferInterval)
     return;
   for (const auto& request : wanted.jobs) {
     JobId id{request.job};
@@ -267,15 +269,15 @@
     Job probe;
     probe.id = id;
     probe.spec = known->second.spec;
-    mesh::PartialRoomOffer offer{takeover_.shard.value, wanted.shard, request.job, {}};
+    mesh::TaskCapacityOffer offer{takeover_.shard.value, wanted.shard, request.job, {}};
     for (const auto& [zone, tasks] : request.zones) {
       probe.delegation = Delegation{takeover_.shard, zoneNamed(zone), {}};
-      auto room = std::min({roomFor(probe), tasks, request.tasks});
+      auto room = std::min({capacityFor(probe), tasks, request.tasks});
       if (room > offer.room.tasks) offer.room = {zone, room};
     }
     if (offer.room.tasks == 0) continue;
-    partialOfferedAt_ = now;
-    return callbacks_.offerPartialRoom(offer);
+    taskCapacityOfferedAt_ = now;
+    return callbacks_.offerTaskCapacity(offer);
   }
 }
 
@@ -299,13 +301,13 @@
     if (returned != returnedAt_.end()) returnedAt_.erase(returned);
     if (!mine || known.status != JobStatus::Open || !known.spec) return;
     acceptDelegation(id, known, *mine);
-    return wake(true);
+    return requestRound(true);
   }
   if (!job->delegation || job->status != JobStatus::Open) return;
   job->version = std::max(job->version, known.version);
-  if (known.status == JobStatus::Aborted) {
-    lastAborted_ = std::max(lastAborted_, known.version);
-    abortDelegated(*job);
+  if (known.status == JobStatus::Cancelled) {
+    lastCancelled_ = std::max(lastCancelled_, known.version);
+    cancelDelegated(*job);
   } else if (mine && mine->recalled) {
     recallDelegated(*job);
   }
@@ -318,18 +320,18 @@
   std::set<MachineId> machines;
   stopTasks(job, machines);
   sendCommandsToAll(machines);
-  wake(false);
+  requestRound(false);
 }
 
-void ShardScheduler::abortDelegated(Job& job) {
+void ShardScheduler::cancelDelegated(Job& job) {
   auto id = job.id;
-  job.status = JobStatus::Aborted;
+  job.status = JobStatus::Cancelled;
   job.waiting.clear();
   std::set<MachineId> machines;
   stopTasks(job, machines);
   if (Job* left = state_.job(id)) cleanUp(*left);
   sendCommandsToAll(machines);
-  wake(true);
+  requestRound(true);
 }
 
 // Tasks that go back to the owner: all that are not placed, once nothing is left to do, or once what waits
@@ -362,21 +364,21 @@
     auto tasks = returnable(*job, runtime_.now());
     if (tasks.empty()) continue;
     const auto& k = known->second;
-    wire::JobRecord record{JobStatus::Open, k.shard,  k.tasks,       k.submitted,
-                           *job->spec,      k.atOnce, k.delegations, k.doneElsewhere};
+    wire::JobRecord record{JobStatus::Open, k.shard,         k.tasks,       k.submitted,
+                           *job->spec,      k.maxConcurrent, k.delegations, k.doneRemotely};
     DelegationReturn written{id, tasks, *job->delegation};
     std::erase_if(written.kept.tasks,
                   [&](auto index) { return std::binary_search(tasks.begin(), tasks.end(), index); });
     std::erase_if(record.delegations, [&](const auto& d) { return d.shard == takeover_.shard; });
     if (!written.kept.tasks.empty()) record.delegations.push_back(written.kept);
     for (auto index : tasks)
-      if (job->tasks[index].state == TaskState::Done) record.doneElsewhere.push_back(index);
-    std::sort(record.doneElsewhere.begin(), record.doneElsewhere.end());
+      if (job->tasks[index].state == TaskState::Done) record.doneRemotely.push_back(index);
+    std::sort(record.doneRemotely.begin(), record.doneRemotely.end());
     wire::Write write{keys::job(id), wire::encodeJobRecord(record), {}};
     // One that was written under a larger limit waits until it has shrunk, or its job is over.
     if (write.value->size() > settings_.valueBytes) continue;
     if (!transaction.add(std::move(write), job->version)) return;
-    flight_->returned.push_back(std::move(written));
+    commitInFlight_->returned.push_back(std::move(written));
   }
 }
 
--- a/src/scheduler/gangs.cpp
+++ b/src/scheduler/gangs.cpp
@@ -14,11 +14,11 @@
 std::vector<policy::GangZone> ShardScheduler::gangZones(const Job& job) const {
   const auto& spec = *job.spec;
   std::map<Zone, policy::GangZone> zones;
-  for (const auto& [zone, room] : roomByZone(job)) zones[zone] = {zone, room, 0, spec.imageGb};
+  for (const auto& [zone, room] : capacityByZone(job)) zones[zone] = {zone, room, 0, spec.imageGb};
   for (const auto& pool : state_.pools()) {
     auto zone = zones.find(pool.zone);
     if (zone == zones.end() || !allowedIn(job, pool) || pool.fetchGbPerS <= 0) continue;
-    bool fits = pool.anyRoom(spec.each, settings_.tuning.sample, [](const Machine&) { return true; });
+    bool fits = pool.hasCapacity(spec.each, settings_.tuning.sampleSize, [](const Machine&) { return true; });
     if (fits) zone->second.fetchS = std::min(zone->second.fetchS, spec.imageGb / pool.fetchGbPerS);
   }
   for (const auto& [_, machine] : *job.holders) {
@@ -51,9 +51,9 @@
   auto all = static_cast<unsigned>(job.waiting.size());
   auto placedLast = job.placedLast;
   bool begun = job.begun;
-  auto before = fresh_.size();
-  if (placeSome(job, all) == all) return true;
-  fresh_.resize(before);
+  auto before = unwrittenTasks_.size();
+  if (placeTasks(job, all) == all) return true;
+  unwrittenTasks_.resize(before);
   for (std::uint32_t i = 0; i < job.tasks.size(); ++i)
     if (Machine* h = job.tasks[i].machine) state_.markGone(*h, TaskId{job.id, i}, runtime_.now());
   std::sort(job.waiting.begin(), job.waiting.end());
@@ -100,16 +100,16 @@
 
 // The least costly way to make room for all members, in one zone if they must be in one; nothing if there is
 // none.
-std::optional<std::vector<ShardScheduler::PlannedEviction>> ShardScheduler::planRoomForGang(
-    const Ranked& blocked, const std::vector<Machine*>& peeked, const RoomToCome& room) const {
+std::optional<std::vector<ShardScheduler::PlannedEviction>> ShardScheduler::planEvictionsForGang(
+    const Ranked& blocked, const std::vector<Machine*>& sampled, const CapacityForecast& room) const {
   const Job& job = *blocked.job;
   // By zone, or all together.
   std::map<Zone, std::vector<Machine*>> choices;
-  for (Machine* h : peeked) choices[job.spec->oneZone ? h->zone() : Zone{}].push_back(h);
+  for (Machine* h : sampled) choices[job.spec->oneZone ? h->zone() : Zone{}].push_back(h);
   std::optional<std::vector<PlannedEviction>> best;
   double least = 0;
   for (const auto& [_, machines] : choices) {
-    auto plan = planRoomOn(blocked, machines, room);
+    auto plan = planEvictionsOn(blocked, machines, room);
     double lost = 0;
     if (plan)
       for (const auto& eviction : *plan) lost += eviction.lost;
@@ -119,8 +119,8 @@
 }
 
 // Room for all members on these machines.
-std::optional<std::vector<ShardScheduler::PlannedEviction>> ShardScheduler::planRoomOn(
-    const Ranked& blocked, const std::vector<Machine*>& machines, RoomToCome room) const {
+std::optional<std::vector<ShardScheduler::PlannedEviction>> ShardScheduler::planEvictionsOn(
+    const Ranked& blocked, const std::vector<Machine*>& machines, CapacityForecast room) const {
   std::vector<PlannedEviction> plan;
   std::set<TaskId> taken;
   for (std::size_t n = 0; n < blocked.job->waiting.size(); ++n) {
@@ -138,10 +138,11 @@
 }
 
 // Stops others for a gang only if that makes room for all of it.
-void ShardScheduler::makeRoomForGang(const Ranked& blocked, RoomToCome& room, std::set<MachineId>& changed) {
+void ShardScheduler::preemptForGang(const Ranked& blocked, CapacityForecast& room,
+                                    std::set<MachineId>& changed) {
   const Job& job = *blocked.job;
   if (job.placed > 0 || tasksWithinLimit(job) < job.waiting.size()) return;
-  auto plan = planRoomForGang(blocked, peekForRoom(job), room);
+  auto plan = planEvictionsForGang(blocked, sampleForEviction(job), room);
   if (!plan) return;
   for (const auto& eviction : *plan) {
     carryOut(eviction, blocked, room);
--- a/src/scheduler/heartbeats.cpp
+++ b/src/scheduler/heartbeats.cpp
@@ -42,7 +42,7 @@
   if (!h) return {503, R"({"error":"unknown machine"})"};
   // Until it has acknowledged our token, a former owner may be answering it as well (invariant 6).
   if (!h->heard) h->aliveUntil = std::max(h->aliveUntil, now + leaseAfterAnswer());
-  // What is aborted ends with every answer: its lease must not go on without (invariant 16).
+  // What is cancelled ends with every answer: its lease must not go on without (invariant 16).
   auto list = view_.stopCommandsForCancelled(r);
   // A late copy gets no other commands: whoever waits for its answer, the present machine does not (invariant
   // 12).
@@ -68,7 +68,7 @@
       }
     if (heartbeat) noteTokenAcknowledged(h, false);
     h.attention = true;
-    wake(false);
+    requestRound(false);
     return false;
   }
   // Late reports never undo newer knowledge (invariant 4).
@@ -97,7 +97,7 @@
   noteTokenAcknowledged(h, h.noCommandInDoubt());
   if (!first && !wasCordoned && !dropped && !h.attention && r.tasks == h.reported && !r.reclaimInS) {
     state_.reindex(h);
-    if (h.indexedFree && *h.indexedFree > 0) wake(false, &h.id);
+    if (h.indexedFree && *h.indexedFree > 0) requestRound(false, &h.id);
     return true;  // as before
   }
   auto before = h.placements.size();
@@ -110,7 +110,7 @@
     }
     auto& p = it->second;
     if (p.shown && p.phase == t.phase) continue;
-    if (!p.shown && !p.restored) spans_.toShown.add(now - p.placedAt);
+    if (!p.shown && !p.restored) latencies_.toShown.add(now - p.placedAt);
     state_.setPhase(p, t.phase, now);
     state_.cached(h, p.job->spec->image, p.job->spec->imageGb);
   }
@@ -124,7 +124,7 @@
   h.attention = pending || h.sendAgain || !h.noCommandInDoubt();
   state_.reindex(h);
   bool freed = h.placements.size() < before || first || wasCordoned;
-  wake(freed, &h.id);
+  requestRound(freed, &h.id);
   return true;
 }
 
@@ -223,14 +223,14 @@
   for (const auto& [task, p] : h.placements) {
     const auto& spec = *p.job->spec;
     double ran = p.shown && p.phase == TaskPhase::Running ? inSeconds(now - p.runningSince) : 0;
-    bool ends = spec.shape != Shape::Service && spec.expectS - ran < *r.reclaimInS;
+    bool ends = spec.kind != JobKind::Service && spec.expectedRunSeconds - ran < *r.reclaimInS;
     if (p.wanted && !ends) move.push_back(task);
   }
   for (const auto& task : move) {
     auto it = h.placements.find(task);
     if (it == h.placements.end()) continue;  // it went with another member of its gang
     if (it->second.job->isGang())
-      stopGang(*it->second.job, it->second.job->spec->snapshotS >= *r.reclaimInS);
+      stopGang(*it->second.job, it->second.job->spec->checkpointSeconds >= *r.reclaimInS);
     else
       stop(h, task, it->second);
   }
--- a/src/scheduler/liveness.cpp
+++ b/src/scheduler/liveness.cpp
@@ -46,7 +46,7 @@
     for (const auto& task : lostTasks) {
       taskLost(h, task);
     }
-    wake(true);
+    requestRound(true);
   }
   if (!h.cordoned && timeSinceHeartbeat(h) > seconds(settings_.reportS * kCordonAfterHeartbeats)) {
     h.cordoned = true;
@@ -98,7 +98,7 @@
     if (h->returnNow || (z != zoneSuspectedAt_.end() && now - z->second < settle)) continue;
     log_->info("{} {} and is returned", h->id.value,
                h->tokenUnacknowledgedSince ? "does not hear us" : "is silent");
-    h->returnNow = h->leaving = true;
+    h->returnNow = h->decommissioning = true;
     state_.reindex(*h);
   }
 }
--- a/src/scheduler/machine_drain.cpp
+++ b/src/scheduler/machine_drain.cpp
@@ -1,26 +1,26 @@
-// What becomes of the scheduler's machines: the leader's wishes, and emptying.
+// What becomes of the scheduler's machines: the leader's wishes, and drained.
 #include <algorithm>
 
 #include "scheduler/shard_scheduler.h"
 
 namespace cherryloft {
 
-void ShardScheduler::wish(const mesh::MachineDirective& w) {
+void ShardScheduler::handleDirective(const mesh::MachineDirective& w) {
   Machine* h = state_.machine(MachineId{w.machine});
-  if (!loaded_ || !owns() || !h || h->leaving) return;
+  if (!loaded_ || !owns() || !h || h->decommissioning) return;
   switch (w.kind) {
     case mesh::MachineDirective::Keep:
-      h->emptying = false;
+      h->draining = false;
       state_.reindex(*h);
-      return wake(true);
-    case mesh::MachineDirective::Cede:
+      return requestRound(true);
+    case mesh::MachineDirective::MoveAfterDrain:
       if (h->replicaCores > 0) return;
-      h->leaving = true;
-      h->giveTo = static_cast<std::int32_t>(w.toShard);
+      h->decommissioning = true;
+      h->moveTarget = static_cast<std::int32_t>(w.toShard);
       state_.reindex(*h);
       return;
-    case mesh::MachineDirective::Empty:
-      h->emptying = true;
+    case mesh::MachineDirective::Drain:
+      h->draining = true;
       state_.reindex(*h);
       return;
     default:
@@ -28,8 +28,8 @@
       // A faulty machine is idle all the time, and must not go from shard to shard before it is known for
       // one.
       if (w.kind == mesh::MachineDirective::Move && failures_.undecidedAbout(h->id, runtime_.now())) return;
-      h->leaving = true;
-      h->giveTo = w.kind == mesh::MachineDirective::Move ? static_cast<std::int32_t>(w.toShard) : -1;
+      h->decommissioning = true;
+      h->moveTarget = w.kind == mesh::MachineDirective::Move ? static_cast<std::int32_t>(w.toShard) : -1;
       state_.reindex(*h);
   }
 }
@@ -41,11 +41,11 @@
   std::vector<TaskId> move;
   for (const auto& [task, p] : h.placements) {
     const auto& spec = *p.job->spec;
-    if (spec.shape != Shape::Service) continue;
+    if (spec.kind != JobKind::Service) continue;
     unsigned looked = 0;
     Machine* to = nullptr;
     for (const auto& [no, x] : *p.job->holders) {
-      if (x == &h || !x->open() || ++looked > settings_.tuning.sample) continue;
+      if (x == &h || !x->open() || ++looked > settings_.tuning.sampleSize) continue;
       auto free = room.try_emplace(no, x->free()).first->second;
       // Within its zone it changes nothing for the zones' rules; elsewhere they must allow one more.
       bool zoneFits = x->zone() == h.zone() || zoneAllows(*p.job, x->zone(), come[{p.job, x->zone()}]);
@@ -62,13 +62,14 @@
 }
 
 // A machine that is to empty itself: arrays end by themselves, then replicas are moved.
-void ShardScheduler::settleEmptying(Machine& h) {
-  if (!h.emptying || h.leaving || h.placements.empty()) return;  // once empty, the leader says where it goes
+void ShardScheduler::progressDrain(Machine& h) {
+  if (!h.draining || h.decommissioning || h.placements.empty())
+    return;  // once empty, the leader says where it goes
   for (const auto& [_, p] : h.placements)
-    if (p.job->spec->shape != Shape::Service || !p.wanted) return;
+    if (p.job->spec->kind != JobKind::Service || !p.wanted) return;
   auto move = movableReplicas(h);
   if (!move) {
-    h.emptying = false;
+    h.draining = false;
     state_.reindex(h);
     return;
   }
@@ -80,7 +81,7 @@
 
 // Nothing of ours can still act on it.
 bool ShardScheduler::mayLeave(const Machine& h) const {
-  return h.giveTo && h.placements.empty() && h.noCommandInDoubt() && !h.commandInFlight;
+  return h.moveTarget && h.placements.empty() && h.noCommandInDoubt() && !h.commandInFlight;
 }
 
 }  // namespace cherryloft
--- a/src/scheduler/machine_records_writer.cpp
+++ b/src/scheduler/machine_records_writer.cpp
@@ -17,10 +17,10 @@
   std::map<std::string, GroupChange> changes;
   for (auto& [_, h] : state_.machines()) {
     if (h.known.record.phase != wire::MachinePhase::InUse) continue;
-    if (h.returnNow || (mayLeave(h) && *h.giveTo < 0)) {
+    if (h.returnNow || (mayLeave(h) && *h.moveTarget < 0)) {
       changes[h.known.group].back.insert(h.id);
     } else if (mayLeave(h)) {
-      changes[h.known.group].moved[*h.giveTo].push_back(&h);
+      changes[h.known.group].moved[*h.moveTarget].push_back(&h);
     } else if (h.heard && h.address != h.known.record.address) {
       // Those of a group come up one after the other.
       if (addressSince_ == Time{}) addressSince_ = now;
--- a/src/scheduler/placement_pages.cpp
+++ b/src/scheduler/placement_pages.cpp
@@ -2,8 +2,8 @@
 
 namespace cherryloft {
 
-PageNo Pages::next(const std::set<PageNo>& taken) {
-  const std::pair<const PageNo, Page>* best = nullptr;
+PageNumber PlacementPages::next(const std::set<PageNumber>& taken) {
+  const std::pair<const PageNumber, Page>* best = nullptr;
   for (const auto& p : pages_)
     if (taken.count(p.first) == 0 && p.second.live <= enough_ && (!best || p.second.live < best->second.live))
       best = &p;
@@ -13,7 +13,7 @@
   return n;
 }
 
-std::optional<PageNo> Pages::spare(const std::set<PageNo>& taken) const {
+std::optional<PageNumber> PlacementPages::spare(const std::set<PageNumber>& taken) const {
   constexpr std::size_t keep = 4;
   std::size_t empty = 0;
   // clang 14 can't compile std::views::reverse with libstdc++ 12, which modernize-loop-convert asks for.
--- a/src/scheduler/placement_pages.h
+++ b/src/scheduler/placement_pages.h
@@ -12,27 +12,27 @@
 
 namespace cherryloft {
 
-using PageNo = std::uint32_t;
-inline constexpr PageNo kNoPage = UINT32_MAX;
+using PageNumber = std::uint32_t;
+inline constexpr PageNumber kNoPage = UINT32_MAX;
 
-class Pages {
+class PlacementPages {
  public:
   struct Page {
     Version version;              // 0: not written yet
     std::vector<TaskId> members;  // whose state it held when last written
     std::size_t live = 0;         // of those, whose latest state it still is
   };
-  explicit Pages(std::size_t valueBytes) : enough_(valueBytes / kBytesPerLiveFact) {}
+  explicit PlacementPages(std::size_t valueBytes) : enough_(valueBytes / kBytesPerLiveFact) {}
 
-  Page& at(PageNo n) {
+  Page& at(PageNumber n) {
     next_ = std::max(next_, n + 1);
     return pages_[n];
   }
   // The emptiest page, or a new one while all are more than a quarter full.
-  PageNo next(const std::set<PageNo>& taken);
+  PageNumber next(const std::set<PageNumber>& taken);
   // One that holds nothing any more, if so many are there that it is not worth keeping.
-  std::optional<PageNo> spare(const std::set<PageNo>& taken) const;
-  void drop(PageNo n) { pages_.erase(n); }
+  std::optional<PageNumber> spare(const std::set<PageNumber>& taken) const;
+  void drop(PageNumber n) { pages_.erase(n); }
   std::size_t count() const { return pages_.size(); }
 
  private:
@@ -40,8 +40,8 @@
   // fits. The emptier the page that is written anew, the more new facts one change tells.
   static constexpr std::size_t kBytesPerLiveFact = 160;
   std::size_t enough_;
-  std::map<PageNo, Page> pages_;
-  PageNo next_ = 0;  // never one that was dropped: its first write may be carried out again, late
+  std::map<PageNumber, Page> pages_;
+  PageNumber next_ = 0;  // never one that was dropped: its first write may be carried out again, late
 };
 
 }  // namespace cherryloft
--- a/src/scheduler/placement_rounds.cpp
+++ b/src/scheduler/placement_rounds.cpp
@@ -20,29 +20,29 @@
 }  // namespace
 
 // Asks for a round. Machines in `at` reported; `everywhere` counts as a report of every machine with room.
-void ShardScheduler::wake(bool everywhere, const MachineId* at) {
-  drawEverywhere_ |= everywhere;
-  if (at) drawAt_.insert(*at);
-  if (roundSet_) return;
-  roundSet_ = true;
+void ShardScheduler::requestRound(bool everywhere, const MachineId* at) {
+  considerAllMachines_ |= everywhere;
+  if (at) machinesToConsider_.insert(*at);
+  if (roundScheduled_) return;
+  roundScheduled_ = true;
   // What comes within a moment shards a round: a fleet's reports come faster than rounds are worth it.
   runtime_.after(std::max(lastRound_ + kBetweenRounds - runtime_.now(), Duration{0}), guarded([this] {
-                   roundSet_ = false;
-                   round();
+                   roundScheduled_ = false;
+                   runRound();
                  }));
 }
 
-void ShardScheduler::round() {
+void ShardScheduler::runRound() {
   lastRound_ = runtime_.now();
-  if (!loaded_ || !owns() || ownershipTransferSent_ || committing_ || flight_) {
+  if (!loaded_ || !owns() || ownershipTransferSent_ || committing_ || commitInFlight_) {
     if (!committing_) commit();
     return;
   }
   if (!transferringTo_) {
-    auto before = fresh_.size();
+    auto before = unwrittenTasks_.size();
     place();
-    ++spans_.rounds;
-    spans_.widest = std::max(spans_.widest, fresh_.size() - before);
+    ++latencies_.rounds;
+    latencies_.widest = std::max(latencies_.widest, unwrittenTasks_.size() - before);
   }
   commit();
 }
@@ -59,16 +59,18 @@
       sum += job->unfinished();
       if (job->waiting.empty() || now < job->notBefore) continue;
       policy::Candidate c;
-      c.rank = job->spec->rank;
+      c.priority = job->spec->priority;
       // Only the owner of a delegated job knows what its team takes in all.
       c.guaranteed =
           t && !job->delegation && Resources{sum.cores, sum.gpus, 0}.fitsIn({t->cores, t->gpus, 0});
       c.ageS = static_cast<double>(wall.value - job->submitted.value) / 1000.0;
-      if (job->spec->dueS) c.slackS = *job->spec->dueS - c.ageS - job->spec->expectS;
-      c.workLeft = job->unfinished().cores * job->spec->expectS;
+      if (job->spec->deadlineSeconds)
+        c.slackS = *job->spec->deadlineSeconds - c.ageS - job->spec->expectedRunSeconds;
+      c.workLeft = job->unfinished().cores * job->spec->expectedRunSeconds;
       // Owners' estimates are often wrong by half: half of one must fit.
-      auto within = job->spec->dueS ? job->spec->dueS : settings_.finishWithin(job->spec->jobClass);
-      c.hopeful = !within || c.ageS + 0.5 * job->spec->expectS <= *within;
+      auto within = job->spec->deadlineSeconds ? job->spec->deadlineSeconds
+                                               : settings_.finishWithin(job->spec->jobClass);
+      c.hopeful = !within || c.ageS + 0.5 * job->spec->expectedRunSeconds <= *within;
       c.overdue = !job->begun && c.ageS > kOverdueS;
       out.push_back({job, c});
     }
@@ -81,7 +83,7 @@
   std::map<TeamId, unsigned> turns;
   std::vector<Ranked> blocked;
   // The batch is as wide as one transaction; what is left forms the next round.
-  while (!list.empty() && fresh_.size() < roundWidth()) {
+  while (!list.empty() && unwrittenTasks_.size() < roundWidth()) {
     for (auto& r : list) r.c.turns = turns[r.job->spec->team];
     auto best = std::min_element(list.begin(), list.end(),
                                  [](const Ranked& a, const Ranked& b) { return policy::before(a.c, b.c); });
@@ -92,35 +94,35 @@
     }
     auto most = std::min<std::size_t>(kTurn, best->job->waiting.size());
     if (failures_.suspect(best->job->id)) {
-      tryOne(*best->job);
+      placeProbeTask(*best->job);
       list.erase(best);
       continue;
     }
-    auto got = placeSome(*best->job, static_cast<unsigned>(most));
+    auto got = placeTasks(*best->job, static_cast<unsigned>(most));
     ++turns[best->job->spec->team];
     best->c.overdue = false;  // it has begun, or there is no room for it
     if (got == most && !best->job->waiting.empty()) continue;
     if (got < most && state_.withinLimit(*best->job)) blocked.push_back(*best);
     list.erase(best);
   }
-  bool roomless =
-      std::any_of(blocked.begin(), blocked.end(), [&](const Ranked& r) { return !anyRoom(*r.job); });
-  drawEverywhere_ = false;
-  drawAt_.clear();
-  if (roomless && keepEmptying()) return wake(true);
-  makeRoom(blocked);
-  if (!list.empty()) drawEverywhere_ = true;  // these had no turn yet
+  bool withoutCapacity =
+      std::any_of(blocked.begin(), blocked.end(), [&](const Ranked& r) { return !hasCapacity(*r.job); });
+  considerAllMachines_ = false;
+  machinesToConsider_.clear();
+  if (withoutCapacity && cancelOneDrain()) return requestRound(true);
+  preempt(blocked);
+  if (!list.empty()) considerAllMachines_ = true;  // these had no turn yet
 }
 
 // A job that has failed wherever it was tried takes room for one task at a time, and nobody gives way to it.
-void ShardScheduler::tryOne(Job& job) {
-  if (job.placed == 0 || runtime_.now() - job.placedLast >= kBetweenTrials) placeSome(job, 1);
+void ShardScheduler::placeProbeTask(Job& job) {
+  if (job.placed == 0 || runtime_.now() - job.placedLast >= kBetweenTrials) placeTasks(job, 1);
 }
 
-unsigned ShardScheduler::placeSome(Job& job, unsigned most) {
-  if (!state_.withinLimit(job) || !anyFree(job)) return 0;
+unsigned ShardScheduler::placeTasks(Job& job, unsigned most) {
+  if (!state_.withinLimit(job) || !anyFreeCores(job)) return 0;
   job.avoidSpot = fragile(job);
-  auto turn = look(job);
+  auto turn = beginTurn(job);
   unsigned got = 0;
   // The members of a gang find each other by their common attempt.
   bool gang = job.isGang();
@@ -129,7 +131,7 @@
   while (got < most && !job.waiting.empty() && state_.withinLimit(job)) {
     Machine* h = choose(job, turn);
     if (!h && std::exchange(job.avoidSpot, false)) {
-      turn = look(job);
+      turn = beginTurn(job);
       continue;
     }
     if (!h) break;
@@ -139,10 +141,10 @@
     state_.place(job, index, *h, attempt, runtime_.now());
     state_.cached(*h, job.spec->image, job.spec->imageGb);
     h->attention = true;
-    fresh_.push_back({job.id, index});
-    startsFresh_ = true;
-    spans_.toPlaced.add(runtime_.now() - job.since);
-    ++spans_.counts.starts;
+    unwrittenTasks_.push_back({job.id, index});
+    placementsUnwritten_ = true;
+    latencies_.toPlaced.add(runtime_.now() - job.since);
+    ++latencies_.counts.starts;
     log_->debug("{}/{} to {}", job.id.value, index, h->id.value);
     ++got;
   }
@@ -151,10 +153,10 @@
 }
 
 // Some pool has a machine with cores enough. While none has, no holder need be looked at either.
-bool ShardScheduler::anyFree(const Job& job) const {
+bool ShardScheduler::anyFreeCores(const Job& job) const {
   return std::any_of(state_.pools().begin(), state_.pools().end(), [&](const Pool& p) {
-    return !p.byRoom.empty() && p.byRoom.rbegin()->first.first >= job.spec->each.cores - kResourceSlack &&
-           allowedIn(job, p);
+    return !p.byFreeCores.empty() &&
+           p.byFreeCores.rbegin()->first.first >= job.spec->each.cores - kResourceSlack && allowedIn(job, p);
   });
 }
 
@@ -162,10 +164,11 @@
 bool ShardScheduler::fragile(const Job& job) const {
   const auto& s = *job.spec;
   auto within = settings_.finishWithin(s.jobClass);
-  if (!s.lendable || !within) return false;
+  if (!s.spotAllowed || !within) return false;
   double ageS = static_cast<double>(runtime_.wall().value - job.submitted.value) / 1000.0;
-  if (ageS + s.expectS > kNoHope * *within) return false;
-  return s.expectS > kLongRun * *within || (job.lost > 0 && ageS + s.expectS > kLostRun * *within);
+  if (ageS + s.expectedRunSeconds > kNoHope * *within) return false;
+  return s.expectedRunSeconds > kLongRun * *within ||
+         (job.lost > 0 && ageS + s.expectedRunSeconds > kLostRun * *within);
 }
 
 bool ShardScheduler::zoneAllows(const Job& job, const Zone& zone, unsigned come) const {
@@ -182,10 +185,10 @@
 }
 
 // Whether some machine could take the job's next task now, whatever the draw says.
-bool ShardScheduler::anyRoom(const Job& job) const {
+bool ShardScheduler::hasCapacity(const Job& job) const {
   return std::any_of(state_.pools().begin(), state_.pools().end(), [&](const Pool& p) {
-    return allowedIn(job, p) && p.anyRoom(job.spec->each, settings_.tuning.sample,
-                                          [&](const Machine& h) { return allowed(job, h); });
+    return allowedIn(job, p) && p.hasCapacity(job.spec->each, settings_.tuning.sampleSize,
+                                              [&](const Machine& h) { return allowed(job, h); });
   });
 }
 
@@ -196,10 +199,10 @@
 }
 
 // Room is short: machines that were to empty themselves take work again. True if there were any.
-bool ShardScheduler::keepEmptying() {
+bool ShardScheduler::cancelOneDrain() {
   bool any = false;
   for (auto& [_, h] : state_.machines()) {
-    if (h.leaving || !std::exchange(h.emptying, false)) continue;
+    if (h.decommissioning || !std::exchange(h.draining, false)) continue;
     state_.reindex(h);
     any = true;
   }
@@ -214,19 +217,19 @@
 // Type, kind and zone, for all machines of a pool at once.
 bool ShardScheduler::allowedIn(const Job& job, const Pool& p) const {
   const auto& s = *job.spec;
-  return s.allowsType(p.type) && (!p.spot || (s.lendable && !job.avoidSpot)) && zoneAllows(job, p.zone);
+  return s.allowsType(p.type) && (!p.spot || (s.spotAllowed && !job.avoidSpot)) && zoneAllows(job, p.zone);
 }
 
 bool ShardScheduler::allowedKind(const Job& job, const Machine& h) const {
   const auto& s = *job.spec;
-  if (!s.allowsType(h.known.record.type) || (h.spot() && (!s.lendable || job.avoidSpot))) return false;
+  if (!s.allowsType(h.known.record.type) || (h.spot() && (!s.spotAllowed || job.avoidSpot))) return false;
   return !failures_.avoids(job.id, h.id, state_.machines().size(), runtime_.now());
 }
 
 // Which of two machines with room a task should rather go to, the image aside.
 bool ShardScheduler::better(const Job& job, const Machine& a, const Machine& b) const {
   if (a.spot() != b.spot()) return a.spot();  // cheap machines first for those who may use them
-  if (job.spec->shape == Shape::Service) {
+  if (job.spec->kind == JobKind::Service) {
     auto in = [&](const Machine& h) {
       auto it = job.zones.find(h.zone());
       return it == job.zones.end() ? 0U : it->second;
@@ -243,9 +246,9 @@
 
 // A turn's look at the machines that cache the image. They stay in order while the turn fills them: the
 // fullest that still fits comes first.
-ShardScheduler::Turn ShardScheduler::look(const Job& job) {
-  Turn turn;
-  spans_.counts.looked += job.holders->size();
+ShardScheduler::PlacementTurn ShardScheduler::beginTurn(const Job& job) {
+  PlacementTurn turn;
+  latencies_.counts.machinesExamined += job.holders->size();
   for (const auto& [_, h] : *job.holders)
     if (job.spec->each.fitsIn(h->free()) && allowed(job, *h)) turn.holders.push_back(h);
   std::sort(turn.holders.begin(), turn.holders.end(),
@@ -253,9 +256,9 @@
   return turn;
 }
 
-Machine* ShardScheduler::holder(const Job& job, Turn& turn) const {
+Machine* ShardScheduler::holder(const Job& job, PlacementTurn& turn) const {
   auto fits = [&](const Machine* h) { return job.spec->each.fitsIn(h->free()) && allowed(job, *h); };
-  if (job.spec->shape == Shape::Service) {
+  if (job.spec->kind == JobKind::Service) {
     Machine* best = nullptr;
     for (Machine* h : turn.holders)
       if (fits(h) && (!best || better(job, *h, *best))) best = h;
@@ -267,13 +270,13 @@
 }
 
 // Up to K machines with room that do not cache the image, in the order in which they should be tried.
-std::vector<Machine*> ShardScheduler::others(const Job& job, const Turn& turn) {
+std::vector<Machine*> ShardScheduler::others(const Job& job, const PlacementTurn& turn) {
   const auto& spec = *job.spec;
   // Where a start is to come soon, the time of the fetch decides (DESIGN.md, exceptions).
-  bool aimed = settings_.startWithin(spec.jobClass).has_value();
+  bool hasObjective = settings_.startWithin(spec.jobClass).has_value();
   auto sortOthers = [&](std::vector<Machine*>& list) {
     std::stable_sort(list.begin(), list.end(), [&](const Machine* a, const Machine* b) {
-      auto fa = aimed ? a->fetchS(spec) : 0, fb = aimed ? b->fetchS(spec) : 0;
+      auto fa = hasObjective ? a->fetchS(spec) : 0, fb = hasObjective ? b->fetchS(spec) : 0;
       return fa != fb ? fa < fb : better(job, *a, *b);
     });
   };
@@ -282,8 +285,8 @@
            allowed(job, h);
   };
   std::vector<Machine*> out;
-  if (!drawEverywhere_) {
-    for (const auto& id : drawAt_)
+  if (!considerAllMachines_) {
+    for (const auto& id : machinesToConsider_)
       if (auto it = state_.machines().find(id); it != state_.machines().end() && takes(it->second))
         out.push_back(&it->second);
     sortOthers(out);
@@ -291,59 +294,60 @@
   }
   struct Walk {
     const Pool* pool;
-    decltype(Pool::byRoom)::const_iterator at;
+    decltype(Pool::byFreeCores)::const_iterator at;
   };
   std::vector<Walk> walks;
   for (const auto& p : state_.pools()) {
     if (!allowedIn(job, p)) continue;
-    auto at = p.withRoom(spec.each.cores);
-    if (at != p.byRoom.end()) walks.push_back({&p, at});
+    auto at = p.withFreeCores(spec.each.cores);
+    if (at != p.byFreeCores.end()) walks.push_back({&p, at});
   }
   auto key = [&](const Walk& w) {
-    double fetch = aimed && w.pool->fetchGbPerS > 0 ? spec.imageGb / w.pool->fetchGbPerS : 0;
+    double fetch = hasObjective && w.pool->fetchGbPerS > 0 ? spec.imageGb / w.pool->fetchGbPerS : 0;
     return std::tuple(fetch, !w.pool->spot, w.at->first);
   };
   // As many again may be looked at in vain: holders that are full for their memory, or refused before.
   for (unsigned looked = 0;
-       !walks.empty() && out.size() < settings_.tuning.sample && looked < 4 * settings_.tuning.sample;
-       ++looked, ++spans_.counts.looked) {
+       !walks.empty() && out.size() < settings_.tuning.sampleSize && looked < 4 * settings_.tuning.sampleSize;
+       ++looked, ++latencies_.counts.machinesExamined) {
     auto w = std::min_element(walks.begin(), walks.end(),
                               [&](const Walk& a, const Walk& b) { return key(a) < key(b); });
     Machine* h = w->at->second;
     if (takes(*h)) out.push_back(h);
-    if (++w->at == w->pool->byRoom.end()) walks.erase(w);
+    if (++w->at == w->pool->byFreeCores.end()) walks.erase(w);
   }
   sortOthers(out);
   return out;
 }
 
-policy::Peek ShardScheduler::peek(const Job& job) {
+policy::SampleEstimate ShardScheduler::sample(const Job& job) {
   const auto& owned = state_.openMachines();
-  auto picked = policy::sample(owned.size(), settings_.tuning.sample, rng_);
-  policy::Peek peek;
-  spans_.counts.looked += picked.size();
-  double withRoom = 0, holding = 0;
+  auto picked = policy::sampleIndices(owned.size(), settings_.tuning.sampleSize, rng_);
+  policy::SampleEstimate sample;
+  latencies_.counts.machinesExamined += picked.size();
+  double withFreeCores = 0, holding = 0;
   for (auto i : picked) {
     if (!job.spec->each.fitsIn(owned[i]->free()) || !allowed(job, *owned[i])) continue;
-    ++withRoom;
+    ++withFreeCores;
     holding += job.holders->count(owned[i]->no) > 0;
   }
   if (!picked.empty()) {
-    peek.holders = holding / static_cast<double>(picked.size());
-    peek.withRoom = withRoom / static_cast<double>(picked.size()) * static_cast<double>(owned.size());
+    sample.holders = holding / static_cast<double>(picked.size());
+    sample.withFreeCores =
+        withFreeCores / static_cast<double>(picked.size()) * static_cast<double>(owned.size());
   }
-  return peek;
+  return sample;
 }
 
-Machine* ShardScheduler::choose(Job& job, Turn& turn) {
+Machine* ShardScheduler::choose(Job& job, PlacementTurn& turn) {
   if (Machine* h = holder(job, turn)) return h;
   auto list = others(job, turn);
   if (list.empty()) return nullptr;
   // If even the shortest fetch is too long, room is made on a machine that has the image.
   // A gang starts with its slowest member: it is placed whole on what there is.
   bool waits = runtime_.now() >= job.anyStartUntil && !job.isGang();
-  if (waits && tooSlow(job, *list.front()) && holderCouldMakeRoom(job)) return nullptr;
-  if (!turn.peek) turn.peek = peek(job);
+  if (waits && tooSlow(job, *list.front()) && holderCouldPreempt(job)) return nullptr;
+  if (!turn.sample) turn.sample = sample(job);
   if (!turn.holdingZones) {
     turn.holdingZones.emplace();
     for (const auto& [_, h] : *job.holders)
@@ -352,9 +356,10 @@
   std::uniform_real_distribution<double> uniform(0.0, 1.0);
   for (Machine* h : list) {
     auto first = h->placements.lower_bound({job.id, 0});
-    bool runs = first != h->placements.end() && first->first.job == job.id;
-    double p = policy::couplingProbability(policy::alphaOf(turn.holdingZones->count(h->zone()) > 0, runs),
-                                           *turn.peek, static_cast<double>(job.waiting.size()));
+    bool placementPages = first != h->placements.end() && first->first.job == job.id;
+    double p =
+        policy::couplingProbability(policy::alphaOf(turn.holdingZones->count(h->zone()) > 0, placementPages),
+                                    *turn.sample, static_cast<double>(job.waiting.size()));
     if (uniform(rng_) < p) {
       // From now on it counts as a holder: the rest of the turn may fill it.
       turn.holders.push_back(h);
--- a/src/scheduler/preemption.cpp
+++ b/src/scheduler/preemption.cpp
@@ -30,27 +30,28 @@
     bool sameTeam = other.team == job.spec->team;
     // What this very round placed is not stopped by it: the two would take turns for ever.
     if (!p.committed || !p.wanted || taken.count(task) > 0 ||
-        !policy::mayStop(job.spec->rank, guaranteed, sameTeam, other.rank, above))
+        !policy::mayStop(job.spec->priority, guaranteed, sameTeam, other.priority, above))
       continue;
     double ran = p.shown && p.phase == wire::TaskPhase::Running ? inSeconds(now - p.runningSince) : 0;
     if (p.job->isGang())
-      ran = (policy::lostSinceCheckpoint(ran, other.snapshotEveryS) + kGangLoss) * p.job->placed;
-    else if (other.snapshotEveryS > 0)
-      ran = std::min(ran, other.snapshotEveryS);
-    if (other.shape == Shape::Service) ran += kServiceLoss;
+      ran = (policy::lostSinceCheckpoint(ran, other.checkpointIntervalSeconds) + kGangLoss) * p.job->placed;
+    else if (other.checkpointIntervalSeconds > 0)
+      ran = std::min(ran, other.checkpointIntervalSeconds);
+    if (other.kind == JobKind::Service) ran += kServiceLoss;
     offered.push_back({other.each, ran});
     tasks.push_back(task);
   }
   return {std::move(offered), std::move(tasks)};
 }
 
-bool ShardScheduler::holderCouldMakeRoom(const Job& job) const {
-  if (!state_.mayPreempt(job.spec->rank, false)) return false;
+bool ShardScheduler::holderCouldPreempt(const Job& job) const {
+  if (!state_.mayPreempt(job.spec->priority, false)) return false;
   unsigned looked = 0;
   for (const auto& [_, h] : *job.holders) {
     if (!allowed(job, *h)) continue;
-    if (++looked > settings_.tuning.sample) return false;
-    auto e = policy::evict(h->free() + h->leavingRoom(), job.spec->each, victims(job, false, *h).first);
+    if (++looked > settings_.tuning.sampleSize) return false;
+    auto e =
+        policy::evict(h->free() + h->capacityBeingFreed(), job.spec->each, victims(job, false, *h).first);
     if (e && e->lost <= kSlowStart) return true;
   }
   return false;
@@ -58,28 +59,28 @@
 
 // Machines on which room may be made for the job: K holders of its image, and of all others as many as a
 // sample of K shows.
-std::vector<Machine*> ShardScheduler::peekForRoom(const Job& job) {
-  std::vector<Machine*> peeked;
+std::vector<Machine*> ShardScheduler::sampleForEviction(const Job& job) {
+  std::vector<Machine*> sampled;
   for (const auto& [_, h] : *job.holders)
-    if (peeked.size() < settings_.tuning.sample && allowed(job, *h)) peeked.push_back(h);
+    if (sampled.size() < settings_.tuning.sampleSize && allowed(job, *h)) sampled.push_back(h);
   const auto& owned = state_.openMachines();
-  for (auto i : policy::sample(owned.size(), settings_.tuning.sample, rng_))
-    if (job.holders->count(owned[i]->no) == 0 && allowed(job, *owned[i])) peeked.push_back(owned[i]);
-  return peeked;
+  for (auto i : policy::sampleIndices(owned.size(), settings_.tuning.sampleSize, rng_))
+    if (job.holders->count(owned[i]->no) == 0 && allowed(job, *owned[i])) sampled.push_back(owned[i]);
+  return sampled;
 }
 
-Resources& ShardScheduler::RoomToCome::of(const Machine& h) {
-  auto [it, fresh] = left.try_emplace(h.no);
-  if (fresh) it->second = h.free() + h.leavingRoom();
+Resources& ShardScheduler::CapacityForecast::of(const Machine& h) {
+  auto [it, unwritten] = left.try_emplace(h.no);
+  if (unwritten) it->second = h.free() + h.capacityBeingFreed();
   return it->second;
 }
 
 // Where a task of the job would cost others least.
 std::optional<ShardScheduler::PlannedEviction> ShardScheduler::cheapestEviction(
-    const Job& job, bool guaranteed, const std::vector<Machine*>& peeked, RoomToCome& room,
+    const Job& job, bool guaranteed, const std::vector<Machine*>& sampled, CapacityForecast& room,
     const std::set<TaskId>& taken) const {
   std::optional<PlannedEviction> best;
-  for (Machine* h : peeked) {
+  for (Machine* h : sampled) {
     auto [offered, tasks] = victims(job, guaranteed, *h, taken);
     auto eviction = policy::evict(room.of(*h), job.spec->each, offered);
     if (!eviction) continue;
@@ -95,16 +96,16 @@
 // its class's aim or its team's guarantee, and is in time otherwise.
 bool ShardScheduler::leavesTimeToSave(const Ranked& claimant, const Machine& h, const JobSpec& victim) const {
   const auto& spec = *claimant.job->spec;
-  auto aim = settings_.startWithin(spec.jobClass);
+  auto objective = settings_.startWithin(spec.jobClass);
   if (claimant.c.guaranteed && settings_.guaranteeWithinS)
-    aim = std::min(aim.value_or(*settings_.guaranteeWithinS), *settings_.guaranteeWithinS);
-  if (!aim) return true;
+    objective = std::min(objective.value_or(*settings_.guaranteeWithinS), *settings_.guaranteeWithinS);
+  if (!objective) return true;
   double fetch = claimant.job->holders->count(h.no) > 0 ? 0 : h.fetchS(spec);
-  double left = *aim - claimant.c.ageS - fetch - kStartTakes;
-  return left < 0 || victim.snapshotS <= left;
+  double left = *objective - claimant.c.ageS - fetch - kStartTakes;
+  return left < 0 || victim.checkpointSeconds <= left;
 }
 
-void ShardScheduler::carryOut(const PlannedEviction& plan, const Ranked& claimant, RoomToCome& room) {
+void ShardScheduler::carryOut(const PlannedEviction& plan, const Ranked& claimant, CapacityForecast& room) {
   const Job& job = *claimant.job;
   Machine& h = *plan.machine;
   for (const auto& task : plan.victims) {
@@ -114,7 +115,7 @@
     const auto& spec = *victim->second.job->spec;
     room.of(h) += spec.each;
     bool skipCheckpoint = !leavesTimeToSave(claimant, h, spec);
-    ++spans_.evicted;
+    ++latencies_.evicted;
     if (victim->second.job->isGang()) {
       stopGang(*victim->second.job, skipCheckpoint);
       continue;
@@ -134,55 +135,55 @@
 }
 
 // A round of its own, as nothing else may happen until then.
-void ShardScheduler::makeRoomIn(Duration wait) {
+void ShardScheduler::preemptAfter(Duration wait) {
   auto due = runtime_.now() + wait;
-  if (roomDue_ && *roomDue_ <= due) return;
-  roomDue_ = due;
+  if (preemptionDue_ && *preemptionDue_ <= due) return;
+  preemptionDue_ = due;
   runtime_.after(wait, guarded([this, due] {
-                   if (roomDue_ != due) return;
-                   roomDue_.reset();
-                   wake(false);
+                   if (preemptionDue_ != due) return;
+                   preemptionDue_.reset();
+                   requestRound(false);
                  }));
 }
 
 // Stops what may be stopped for those who found no room, in their order, least lost work first.
-void ShardScheduler::makeRoom(const std::vector<Ranked>& blocked) {
+void ShardScheduler::preempt(const std::vector<Ranked>& blocked) {
   if (blocked.empty()) return;
-  auto since = runtime_.now() - lastRoomMade_;
-  if (since < kBetweenEvictions) return makeRoomIn(kBetweenEvictions - since);
-  RoomToCome room;
+  auto since = runtime_.now() - lastPreemption_;
+  if (since < kBetweenEvictions) return preemptAfter(kBetweenEvictions - since);
+  CapacityForecast room;
   std::set<MachineId> changed;
   unsigned asked = 0;
   for (const auto& r : blocked) {
     if (asked >= kMostEvictionsAsked) break;
-    if (!state_.mayPreempt(r.job->spec->rank, r.c.guaranteed)) continue;
+    if (!state_.mayPreempt(r.job->spec->priority, r.c.guaranteed)) continue;
     if (auto patience = patienceLeft(r); patience > Duration{0}) {
-      makeRoomIn(patience);
+      preemptAfter(patience);
       continue;
     }
-    lastRoomMade_ = runtime_.now();
+    lastPreemption_ = runtime_.now();
     if (r.job->isGang()) {
       ++asked;
-      makeRoomForGang(r, room, changed);
+      preemptForGang(r, room, changed);
       continue;
     }
-    makeRoomFor(r, room, asked, changed);
+    preemptFor(r, room, asked, changed);
   }
-  if (asked >= kMostEvictionsAsked) makeRoomIn(kBetweenEvictions);
+  if (asked >= kMostEvictionsAsked) preemptAfter(kBetweenEvictions);
   sendCommandsToAll(changed);
 }
 
-void ShardScheduler::makeRoomFor(const Ranked& blocked, RoomToCome& room, unsigned& asked,
-                                 std::set<MachineId>& changed) {
+void ShardScheduler::preemptFor(const Ranked& blocked, CapacityForecast& room, unsigned& asked,
+                                std::set<MachineId>& changed) {
   Job& job = *blocked.job;
   const auto& spec = *job.spec;
-  double headroom = job.team ? job.team->coresMax - state_.teamUse(spec.team).cores : 0;
-  auto peeked = peekForRoom(job);
+  double headroom = job.team ? job.team->coreQuota - state_.teamUse(spec.team).cores : 0;
+  auto sampled = sampleForEviction(job);
   for (std::size_t n = 0; n < job.waiting.size() && asked < kMostEvictionsAsked; ++n) {
     headroom -= spec.each.cores;
     if (headroom < -kResourceSlack) return;
     ++asked;
-    auto plan = cheapestEviction(job, blocked.c.guaranteed, peeked, room);
+    auto plan = cheapestEviction(job, blocked.c.guaranteed, sampled, room);
     if (!plan) return;
     // The holders are spoken for: the rest need not wait for them.
     if (tooSlow(job, *plan->machine)) job.anyStartUntil = runtime_.now() + kAnyStart;
--- a/src/scheduler/shard_scheduler.cpp
+++ b/src/scheduler/shard_scheduler.cpp
@@ -12,8 +12,8 @@
 constexpr Duration kLoadEvery{1'000};
 
 // "run/<shard>/<page>"
-std::optional<PageNo> parsePageKey(const std::string& key, const std::string& prefix) {
-  PageNo n = 0;
+std::optional<PageNumber> parsePageKey(const std::string& key, const std::string& prefix) {
+  PageNumber n = 0;
   const char* end = key.data() + key.size();
   auto [p, ec] = std::from_chars(key.data() + prefix.size(), end, n);
   if (ec != std::errc{} || p != end) return std::nullopt;
@@ -66,20 +66,20 @@
               }));
 }
 
-void ShardScheduler::build(const ListResult& runs) {
+void ShardScheduler::build(const ListResult& placementPages) {
   auto now = runtime_.now();
   for (const auto& [id, known] : view_.machines)
     if (known.record.shard == takeover_.shard) admit(id, known);
   for (const auto& [id, known] : view_.jobs)
     if (known.shard == takeover_.shard && known.status == JobStatus::Open && known.spec)
       state_.addJob(id, known).since = now;
-    else if (known.shard == takeover_.shard && known.status == JobStatus::Aborted)
-      lastAborted_ = std::max(lastAborted_, known.version);
+    else if (known.shard == takeover_.shard && known.status == JobStatus::Cancelled)
+      lastCancelled_ = std::max(lastCancelled_, known.version);
     else if (const auto* delegation = findDelegation(known.delegations, takeover_.shard))
       restoreDelegation(id, known, *delegation);
   auto prefix = keys::placementPages(takeover_.shard);
   std::map<TaskId, Restored> placed;
-  for (const auto& e : runs.entries) {
+  for (const auto& e : placementPages.entries) {
     auto n = parsePageKey(e.key, prefix);
     auto page = n ? wire::parsePage(*e.value) : std::nullopt;
     if (!page) {
@@ -101,30 +101,31 @@
   }
   std::vector<JobId> over;
   for (auto& [id, job] : state_.jobs())
-    if (job.status == JobStatus::Aborted && job.placed == 0) over.push_back(id);
+    if (job.status == JobStatus::Cancelled && job.placed == 0) over.push_back(id);
   for (const auto& id : over) cleanUp(*state_.job(id));
-  countAllElsewhere();
+  countAllRemoteUsage();
   loaded_ = true;
   log_->info("share {} loaded: {} jobs, {} machines, {} ms", takeover_.shard.value, state_.jobs().size(),
              state_.machines().size(), (now - loadStarted_).count());
   tick();
-  wake(true);
+  requestRound(true);
 }
 
 void ShardScheduler::restoreDelegation(const JobId& id, const JobEntry& known, const Delegation& delegation) {
   if (known.status == JobStatus::Open && known.spec)
     acceptDelegation(id, known, delegation);
-  else if (known.status == JobStatus::Aborted)
-    lastAborted_ = std::max(lastAborted_, known.version);
+  else if (known.status == JobStatus::Cancelled)
+    lastCancelled_ = std::max(lastCancelled_, known.version);
 }
 
 // Takes in what is done; of what was placed, the latest attempt of each task is gathered.
-void ShardScheduler::restoreDone(const wire::PageRecord& page, PageNo n, std::map<TaskId, Restored>& placed) {
+void ShardScheduler::restoreDone(const wire::PageRecord& page, PageNumber n,
+                                 std::map<TaskId, Restored>& placed) {
   for (const auto& [id, facts] : page.jobs) {
     Job* job = state_.job(id);
     auto known = view_.jobs.find(id);
-    // An aborted job's tasks may still be somewhere: they count until they are known gone.
-    if (!job && known != view_.jobs.end() && known->second.status == JobStatus::Aborted &&
+    // An cancelled job's tasks may still be somewhere: they count until they are known gone.
+    if (!job && known != view_.jobs.end() && known->second.status == JobStatus::Cancelled &&
         known->second.spec) {
       // Of another shard's job a delegation may have been given back in part: all that pages name counts.
       Delegation all{takeover_.shard, std::nullopt, {}};
@@ -175,7 +176,7 @@
 void ShardScheduler::leaseValidity(const LeaseValidity& s) {
   bool back = !owns() && s.owns(runtime_.now());
   leaseValidity_ = s;
-  if (back && loaded_) wake(true);
+  if (back && loaded_) requestRound(true);
 }
 
 void ShardScheduler::jobChanged(const JobId& id) {
@@ -185,8 +186,8 @@
   if (known->second.shard != takeover_.shard) return delegatedJobChanged(id, known->second);
   // Our own commit may show here before its answer comes, and keep-alive proxies must have seen it as well
   // (invariant 15).
-  if (known->second.status == JobStatus::Aborted)
-    lastAborted_ = std::max(lastAborted_, known->second.version);
+  if (known->second.status == JobStatus::Cancelled)
+    lastCancelled_ = std::max(lastCancelled_, known->second.version);
   if (Job* job = state_.job(id)) return ownedJobChanged(*job, known->second);
   const auto& k = known->second;
   if (k.status != JobStatus::Open || !k.spec) return;
@@ -194,9 +195,10 @@
   auto now = runtime_.now();
   job.since = now;
   const Team* team = settings_.team(job.spec->team);
-  arrivals_.push_back({now, std::min(job.unfinished().cores, team ? team->coresMax : 0), job.spec->lendable});
+  arrivals_.push_back(
+      {now, std::min(job.unfinished().cores, team ? team->coreQuota : 0), job.spec->spotAllowed});
   log_->debug("job {} came: {} tasks of {} cores", id.value, job.tasks.size(), job.spec->each.cores);
-  wake(true);
+  requestRound(true);
 }
 
 void ShardScheduler::machineChanged(const MachineId& id) {
@@ -227,10 +229,10 @@
     auto task = h->placements.begin()->first;
     taskLost(*h, task);
   }
-  drawAt_.erase(id);
+  machinesToConsider_.erase(id);
   failures_.forget(id);
   state_.removeMachine(id);
-  if (held) wake(true);
+  if (held) requestRound(true);
 }
 
 std::optional<wire::JobView> ShardScheduler::poll(const JobId& id) const {
@@ -241,10 +243,11 @@
   // Its end is on its way or in doubt, or the shard is: a sibling may have seen it, and told the user, before
   // us.
   if (ownershipTransferSent_) return std::nullopt;
-  if (flight_ && std::any_of(flight_->endedJobs.begin(), flight_->endedJobs.end(),
-                             [&](const auto& e) { return e.first == id; }))
+  if (commitInFlight_ && std::any_of(commitInFlight_->endedJobs.begin(), commitInFlight_->endedJobs.end(),
+                                     [&](const auto& e) { return e.first == id; }))
     return std::nullopt;
-  if (flight_ && std::count(flight_->transferred.begin(), flight_->transferred.end(), id) > 0)
+  if (commitInFlight_ &&
+      std::count(commitInFlight_->migrated.begin(), commitInFlight_->migrated.end(), id) > 0)
     return std::nullopt;
   const auto& j = it->second;
   return wire::JobView{JobStatus::Open, static_cast<std::uint32_t>(j.tasks.size()), j.done, j.running};
@@ -258,16 +261,16 @@
     return true;
   }
   j->cancelWaiters.push_back(std::move(done));
-  if (!j->finished()) j->abortAsked = true;
+  if (!j->finished()) j->cancelRequested = true;
   ending_.insert(id);
-  wake(false);
+  requestRound(false);
   return true;
 }
 
 void ShardScheduler::returnToPreferredOwner(const ControllerId& to) {
   if (!loaded_ || transferringTo_) return;
   transferringTo_ = to;
-  wake(false);
+  requestRound(false);
 }
 
 // --- upkeep ---
@@ -281,13 +284,13 @@
     if (!owns()) continue;
     if (h.size.cores <= 0)
       if (const auto* type = findType(view_.catalog, h.known.record.type)) state_.learnType(h, *type);
-    settleEmptying(h);
+    progressDrain(h);
     if (h.attention) sendCommands(h);
   }
   if (!owns()) return;
   returnSuspected(now);
   reviewFailures(now);
-  reviewTransfers(now);
+  reviewMigrations(now);
   reviewDelegations(now);
   settleRecords(now);
   if (now - loadSent_ >= kLoadEvery) {
@@ -297,9 +300,10 @@
   bool due = std::any_of(state_.jobs().begin(), state_.jobs().end(), [&](const auto& j) {
     return !j.second.waiting.empty() && j.second.notBefore > now - 2 * kTick && j.second.notBefore <= now;
   });
-  if (due) wake(true);
-  bool toWrite = !fresh_.empty() || !ending_.empty() || !left_.empty() || !delegationWrites_.empty();
-  if (toWrite || anyReturnable(now)) wake(false);
+  if (due) requestRound(true);
+  bool toWrite = !unwrittenTasks_.empty() || !ending_.empty() || !migrationCleanups_.empty() ||
+                 !delegationWrites_.empty();
+  if (toWrite || anyReturnable(now)) requestRound(false);
 }
 
 // Whoever stood still hears first what has been waiting, and judges nobody before. What went unanswered
--- a/src/scheduler/shard_scheduler.h
+++ b/src/scheduler/shard_scheduler.h
@@ -23,7 +23,7 @@
 class ShardScheduler {
  public:
   struct Callbacks {
-    std::function<void(const JobId&, JobStatus, Version)> jobEnded;  // committed as done or aborted
+    std::function<void(const JobId&, JobStatus, Version)> jobEnded;  // committed as done or cancelled
     std::function<void(const mesh::ShardLoad&)> load;                // to the leader
     std::function<void()> dropOwnership;  // our ownership or our shard state are in doubt
     // Through siblings; done is told a machine's report if one of them reaches it.
@@ -31,10 +31,11 @@
     std::function<void(Version, const ControllerId&, std::function<void(bool)>)> transferOwnership;
     // The latest moment at which a sibling may have answered our workers in our name (invariant 15).
     std::function<Time()> answeredElsewhere;
-    std::function<void(const mesh::RoomWanted&)> wantRoom;  // to the owners of all other shards
-    std::function<void(const mesh::RoomOffer&)> offerRoom;  // to the owner of the shard that asked
-    std::function<void(const mesh::PartialRoomWanted&)> wantPartialRoom;  // to the owners of all other shards
-    std::function<void(const mesh::PartialRoomOffer&)> offerPartialRoom;  // to the owner that asked
+    std::function<void(const mesh::CapacityRequest&)> requestCapacity;  // to the owners of all other shards
+    std::function<void(const mesh::CapacityOffer&)> offerCapacity;  // to the owner of the shard that asked
+    std::function<void(const mesh::TaskCapacityRequest&)>
+        requestTaskCapacity;  // to the owners of all other shards
+    std::function<void(const mesh::TaskCapacityOffer&)> offerTaskCapacity;  // to the owner that asked
   };
   struct HeartbeatAnswer {
     int status = 503;
@@ -53,14 +54,14 @@
   void jobChanged(const JobId& id);
   void machineChanged(const MachineId& id);
   HeartbeatAnswer handleHeartbeat(const wire::WorkerHeartbeat& r);
-  void wish(const mesh::MachineDirective& w);
+  void handleDirective(const mesh::MachineDirective& w);
   void returnToPreferredOwner(const ControllerId& to);
   // Another shard's owner looks for room for its jobs, or offers room for ours (scheduler_transfers.cpp).
-  void roomWanted(const mesh::RoomWanted& wanted);
-  void roomOffered(const mesh::RoomOffer& offer);
+  void handleCapacityRequest(const mesh::CapacityRequest& wanted);
+  void handleCapacityOffer(const mesh::CapacityOffer& offer);
   // The same for some tasks of a job (scheduler_delegation.cpp).
-  void partialRoomWanted(const mesh::PartialRoomWanted& wanted);
-  void partialRoomOffered(const mesh::PartialRoomOffer& offer);
+  void handleTaskCapacityRequest(const mesh::TaskCapacityRequest& wanted);
+  void handleTaskCapacityOffer(const mesh::TaskCapacityOffer& offer);
   // Nothing if this actor may not answer now.
   std::optional<wire::JobView> poll(const JobId& id) const;
   // done is told the committed state; false if this actor can't take the request.
@@ -71,10 +72,10 @@
   bool knowsCancellations() const { return loaded_ && delegatedHere_.empty(); }
   ShardId shard() const { return takeover_.shard; }
   // The revision of the shard's latest cancellation.
-  Version lastAborted() const { return lastAborted_; }
+  Version lastCancelled() const { return lastCancelled_; }
   // What was decided since the last call, for operators.
-  std::string account();
-  const Counts& counts() const { return spans_.counts; }
+  std::string summarizeLastMinute();
+  const ShardCounters& counts() const { return latencies_.counts; }
 
  private:
   // Calls f only while this actor lives.
@@ -90,12 +91,12 @@
   void load();
   void viewed(const std::string& prefix, std::function<void()> next);
   void loadRuns();
-  void build(const ListResult& runs);
+  void build(const ListResult& placementPages);
   struct Restored {
-    wire::RunEntry entry;
-    PageNo page = kNoPage;
+    wire::PlacementEntry entry;
+    PageNumber page = kNoPage;
   };
-  void restoreDone(const wire::PageRecord& page, PageNo n, std::map<TaskId, Restored>& placed);
+  void restoreDone(const wire::PageRecord& page, PageNumber n, std::map<TaskId, Restored>& placed);
   void restorePlaced(const TaskId& task, const Restored& r);
   void restoreDelegation(const JobId& id, const JobEntry& known, const Delegation& delegation);
   Machine& admit(const MachineId& id, const MachineEntry& known);
@@ -140,7 +141,7 @@
   bool suspected(const Machine& h, Time now) const;
   void returnSuspected(Time now);
   bool mayLeave(const Machine& h) const;
-  void settleEmptying(Machine& h);
+  void progressDrain(Machine& h);
   std::optional<std::vector<TaskId>> movableReplicas(const Machine& h) const;
   // What is to change in a machine group's record.
   struct GroupChange {
@@ -156,28 +157,28 @@
   void stop(Machine& h, const TaskId& id, Placement& p);
   void dropMachine(const MachineId& id);
   void sendLoad();
-  std::size_t wantsRoomFor(const Job& job, Time now) const;
+  std::size_t tasksWantingCapacity(const Job& job, Time now) const;
   void stuckZones(const Job& job, mesh::Demand& d) const;
   // come: tasks of it that are to go there already.
   bool zoneAllows(const Job& job, const Zone& zone, unsigned come = 0) const;
 
   // Rounds.
-  void wake(bool everywhere, const MachineId* at = nullptr);
-  void round();
+  void requestRound(bool everywhere, const MachineId* at = nullptr);
+  void runRound();
   void place();
   struct Ranked {
     Job* job;
     policy::Candidate c;
   };
   std::vector<Ranked> candidates();
-  unsigned placeSome(Job& job, unsigned most);
-  void tryOne(Job& job);
-  bool keepEmptying();
-  bool anyRoom(const Job& job) const;
-  bool anyFree(const Job& job) const;
+  unsigned placeTasks(Job& job, unsigned most);
+  void placeProbeTask(Job& job);
+  bool cancelOneDrain();
+  bool hasCapacity(const Job& job) const;
+  bool anyFreeCores(const Job& job) const;
   bool fragile(const Job& job) const;
   bool tooSlow(const Job& job, const Machine& h) const;
-  bool holderCouldMakeRoom(const Job& job) const;
+  bool holderCouldPreempt(const Job& job) const;
   std::pair<std::vector<policy::Victim>, std::vector<TaskId>> victims(
       const Job& job, bool guaranteed, const Machine& h, const std::set<TaskId>& taken = {}) const;
   bool allowed(const Job& job, const Machine& h) const;
@@ -185,17 +186,17 @@
   bool allowedIn(const Job& job, const Pool& p) const;
   bool better(const Job& job, const Machine& a, const Machine& b) const;
   // What one turn of a job looked up: holders in order, and the estimates for the draw.
-  struct Turn {
+  struct PlacementTurn {
     std::vector<Machine*> holders;
     std::set<std::uint32_t> refused;  // by the draw, in this round
-    std::optional<policy::Peek> peek;
+    std::optional<policy::SampleEstimate> sample;
     std::optional<std::set<Zone>> holdingZones;
   };
-  Turn look(const Job& job);
-  Machine* choose(Job& job, Turn& turn);
-  Machine* holder(const Job& job, Turn& turn) const;
-  std::vector<Machine*> others(const Job& job, const Turn& turn);
-  policy::Peek peek(const Job& job);
+  PlacementTurn beginTurn(const Job& job);
+  Machine* choose(Job& job, PlacementTurn& turn);
+  Machine* holder(const Job& job, PlacementTurn& turn) const;
+  std::vector<Machine*> others(const Job& job, const PlacementTurn& turn);
+  policy::SampleEstimate sample(const Job& job);
   // Gangs (scheduler_gangs.cpp).
   std::vector<policy::GangZone> gangZones(const Job& job) const;
   bool placeGang(Job& job);
@@ -206,7 +207,7 @@
   void restoreGang(Job& job);
   // Preemption.
   // What machines have free now or soon, less what is spoken for in this round.
-  struct RoomToCome {
+  struct CapacityForecast {
     std::map<std::uint32_t, Resources> left;
     Resources& of(const Machine& h);
   };
@@ -215,49 +216,51 @@
     double lost = 0;  // seconds of work times cores
     std::vector<TaskId> victims;
   };
-  std::vector<Machine*> peekForRoom(const Job& job);
+  std::vector<Machine*> sampleForEviction(const Job& job);
   std::optional<PlannedEviction> cheapestEviction(const Job& job, bool guaranteed,
-                                                  const std::vector<Machine*>& peeked, RoomToCome& room,
+                                                  const std::vector<Machine*>& sampled,
+                                                  CapacityForecast& room,
                                                   const std::set<TaskId>& taken = {}) const;
-  std::optional<std::vector<PlannedEviction>> planRoomForGang(const Ranked& blocked,
-                                                              const std::vector<Machine*>& peeked,
-                                                              const RoomToCome& room) const;
-  std::optional<std::vector<PlannedEviction>> planRoomOn(const Ranked& blocked,
-                                                         const std::vector<Machine*>& machines,
-                                                         RoomToCome room) const;
-  void makeRoomForGang(const Ranked& blocked, RoomToCome& room, std::set<MachineId>& changed);
+  std::optional<std::vector<PlannedEviction>> planEvictionsForGang(const Ranked& blocked,
+                                                                   const std::vector<Machine*>& sampled,
+                                                                   const CapacityForecast& room) const;
+  std::optional<std::vector<PlannedEviction>> planEvictionsOn(const Ranked& blocked,
+                                                              const std::vector<Machine*>& machines,
+                                                              CapacityForecast room) const;
+  void preemptForGang(const Ranked& blocked, CapacityForecast& room, std::set<MachineId>& changed);
   bool leavesTimeToSave(const Ranked& claimant, const Machine& h, const JobSpec& victim) const;
-  void carryOut(const PlannedEviction& plan, const Ranked& claimant, RoomToCome& room);
+  void carryOut(const PlannedEviction& plan, const Ranked& claimant, CapacityForecast& room);
   Duration patienceLeft(const Ranked& blocked) const;
-  void makeRoomIn(Duration wait);
-  void makeRoom(const std::vector<Ranked>& blocked);
-  void makeRoomFor(const Ranked& blocked, RoomToCome& room, unsigned& asked, std::set<MachineId>& changed);
+  void preemptAfter(Duration wait);
+  void preempt(const std::vector<Ranked>& blocked);
+  void preemptFor(const Ranked& blocked, CapacityForecast& room, unsigned& asked,
+                  std::set<MachineId>& changed);
   // Transfers of jobs to other shards (invariant 17).
-  void reviewTransfers(Time now);
-  bool transferPlanned(const JobId& id) const;
+  void reviewMigrations(Time now);
+  bool migrationPlanned(const JobId& id) const;
   bool waitsLong(const Job& job, Time now) const;
-  bool waitsInVain(const Job& job) const;
-  std::vector<Job*> oldestInVain(bool untouched, Time now);
+  bool unplaceable(const Job& job) const;
+  std::vector<Job*> oldestUnplaceable(bool untouched, Time now);
   // How many tasks of a job with this description find room in each zone.
-  std::map<Zone, std::uint32_t> roomByZone(const Job& job) const;
-  std::uint32_t roomFor(const Job& job) const;
-  std::optional<std::uint32_t> mayRunElsewhere(const Job& job) const;
+  std::map<Zone, std::uint32_t> capacityByZone(const Job& job) const;
+  std::uint32_t capacityFor(const Job& job) const;
+  std::optional<std::uint32_t> maxRemoteTasks(const Job& job) const;
   std::uint32_t tasksWithinLimit(const Job& job) const;
-  void countElsewhere(const JobId& id, const JobSpec& spec, std::uint32_t tasks, bool committed);
-  void countAllElsewhere();
+  void countRemoteUsage(const JobId& id, const JobSpec& spec, std::uint32_t tasks, bool committed);
+  void countAllRemoteUsage();
   void countDelegated(const JobId& id, const JobEntry& known);
-  void releaseElsewhere(Time now);
-  void addTransfers(TransactionBuilder& transaction);
-  void transferred(const JobId& id);
-  struct Left;
-  Left leftOf(const Job& job) const;
-  void addLeft(TransactionBuilder& transaction);
+  void releaseRemoteUsage(Time now);
+  void addMigrations(TransactionBuilder& transaction);
+  void migrated(const JobId& id);
+  struct MigrationCleanup;
+  MigrationCleanup cleanupOf(const Job& job) const;
+  void addCleanups(TransactionBuilder& transaction);
   // Delegations of tasks to other shards (invariant 18): of this shard's jobs, ...
-  struct PartialOffer;
+  struct ReceivedTaskOffer;
   void reviewDelegations(Time now);
-  mesh::PartialRoomRequest partialRequest(const Job& job) const;
+  mesh::TaskCapacityNeed taskCapacityNeed(const Job& job) const;
   bool planDelegations(Job& job, Time now);
-  void delegate(Job& job, const PartialOffer& offer, std::uint32_t most);
+  void delegate(Job& job, const ReceivedTaskOffer& offer, std::uint32_t most);
   void planRecall(Job& job);
   void resumeDelegations(Job& job);
   void undoPlan(Job& job, const std::vector<Delegation>& planned);
@@ -271,7 +274,7 @@
   void delegatedJobChanged(const JobId& id, const JobEntry& known);
   Job& acceptDelegation(const JobId& id, const JobEntry& known, const Delegation& delegation);
   void recallDelegated(Job& job);
-  void abortDelegated(Job& job);
+  void cancelDelegated(Job& job);
   std::vector<std::uint32_t> returnable(const Job& job, Time now) const;
   bool anyReturnable(Time now) const;
   void addReturns(TransactionBuilder& transaction);
@@ -283,9 +286,9 @@
   void commitAt(Time due);
   void committed(const TxnResult& r);
   wire::JobRecord doneRecord(const Job& job) const;
-  wire::JobRecord abortedRecord(const Job& job) const;
+  wire::JobRecord cancelledRecord(const Job& job) const;
   void endIfFinished(const Job& job);
-  void addTerminal(TransactionBuilder& transaction);
+  void addFinishedJobs(TransactionBuilder& transaction);
   void addPages(TransactionBuilder& transaction);
   void takeEffect(const TxnResult& r);
   std::size_t roundWidth() const;
@@ -307,26 +310,26 @@
   FailureAttribution failures_;
   Time failuresReviewed_{};
   bool loaded_ = false;
-  Version lastAborted_;
+  Version lastCancelled_;
   Time loadStarted_{};
   std::uint64_t attempts_ = 0;
   std::optional<ControllerId> transferringTo_;
   bool ownershipTransferSent_ = false;
 
-  bool roundSet_ = false;
-  bool drawEverywhere_ = false;
-  std::set<MachineId> drawAt_;
+  bool roundScheduled_ = false;
+  bool considerAllMachines_ = false;
+  std::set<MachineId> machinesToConsider_;
 
   Time lastRound_{};
-  Time lastRoomMade_{};
-  std::optional<Time> roomDue_;  // when a round is to make room next
+  Time lastPreemption_{};
+  std::optional<Time> preemptionDue_;  // when a round is to make room next
   Time loadSent_{};
-  std::deque<TaskId> fresh_;  // tasks whose placement or completion is to be written
-  std::set<JobId> ending_;    // jobs to write as done or aborted
+  std::deque<TaskId> unwrittenTasks_;  // tasks whose placement or completion is to be written
+  std::set<JobId> ending_;             // jobs to write as done or cancelled
   bool committing_ = false;
   Time commitNotBefore_{}, lastCommit_{};
   bool commitSet_ = false;
-  bool startsFresh_ = false;  // some of fresh_ are placements
+  bool placementsUnwritten_ = false;  // some of fresh_ are placements
   // What a commit changes in the delegations of one of this shard's jobs.
   struct DelegationWrite {
     JobId job;
@@ -339,18 +342,18 @@
     std::vector<std::uint32_t> tasks;
     Delegation kept;
   };
-  struct InFlight {
+  struct CommitInFlight {
     wire::Transaction txn;
-    std::vector<PageNo> pages;
+    std::vector<PageNumber> pages;
     std::vector<std::tuple<MachineId, TaskId, Attempt>> placed;
     std::vector<TaskId> done;
     std::vector<std::pair<JobId, JobStatus>> endedJobs;
-    std::vector<JobId> transferred;
+    std::vector<JobId> migrated;
     std::vector<DelegationWrite> delegated;
     std::vector<DelegationReturn> returned;
-    std::vector<PageNo> dropped;
+    std::vector<PageNumber> dropped;
   };
-  std::optional<InFlight> flight_;
+  std::optional<CommitInFlight> commitInFlight_;
 
   bool recordsBusy_ = false;   // a write of host/ keys is on its way
   bool recordsMoved_ = false;  // the last one was of moves
@@ -366,61 +369,61 @@
   Time resumed_{};  // the end of our own last standstill
 
   // Room that another shard offers for a job of ours.
-  struct Offer {
+  struct ReceivedCapacityOffer {
     ShardId shard;
     std::uint32_t tasks = 0;
     Time at;
   };
-  std::map<JobId, Offer> offers_;
+  std::map<JobId, ReceivedCapacityOffer> offers_;
   // A job of our teams that another shard runs, or is to run.
-  struct Elsewhere {
+  struct RemoteUsage {
     TeamId team;
     Resources sum;           // of the tasks that may be somewhere at once
     bool committed = false;  // its record names the other shard
-    std::optional<Time> abortedSince;
+    std::optional<Time> cancelledSince;
   };
-  std::map<JobId, Elsewhere> elsewhere_;
-  struct Transfer {
+  std::map<JobId, RemoteUsage> remoteUsage_;
+  struct PlannedMigration {
     JobId job;
     ShardId to;
-    std::uint32_t atOnce = 0;
+    std::uint32_t maxConcurrent = 0;
   };
-  std::vector<Transfer> transfers_;  // to be written with the next commit
+  std::vector<PlannedMigration> plannedMigrations_;  // to be written with the next commit
   // A cancelled job of another shard's team of which nothing is on any machine; its record is to say so.
-  struct Left {
+  struct MigrationCleanup {
     JobId job;
     Version version;
     std::string value;
   };
-  std::vector<Left> left_;
-  Time transfersReviewed_{};
-  Time offeredAt_{};
+  std::vector<MigrationCleanup> migrationCleanups_;
+  Time migrationsReviewed_{};
+  Time capacityOfferedAt_{};
 
-  struct PartialOffer {
+  struct ReceivedTaskOffer {
     ShardId shard;
     std::optional<Zone> zone;  // nothing: the job may use any of its zones
     std::uint32_t tasks = 0;
     Time at;
   };
-  std::map<JobId, std::vector<PartialOffer>> partialOffers_;
+  std::map<JobId, std::vector<ReceivedTaskOffer>> taskOffers_;
   std::map<JobId, DelegationWrite> delegationWrites_;  // to be written with the next commit
   std::set<JobId> delegatedHere_;                      // jobs of other shards in the shard state
   // Delegations that were given back in full; the cluster view may show them until it shows that version.
   std::map<JobId, Version> returnedAt_;
   Time delegationsReviewed_{};
-  Time partialOfferedAt_{};
+  Time taskCapacityOfferedAt_{};
 
-  StartSpans spans_;
-  Counts accounted_;
+  StartLatencies latencies_;
+  ShardCounters summarized_;
 
   // Work that came of late, for the leader's sizing: when, cores, whether it may use spot machines.
   struct Arrival {
     Time at;
     double cores;
-    bool lendable;
+    bool spotAllowed;
   };
   std::deque<Arrival> arrivals_;
-  std::deque<Arrival> leaving_;  // and work that was done
+  std::deque<Arrival> departures_;  // and work that was done
 };
 
 }  // namespace cherryloft
--- a/src/scheduler/shard_state.cpp
+++ b/src/scheduler/shard_state.cpp
@@ -22,7 +22,7 @@
   return markGone;
 }
 
-Resources Machine::leavingRoom() const {
+Resources Machine::capacityBeingFreed() const {
   Resources r;
   for (const auto& [_, p] : placements)
     if (!p.wanted) r += p.job->spec->each;
@@ -53,12 +53,12 @@
 }
 
 void ShardState::takeOwn(Job& job, const JobEntry& known) {
-  job.atOnce = known.atOnce;
+  job.maxConcurrent = known.maxConcurrent;
   job.delegations = known.delegations;
   for (const auto& d : known.delegations)
     for (auto i : d.tasks)
       if (i < job.tasks.size()) makeRemote(job, i, d.zone);
-  for (auto i : known.doneElsewhere) {
+  for (auto i : known.doneRemotely) {
     if (i >= job.tasks.size() || job.tasks[i].state != TaskState::Waiting) continue;
     job.tasks[i].state = TaskState::Done;
     job.tasks[i].doneCommitted = true;
@@ -149,7 +149,7 @@
   auto it = machines_.find(id);
   if (it == machines_.end()) return;
   auto& h = it->second;
-  h.leaving = true;
+  h.decommissioning = true;
   reindex(h);
   --h.pool->machines;
   for (auto& [_, set] : holders_) set.erase(h.no);
@@ -165,8 +165,8 @@
   std::optional<double> should;
   if (h.open()) should = h.free().cores;
   if (h.indexedFree == should) return;
-  if (h.indexedFree) h.pool->byRoom.erase({*h.indexedFree, h.no});
-  if (should) h.pool->byRoom[{*should, h.no}] = &h;
+  if (h.indexedFree) h.pool->byFreeCores.erase({*h.indexedFree, h.no});
+  if (should) h.pool->byFreeCores[{*should, h.no}] = &h;
   if (!h.indexedFree) {
     h.openAt = open_.size();
     open_.push_back(&h);
@@ -192,9 +192,9 @@
   p.placedAt = now;
   const auto& s = *job.spec;
   machine.used += s.each;
-  if (s.shape == Shape::Service) machine.replicaCores += s.each.cores;
+  if (s.kind == JobKind::Service) machine.replicaCores += s.each.cores;
   use_[s.team] += s.each;
-  usedByRank_[static_cast<std::size_t>(s.rank)] += s.each.cores;
+  usedByPriority_[static_cast<std::size_t>(s.priority)] += s.each.cores;
   ++job.zones[machine.zone()];
   auto& t = job.tasks[index];
   t.state = TaskState::Placed;
@@ -210,9 +210,9 @@
   Job& job = *it->second.job;
   const auto& s = *job.spec;
   machine.used -= s.each;
-  if (s.shape == Shape::Service) machine.replicaCores -= s.each.cores;
+  if (s.kind == JobKind::Service) machine.replicaCores -= s.each.cores;
   use_[s.team] -= s.each;
-  usedByRank_[static_cast<std::size_t>(s.rank)] -= s.each.cores;
+  usedByPriority_[static_cast<std::size_t>(s.priority)] -= s.each.cores;
   auto zone = job.zones.find(machine.zone());
   if (--zone->second == 0) job.zones.erase(zone);
   --job.placed;
@@ -263,12 +263,12 @@
 
 void ShardState::setPhase(Placement& p, wire::TaskPhase phase, Time now) {
   using wire::TaskPhase;
-  bool ran = p.shown && p.phase == TaskPhase::Running, runs = phase == TaskPhase::Running;
-  if (runs && !ran) {
+  bool ran = p.shown && p.phase == TaskPhase::Running, placementPages = phase == TaskPhase::Running;
+  if (placementPages && !ran) {
     ++p.job->running;
     p.runningSince = now;
   }
-  if (ran && !runs) --p.job->running;
+  if (ran && !placementPages) --p.job->running;
   p.shown = true;
   p.phase = phase;
 }
@@ -283,21 +283,21 @@
 bool ShardState::withinLimit(const Job& job) const {
   if (!job.team) return false;
   if (job.delegation) return true;  // the owner's shard counts it (invariant 18)
-  if (job.atOnce)
-    return job.placed + job.remote < *job.atOnce;  // its team's own shard counts it (invariant 17)
+  if (job.maxConcurrent)
+    return job.placed + job.remote < *job.maxConcurrent;  // its team's own shard counts it (invariant 17)
   auto sum = teamUse(job.spec->team) + job.spec->each;
   sum.ram = 0;
-  return sum.fitsIn({job.team->coresMax, job.team->gpusMax, 0});
+  return sum.fitsIn({job.team->coreQuota, job.team->gpuQuota, 0});
 }
 
 bool ShardState::aboveGuarantee(const Team& team) const {
   return teamUse(team.name).cores > team.cores + kResourceSlack;
 }
 
-bool ShardState::mayPreempt(Rank claimant, bool guaranteed) const {
+bool ShardState::mayPreempt(PriorityClass claimant, bool guaranteed) const {
   for (std::size_t r = 0; r < static_cast<std::size_t>(claimant); ++r)
-    if (usedByRank_[r] > kResourceSlack) return true;
-  return guaranteed && usedByRank_[static_cast<std::size_t>(claimant)] > kResourceSlack &&
+    if (usedByPriority_[r] > kResourceSlack) return true;
+  return guaranteed && usedByPriority_[static_cast<std::size_t>(claimant)] > kResourceSlack &&
          std::any_of(byTeam_.begin(), byTeam_.end(), [&](const auto& t) {
            const Team* team = settings_.team(t.first);
            return team && aboveGuarantee(*team);
@@ -313,7 +313,7 @@
   t.page = kNoPage;
 }
 
-void ShardState::restored(const TaskId& task, PageNo page) {
+void ShardState::restored(const TaskId& task, PageNumber page) {
   auto& t = jobs_.at(task.job).tasks[task.index];
   forgetFact(t);
   t.page = page;
@@ -323,27 +323,28 @@
 
 // The task's latest state is on that page and still worth keeping: what is placed counts until it is known
 // gone (invariant 1), what is done until its job is over.
-bool ShardState::stands(const TaskId& id, PageNo page) {
+bool ShardState::stands(const TaskId& id, PageNumber page) {
   Job* j = job(id.job);
   if (!j || j->tasks[id.index].page != page) return false;
   const auto& t = j->tasks[id.index];
   return t.state == TaskState::Placed || (t.state == TaskState::Done && j->status == JobStatus::Open);
 }
 
-std::optional<PageDraft> ShardState::composePage(std::deque<TaskId>& fresh, std::set<PageNo>& taken) {
+std::optional<PageUpdate> ShardState::composePage(std::deque<TaskId>& unwritten,
+                                                  std::set<PageNumber>& taken) {
   // What was done, lost or written meanwhile needs no writing.
   auto needed = [&](const TaskId& id) {
     Job* j = job(id.job);
-    if (!j || j->tasks[id.index].flying) return false;
+    if (!j || j->tasks[id.index].writeInFlight) return false;
     const auto& t = j->tasks[id.index];
     // When the whole job is done, its own record says so.
     if (t.state == TaskState::Done) return j->status == JobStatus::Open && !t.doneCommitted && !j->finished();
     return t.state == TaskState::Placed && !t.machine->placements.at(id).committed;
   };
-  while (!fresh.empty() && !needed(fresh.front())) fresh.pop_front();
-  if (fresh.empty()) return std::nullopt;
+  while (!unwritten.empty() && !needed(unwritten.front())) unwritten.pop_front();
+  if (unwritten.empty()) return std::nullopt;
 
-  PageDraft d;
+  PageUpdate d;
   d.number = pages_.next(taken);
   taken.insert(d.number);
   std::size_t weight = wire::kPageFrame;
@@ -351,7 +352,7 @@
     const auto& t = job(id.job)->tasks[id.index];
     auto known = d.record.jobs.find(id.job);
     std::size_t more = known == d.record.jobs.end() ? wire::weightOfJob(id.job) : 0;
-    std::optional<wire::RunEntry> entry;
+    std::optional<wire::PlacementEntry> entry;
     if (t.state == TaskState::Placed) entry = {id.index, t.machine->placements.at(id).attempt, t.machine->id};
     more += entry ? wire::weightOf(*entry) : wire::weightOfDone(id.index);
     if (weight + more > settings_.valueBytes) return false;
@@ -370,16 +371,16 @@
   for (const auto& id : page.members)
     if (stands(id, d.number) && !add(id)) return std::nullopt;
   auto old = d.members.size();
-  while (!fresh.empty()) {
-    auto id = fresh.front();
+  while (!unwritten.empty()) {
+    auto id = unwritten.front();
     if (needed(id)) {
       if (!add(id)) break;
       auto& t = job(id.job)->tasks[id.index];
       forgetFact(t);
       t.page = d.number;
-      t.flying = true;
+      t.writeInFlight = true;
     }
-    fresh.pop_front();
+    unwritten.pop_front();
   }
   page.members = d.members;
   page.live = d.members.size();
--- a/src/scheduler/shard_state.h
+++ b/src/scheduler/shard_state.h
@@ -28,8 +28,8 @@
 struct Task {
   TaskState state = TaskState::Waiting;
   bool doneCommitted = false;
-  bool flying = false;         // a write of its state is on its way
-  PageNo page = kNoPage;       // where the latest write of its state is
+  bool writeInFlight = false;  // a write of its state is on its way
+  PageNumber page = kNoPage;   // where the latest write of its state is
   Machine* machine = nullptr;  // while placed
 };
 
@@ -41,7 +41,7 @@
   Version version;
   WallTime submitted;
   JobStatus status = JobStatus::Open;  // as committed
-  bool abortAsked = false;
+  bool cancelRequested = false;
   std::vector<std::function<void(JobStatus)>> cancelWaiters;
   std::vector<Task> tasks;
   std::deque<std::uint32_t> waiting;
@@ -56,7 +56,7 @@
   unsigned lost = 0;             // tasks that were to go on and are gone
   Time notBefore{};
   std::optional<std::uint32_t>
-      atOnce;            // of a job of another shard's team: its tasks that may be placed at a time
+      maxConcurrent;     // of a job of another shard's team: its tasks that may be placed at a time
   Time anyStartUntil{};  // till then it does not wait for room on machines that have its image
   // Invariant 18. Of a job that this shard owns: what other shards have of it, as committed.
   std::vector<Delegation> delegations;
@@ -66,8 +66,8 @@
   std::optional<Attempt> gangAttempt;  // of a gang parted among shards, for its members here
   bool recalling = false;              // of such a gang: it starts anew once all its tasks are back
 
-  bool open() const { return status == JobStatus::Open && !abortAsked; }
-  bool isGang() const { return spec->shape == Shape::Gang; }
+  bool open() const { return status == JobStatus::Open && !cancelRequested; }
+  bool isGang() const { return spec->kind == JobKind::Gang; }
   // Members of a gang complete together: one that is done proves it of all.
   bool gangDone() const { return isGang() && done > 0; }
   bool finished() const { return done == tasks.size() || (gangDone() && remote == 0); }
@@ -139,11 +139,11 @@
   std::vector<wire::ReportedTask> reported;
   std::optional<Time> reclaimAt;
 
-  bool emptying = false;               // takes no more work, and goes when it is empty unless room gets short
-  bool leaving = false;                // takes no more work: to be given up
-  std::optional<std::int32_t> giveTo;  // shard, or -1 for the cloud
-  bool returnNow = false;              // to the cloud whatever is on it
-  std::string address;                 // as it says itself
+  bool draining = false;         // takes no more work, and goes when it is empty unless room gets short
+  bool decommissioning = false;  // takes no more work: to be given up
+  std::optional<std::int32_t> moveTarget;  // shard, or -1 for the cloud
+  bool returnNow = false;                  // to the cloud whatever is on it
+  std::string address;                     // as it says itself
   Time idleSince{};
   bool attention = true;  // has commands to be sent, or is to be asked
 
@@ -159,11 +159,11 @@
   double fetchS(const JobSpec& job) const { return fetchGbPerS > 0 ? job.imageGb / fetchGbPerS : 0; }
   // It takes new work.
   bool open() const {
-    return heard && !cordoned && !leaving && !emptying && !reclaimAt &&
+    return heard && !cordoned && !decommissioning && !draining && !reclaimAt &&
            known.record.phase == wire::MachinePhase::InUse && noCommandInDoubt() && size.cores > 0;
   }
   // Room that stopping tasks will leave.
-  Resources leavingRoom() const;
+  Resources capacityBeingFreed() const;
 };
 
 // Machines of one kind in one zone, by the cores that are free on them. Only open ones are in it.
@@ -175,26 +175,26 @@
   double fetchGbPerS = 0;
   std::size_t machines = 0;  // open or not
   std::size_t booting = 0;   // never heard yet, when last counted
-  using ByRoom = std::map<std::pair<double, std::uint32_t>, Machine*>;
-  ByRoom byRoom;
+  using ByFreeCores = std::map<std::pair<double, std::uint32_t>, Machine*>;
+  ByFreeCores byFreeCores;
 
   // The fullest machine that has so many cores free; those after it have more.
-  ByRoom::const_iterator withRoom(double cores) const {
-    return byRoom.lower_bound({cores - kResourceSlack, 0});
+  ByFreeCores::const_iterator withFreeCores(double cores) const {
+    return byFreeCores.lower_bound({cores - kResourceSlack, 0});
   }
   // Whether a machine has room for such a task and allows it, with at most so many looked at.
   template <class Allows>
-  bool anyRoom(const Resources& each, unsigned mostLooked, Allows allows) const {
-    auto at = withRoom(each.cores);
-    for (unsigned looked = 0; at != byRoom.end() && looked < mostLooked; ++at, ++looked)
+  bool hasCapacity(const Resources& each, unsigned mostLooked, Allows allows) const {
+    auto at = withFreeCores(each.cores);
+    for (unsigned looked = 0; at != byFreeCores.end() && looked < mostLooked; ++at, ++looked)
       if (each.fitsIn(at->second->free()) && allows(*at->second)) return true;
     return false;
   }
 };
 
 // A page as it is to be written: what is still true of it, and as many new facts as it has room for.
-struct PageDraft {
-  PageNo number = 0;
+struct PageUpdate {
+  PageNumber number = 0;
   wire::PageRecord record;
   std::vector<TaskId> members;
 };
@@ -243,29 +243,29 @@
 
   Resources teamUse(const TeamId& team) const;
   // What tasks of the team take on another shard's machines, or may take.
-  void countElsewhere(const TeamId& team, const Resources& sum) { use_[team] += sum; }
-  void uncountElsewhere(const TeamId& team, const Resources& sum) { use_[team] -= sum; }
+  void countRemoteUsage(const TeamId& team, const Resources& sum) { use_[team] += sum; }
+  void uncountRemoteUsage(const TeamId& team, const Resources& sum) { use_[team] -= sum; }
   // Whether one more task keeps its team within the limit.
   bool withinLimit(const Job& job) const;
   bool aboveGuarantee(const Team& team) const;
   // Some work is there that such a claimant may stop.
-  bool mayPreempt(Rank claimant, bool guaranteed) const;
+  bool mayPreempt(PriorityClass claimant, bool guaranteed) const;
 
   // A page that is not taken yet, and is from then on. It takes from fresh the tasks whose state it will
   // hold; nothing if there are none.
-  std::optional<PageDraft> composePage(std::deque<TaskId>& fresh, std::set<PageNo>& taken);
-  void restored(const TaskId& task, PageNo page);
-  Pages& pages() { return pages_; }
+  std::optional<PageUpdate> composePage(std::deque<TaskId>& unwritten, std::set<PageNumber>& taken);
+  void restored(const TaskId& task, PageNumber page);
+  PlacementPages& pages() { return pages_; }
 
  private:
   void takeOwn(Job& job, const JobEntry& known);
   void takeDelegated(Job& job, const Delegation& delegation);
   void release(Machine& machine, std::map<TaskId, Placement>::iterator it, Time now);
   void forgetFact(Task& t);
-  bool stands(const TaskId& id, PageNo page);
+  bool stands(const TaskId& id, PageNumber page);
 
   const Settings& settings_;
-  Pages pages_;
+  PlacementPages pages_;
   std::map<JobId, Job> jobs_;
   std::map<TeamId, TeamJobs> byTeam_;
   std::map<MachineId, Machine> machines_;
@@ -273,7 +273,7 @@
   std::vector<Machine*> open_;
   std::unordered_map<ImageId, MachineSet> holders_;
   std::unordered_map<TeamId, Resources> use_;
-  std::array<double, 4> usedByRank_{};
+  std::array<double, 4> usedByPriority_{};
   std::uint32_t machineCount_ = 0;
 };
 
--- a/src/scheduler/start_latencies.cpp
+++ b/src/scheduler/start_latencies.cpp
@@ -4,14 +4,14 @@
 
 namespace cherryloft {
 
-void Span::add(Duration d) {
+void LatencyHistogram::add(Duration d) {
   bins_(std::max<double>(1.0, static_cast<double>(d.count())));
   ++count_;
   most_ = std::max(most_, d);
 }
 
 // The upper edge of the bin in which the quantile lies.
-double Span::quantile(double q) const {
+double LatencyHistogram::quantile(double q) const {
   double sum = 0;
   for (const auto& bin : boost::histogram::indexed(bins_, boost::histogram::coverage::all)) {
     sum += *bin;
@@ -21,7 +21,7 @@
   return static_cast<double>(most_.count());
 }
 
-std::string Span::take() {
+std::string LatencyHistogram::take() {
   auto whole = [](double ms) { return std::to_string(static_cast<long>(ms)); };
   auto line = "n=" + std::to_string(count_) + " p50=" + whole(quantile(0.5)) +
               " p90=" + whole(quantile(0.9)) + " max=" + std::to_string(most_.count());
--- a/src/scheduler/start_latencies.h
+++ b/src/scheduler/start_latencies.h
@@ -8,7 +8,7 @@
 
 namespace cherryloft {
 
-class Span {
+class LatencyHistogram {
  public:
   void add(Duration d);
   // "n=… p50=… p90=… max=…" in milliseconds, and begins anew.
@@ -25,16 +25,16 @@
 };
 
 // What decisions cost since the process began: the same every time in virtual time.
-struct Counts {
+struct ShardCounters {
   std::size_t starts = 0;
-  std::size_t looked = 0;       // machines looked at
-  std::size_t quarantined = 0;  // machines given up as faulty
+  std::size_t machinesExamined = 0;  // machines looked at
+  std::size_t quarantined = 0;       // machines given up as faulty
 };
 
 // From a task's arrival to the round that placed it, to its commit, and to the report that showed it.
-struct StartSpans {
-  Span toPlaced, toCommitted, toShown;
-  Counts counts;
+struct StartLatencies {
+  LatencyHistogram toPlaced, toCommitted, toShown;
+  ShardCounters counts;
   std::size_t rounds = 0, widest = 0, evicted = 0;
 };
 
--- a/src/scheduler/task_failures.cpp
+++ b/src/scheduler/task_failures.cpp
@@ -17,11 +17,11 @@
   if (t.cause == ExitCause::Done) {
     state_.cached(h, job.spec->image, job.spec->imageGb);
     state_.taskDone(h, t.task, now);
-    leaving_.push_back({now, job.spec->each.cores, job.spec->lendable});
+    departures_.push_back({now, job.spec->each.cores, job.spec->spotAllowed});
     failures_.completed(job.id, h.id, now);
     quarantineFaulty(job.id);
     if (job.status == JobStatus::Open) {
-      fresh_.push_back(t.task);
+      unwrittenTasks_.push_back(t.task);
       settleDoneGang(job);
       endIfFinished(job);
     }
@@ -59,12 +59,12 @@
 void ShardScheduler::quarantineFaulty(const JobId& job) {
   for (const auto& id : failures_.faulty(job, runtime_.now())) {
     Machine* h = state_.machine(id);
-    if (!h || h->leaving) continue;
+    if (!h || h->decommissioning) continue;
     log_->info("{} fails jobs that work elsewhere and is given up", id.value);
-    h->leaving = true;
-    h->giveTo = -1;
+    h->decommissioning = true;
+    h->moveTarget = -1;
     state_.reindex(*h);
-    ++spans_.counts.quarantined;
+    ++latencies_.counts.quarantined;
   }
 }
 
@@ -80,11 +80,11 @@
       const Machine* h = job->tasks[i].machine;
       if (!h) continue;
       const auto& p = h->placements.at({id, i});
-      bool runs = p.shown && p.phase == TaskPhase::Running && now - p.runningSince >= enough;
-      if (!runs || timeSinceHeartbeat(*h) > reportDue()) continue;
+      bool placementPages = p.shown && p.phase == TaskPhase::Running && now - p.runningSince >= enough;
+      if (!placementPages || timeSinceHeartbeat(*h) > reportDue()) continue;
       failures_.keptRunning(id, h->id, now);
       quarantineFaulty(id);
-      wake(true);
+      requestRound(true);
       break;
     }
   }
--- a/src/wire/kvstore.cpp
+++ b/src/wire/kvstore.cpp
@@ -148,50 +148,50 @@
 
 std::string encodeJobRecord(const JobRecord& r) {
   Json j{{"st", static_cast<int>(r.status)}, {"sh", r.shard.value}, {"n", r.tasks}};
-  if (r.atOnce) j["most"] = *r.atOnce;
+  if (r.maxConcurrent) j["most"] = *r.maxConcurrent;
   for (const auto& d : r.delegations) j["parts"].push_back(encodeDelegation(d));
-  if (!r.doneElsewhere.empty()) j["done"] = encodeRanges(r.doneElsewhere);
+  if (!r.doneRemotely.empty()) j["done"] = encodeRanges(r.doneRemotely);
   if (r.spec) {
     const auto& s = *r.spec;
     j["at"] = r.submitted.value;
     Json spec{{"class", s.jobClass},
               {"team", s.team.value},
-              {"shape", static_cast<int>(s.shape)},
-              {"rank", static_cast<int>(s.rank)},
+              {"shape", static_cast<int>(s.kind)},
+              {"rank", static_cast<int>(s.priority)},
               {"each", {s.each.cores, s.each.gpus, s.each.ram}},
               {"image", s.image.value},
               {"gb", s.imageGb},
               {"onezone", s.oneZone},
               {"spread", s.spread},
-              {"lend", s.lendable},
-              {"expect", s.expectS},
-              {"every", s.snapshotEveryS},
-              {"save", s.snapshotS}};
+              {"lend", s.spotAllowed},
+              {"expect", s.expectedRunSeconds},
+              {"every", s.checkpointIntervalSeconds},
+              {"save", s.checkpointSeconds}};
     if (s.types) spec["types"] = *s.types;
     if (s.zone) spec["zone"] = s.zone->value;
-    if (s.dueS) spec["due"] = *s.dueS;
+    if (s.deadlineSeconds) spec["due"] = *s.deadlineSeconds;
     j["spec"] = std::move(spec);
   }
   return dump(j);
 }
 
-std::string encodeWithin(JobRecord aborted, std::size_t valueBytes) {
-  auto value = encodeJobRecord(aborted);
-  if (value.size() <= valueBytes || !aborted.spec) return value;
+std::string encodeWithin(JobRecord cancelled, std::size_t valueBytes) {
+  auto value = encodeJobRecord(cancelled);
+  if (value.size() <= valueBytes || !cancelled.spec) return value;
   // Nothing of it is placed any more: only what its tasks take is still asked for.
-  aborted.spec->jobClass.clear();
-  aborted.spec->image.value.clear();
-  aborted.spec->types.reset();
-  value = encodeJobRecord(aborted);
+  cancelled.spec->jobClass.clear();
+  cancelled.spec->image.value.clear();
+  cancelled.spec->types.reset();
+  value = encodeJobRecord(cancelled);
   if (value.size() <= valueBytes) return value;
-  for (auto& delegation : aborted.delegations) {
+  for (auto& delegation : cancelled.delegations) {
     auto& tasks = delegation.tasks;
     if (tasks.empty()) continue;
     auto first = tasks.front();
     tasks.resize(tasks.back() - first + 1);
     std::iota(tasks.begin(), tasks.end(), first);
   }
-  return encodeJobRecord(aborted);
+  return encodeJobRecord(cancelled);
 }
 
 std::optional<JobRecord> parseJobRecord(const JobId& id, const std::string& value) {
@@ -207,50 +207,50 @@
               {},
               {},
               {}};
-  if (auto most = countAt(*doc, "most")) r.atOnce = static_cast<std::uint32_t>(*most);
+  if (auto most = countAt(*doc, "most")) r.maxConcurrent = static_cast<std::uint32_t>(*most);
   for (const auto& part : listAt(*doc, "parts")) {
     auto delegation = parseDelegation(part);
     if (!delegation) return std::nullopt;
     r.delegations.push_back(std::move(*delegation));
   }
-  auto doneElsewhere = parseRanges(listAt(*doc, "done"));
-  if (!doneElsewhere) return std::nullopt;
-  r.doneElsewhere = std::move(*doneElsewhere);
-  // An aborted job keeps its description: what it takes counts until its last task is known gone.
+  auto doneRemotely = parseRanges(listAt(*doc, "done"));
+  if (!doneRemotely) return std::nullopt;
+  r.doneRemotely = std::move(*doneRemotely);
+  // An cancelled job keeps its description: what it takes counts until its last task is known gone.
   if (r.status != JobStatus::Open && !doc->contains("spec")) return r;
   auto at = countAt(*doc, "at");
   if (!at || !doc->contains("spec")) return std::nullopt;
   r.submitted = WallTime{static_cast<std::int64_t>(*at)};
   const Json& j = doc->at("spec");
   const Json& each = listAt(j, "each");
-  auto rank = countAt(j, "rank");
-  auto shape = countAt(j, "shape");
-  if (each.size() != 3 || !rank || *rank > 3 || !shape || *shape > 2) return std::nullopt;
+  auto priority = countAt(j, "rank");
+  auto kind = countAt(j, "shape");
+  if (each.size() != 3 || !priority || *priority > 3 || !kind || *kind > 2) return std::nullopt;
   for (const auto& e : each)
     if (!e.is_number()) return std::nullopt;
   JobSpec s;
   s.id = id;
   s.jobClass = textAt(j, "class").value_or("");
   s.team = TeamId{textAt(j, "team").value_or("")};
-  s.shape = static_cast<Shape>(*shape);
-  s.rank = static_cast<Rank>(*rank);
+  s.kind = static_cast<JobKind>(*kind);
+  s.priority = static_cast<PriorityClass>(*priority);
   s.tasks = r.tasks;
   s.each = {each[0].get<double>(), each[1].get<double>(), each[2].get<double>()};
   s.image = ImageId{textAt(j, "image").value_or("")};
   s.imageGb = numberAt(j, "gb").value_or(0);
   s.oneZone = flagAt(j, "onezone").value_or(false);
   s.spread = flagAt(j, "spread").value_or(false);
-  s.lendable = flagAt(j, "lend").value_or(false);
-  s.expectS = numberAt(j, "expect").value_or(0);
-  s.snapshotEveryS = numberAt(j, "every").value_or(0);
-  s.snapshotS = numberAt(j, "save").value_or(0);
+  s.spotAllowed = flagAt(j, "lend").value_or(false);
+  s.expectedRunSeconds = numberAt(j, "expect").value_or(0);
+  s.checkpointIntervalSeconds = numberAt(j, "every").value_or(0);
+  s.checkpointSeconds = numberAt(j, "save").value_or(0);
   if (j.contains("types")) {
     s.types.emplace();
     for (const auto& t : listAt(j, "types"))
       if (t.is_string()) s.types->push_back(t.get<std::string>());
   }
   if (auto z = textAt(j, "zone")) s.zone = Zone{*z};
-  s.dueS = numberAt(j, "due");
+  s.deadlineSeconds = numberAt(j, "due");
   r.spec = std::move(s);
   return r;
 }
@@ -268,7 +268,7 @@
 
 std::size_t digits(std::uint64_t n) { return std::to_string(n).size(); }
 
-bool parseFacts(const Json& j, RunFacts& f) {
+bool parseFacts(const Json& j, JobPlacements& f) {
   auto done = parseRanges(listAt(j, "d"));
   if (!done) return false;
   f.done = std::move(*done);
@@ -286,7 +286,7 @@
 
 std::size_t weightOfJob(const JobId& job) { return job.value.size() + 20; }
 std::size_t weightOfDone(std::uint32_t index) { return 2 * digits(index) + 4; }
-std::size_t weightOf(const RunEntry& e) {
+std::size_t weightOf(const PlacementEntry& e) {
   return digits(e.index) + digits(e.attempt.value) + e.machine.value.size() + 7;
 }
 
--- a/src/wire/kvstore.h
+++ b/src/wire/kvstore.h
@@ -52,31 +52,31 @@
   WallTime submitted;
   std::optional<JobSpec> spec;  // kept unless done
   // Of a job that another shard than its team's runs: so many of its tasks may be somewhere at once. The
-  // team's own shard counts them as in use (invariant 17). 0 once it is aborted and nothing of it is left.
-  std::optional<std::uint32_t> atOnce{};
+  // team's own shard counts them as in use (invariant 17). 0 once it is cancelled and nothing of it is left.
+  std::optional<std::uint32_t> maxConcurrent{};
   // Tasks that other shards place for the job's shard, and those that they have completed (invariant 18).
   std::vector<Delegation> delegations{};
-  std::vector<std::uint32_t> doneElsewhere{};  // ascending
+  std::vector<std::uint32_t> doneRemotely{};  // ascending
 };
 std::string encodeJobRecord(const JobRecord& r);
-// The record of an aborted job. If it would be larger than a value, it keeps of the description what the
+// The record of an cancelled job. If it would be larger than a value, it keeps of the description what the
 // job's last tasks take, and of each delegation the range of its tasks.
-std::string encodeWithin(JobRecord aborted, std::size_t valueBytes);
+std::string encodeWithin(JobRecord cancelled, std::size_t valueBytes);
 std::optional<JobRecord> parseJobRecord(const JobId& id, const std::string& value);
 
-struct RunEntry {
+struct PlacementEntry {
   std::uint32_t index = 0;
   Attempt attempt;
   MachineId machine;
 };
 // What a page says of one job.
-struct RunFacts {
+struct JobPlacements {
   std::vector<std::uint32_t> done;  // ascending
-  std::vector<RunEntry> placed;
+  std::vector<PlacementEntry> placed;
 };
 // Facts of many jobs in one value, so that a start costs far less than a change (DESIGN.md, section 3).
 struct PageRecord {
-  std::map<JobId, RunFacts> jobs;
+  std::map<JobId, JobPlacements> jobs;
 };
 std::string encodePage(const PageRecord& r);
 // Nothing for what can't be read and for another layout, which is told by its layout version.
@@ -84,7 +84,7 @@
 // Upper bounds of what they add to an encoded page.
 std::size_t weightOfJob(const JobId& job);
 std::size_t weightOfDone(std::uint32_t index);
-std::size_t weightOf(const RunEntry& e);
+std::size_t weightOf(const PlacementEntry& e);
 inline constexpr std::size_t kPageFrame = 24;  // of a page without jobs
 
 enum class MachinePhase : std::uint8_t { InUse, Draining, Returning };
--- a/src/wire/users.cpp
+++ b/src/wire/users.cpp
@@ -62,22 +62,22 @@
   s.id = JobId{*id};
   s.jobClass = f.name("jobclass");
   s.team = TeamId{f.name("owner")};
-  auto shape = f.name("shape");
-  if (shape == "service")
-    s.shape = Shape::Service;
-  else if (shape == "ensemble")
-    s.shape = Shape::Gang;
-  else if (shape != "sweep")
+  auto kind = f.name("shape");
+  if (kind == "service")
+    s.kind = JobKind::Service;
+  else if (kind == "ensemble")
+    s.kind = JobKind::Gang;
+  else if (kind != "sweep")
     f.wrong("shape");
-  auto rank = f.name("rank");
-  if (rank == "prod")
-    s.rank = Rank::Production;
-  else if (rank == "high")
-    s.rank = Rank::High;
-  else if (rank == "normal")
-    s.rank = Rank::Normal;
-  else if (rank == "best_effort")
-    s.rank = Rank::BestEffort;
+  auto priority = f.name("rank");
+  if (priority == "prod")
+    s.priority = PriorityClass::Production;
+  else if (priority == "high")
+    s.priority = PriorityClass::High;
+  else if (priority == "normal")
+    s.priority = PriorityClass::Normal;
+  else if (priority == "best_effort")
+    s.priority = PriorityClass::BestEffort;
   else
     f.wrong("rank");
   auto tasks = countAt(*doc, "pieces");
@@ -100,20 +100,20 @@
   if (!f.reconcileMissingTasks("site")) s.zone = Zone{f.name("site")};
   s.oneZone = f.flag("one_zone");
   s.spread = f.flag("spread");
-  s.lendable = f.flag("lendable");
-  s.expectS = f.amount("expect_s", 0);
-  s.snapshotEveryS = f.amount("snapshot_every_s", 0);
-  s.snapshotS = f.amount("snapshot_s", 0);
-  if (!f.reconcileMissingTasks("due_s")) s.dueS = f.amount("due_s", 0);
+  s.spotAllowed = f.flag("lendable");
+  s.expectedRunSeconds = f.amount("expect_s", 0);
+  s.checkpointIntervalSeconds = f.amount("snapshot_every_s", 0);
+  s.checkpointSeconds = f.amount("snapshot_s", 0);
+  if (!f.reconcileMissingTasks("due_s")) s.deadlineSeconds = f.amount("due_s", 0);
   if (!f.why().empty()) return Malformed{f.why(), s.id};
   return s;
 }
 
 std::string encodeJob(const JobId& id, const JobView& v) {
-  const char* status = v.status == JobStatus::Done      ? "done"
-                       : v.status == JobStatus::Aborted ? "aborted"
-                       : v.running > 0                  ? "running"
-                                                        : "pending";
+  const char* status = v.status == JobStatus::Done        ? "done"
+                       : v.status == JobStatus::Cancelled ? "aborted"
+                       : v.running > 0                    ? "running"
+                                                          : "pending";
   return dump(Json{{"name_id", id.value}, {"status", status}, {"done", v.done}, {"running", v.running}});
 }
 
@@ -121,7 +121,7 @@
   auto doc = Json::parse(body, nullptr, false);
   auto status = doc.is_object() ? doc.value("status", std::string()) : "";
   if (status == "done") return JobStatus::Done;
-  if (status == "aborted") return JobStatus::Aborted;
+  if (status == "aborted") return JobStatus::Cancelled;
   return std::nullopt;
 }
 
--- a/tests/unit/autoscaling_test.cpp
+++ b/tests/unit/autoscaling_test.cpp
@@ -22,13 +22,13 @@
   LoneIo runtime;
   KeyValueStore store{settings, runtime, silentLog(), 1};
   ClusterView view;
-  Fleet fleet{settings,
-              runtime,
-              silentLog(),
-              store,
-              view,
-              1,
-              {[this](const mesh::MachineDirective& w) { wishes.push_back(w); }, [] { return true; }}};
+  Autoscaler fleet{settings,
+                   runtime,
+                   silentLog(),
+                   store,
+                   view,
+                   1,
+                   {[this](const mesh::MachineDirective& w) { wishes.push_back(w); }, [] { return true; }}};
   std::vector<mesh::MachineDirective> wishes;
 
   Leader() {
@@ -46,9 +46,9 @@
     fleet.leading(true);
     for (auto end = runtime.clock.now() + forMs; runtime.clock.now() < end;) {
       mesh::ShardLoad l;
-      l.firm.waiting = 64;
-      l.firm.largestTask = 4;
-      l.firm.runS = 30;
+      l.onDemandOnly.waiting = 64;
+      l.onDemandOnly.largestTask = 4;
+      l.onDemandOnly.runS = 30;
       fleet.load(l);
       runtime.clock.run(runtime.clock.now() + 1000);
     }
@@ -95,9 +95,9 @@
     from.machines.push_back({id.value, "m", settings.zones[0].value, false, 16, 30, true});
   }
   mesh::ShardLoad to;
-  to.firm.waiting = 60;
-  to.firm.largestTask = 4;
-  to.firm.runS = 30;
+  to.onDemandOnly.waiting = 60;
+  to.onDemandOnly.largestTask = 4;
+  to.onDemandOnly.runS = 30;
   fleet.leading(true);
   for (int s = 0; s < 20; ++s) {
     fleet.load(to);
--- a/tests/unit/placement_pages_test.cpp
+++ b/tests/unit/placement_pages_test.cpp
@@ -7,8 +7,8 @@
 
 // A page's first write may be carried out again, late, after the page was dropped: nothing may depend on its
 // absence.
-TEST(Pages, NoNumberIsUsedAgain) {
-  Pages pages(std::size_t{16} * 1024);
+TEST(PlacementPages, NoNumberIsUsedAgain) {
+  PlacementPages pages(std::size_t{16} * 1024);
   auto n = pages.next({});
   pages.at(n).version = Version{5};
   pages.drop(n);
--- a/tests/unit/policy_test.cpp
+++ b/tests/unit/policy_test.cpp
@@ -29,19 +29,19 @@
 
 TEST(Coupling, SampleIsWithoutReplacement) {
   std::mt19937_64 rng(5);
-  EXPECT_EQ(sample(3, 64, rng).size(), 3U);
-  auto s = sample(1000, 64, rng);
+  EXPECT_EQ(sampleIndices(3, 64, rng).size(), 3U);
+  auto s = sampleIndices(1000, 64, rng);
   EXPECT_EQ(std::set<std::size_t>(s.begin(), s.end()).size(), 64U);
 }
 
 TEST(Command, OverdueThenRankThenGuaranteeThenTurnsThenSlackThenAge) {
-  Candidate base{false, Rank::Normal, false, true, 0, std::nullopt, 100, 10};
+  Candidate base{false, PriorityClass::Normal, false, true, 0, std::nullopt, 100, 10};
   auto with = [&](auto f) {
     auto c = base;
     f(c);
     return c;
   };
-  auto high = with([](auto& c) { c.rank = Rank::High; });
+  auto high = with([](auto& c) { c.priority = PriorityClass::High; });
   auto guaranteed = with([](auto& c) { c.guaranteed = true; });
   auto due = with([](auto& c) { c.slackS = 5; });
   auto late = with([](auto& c) { c.hopeful = false, c.workLeft = 1, c.slackS = 0; });
@@ -61,12 +61,12 @@
 }
 
 TEST(Preemption, OnlyAsTheProtocolPermits) {
-  EXPECT_TRUE(mayStop(Rank::High, false, true, Rank::Normal, false));
-  EXPECT_FALSE(mayStop(Rank::High, false, false, Rank::High, true));
-  EXPECT_FALSE(mayStop(Rank::BestEffort, true, false, Rank::Production, true));
-  EXPECT_TRUE(mayStop(Rank::Normal, true, false, Rank::Normal, true));
-  EXPECT_FALSE(mayStop(Rank::BestEffort, true, true, Rank::Production, true));
-  EXPECT_FALSE(mayStop(Rank::Normal, true, false, Rank::Normal, false));
+  EXPECT_TRUE(mayStop(PriorityClass::High, false, true, PriorityClass::Normal, false));
+  EXPECT_FALSE(mayStop(PriorityClass::High, false, false, PriorityClass::High, true));
+  EXPECT_FALSE(mayStop(PriorityClass::BestEffort, true, false, PriorityClass::Production, true));
+  EXPECT_TRUE(mayStop(PriorityClass::Normal, true, false, PriorityClass::Normal, true));
+  EXPECT_FALSE(mayStop(PriorityClass::BestEffort, true, true, PriorityClass::Production, true));
+  EXPECT_FALSE(mayStop(PriorityClass::Normal, true, false, PriorityClass::Normal, false));
 }
 
 TEST(Preemption, LeastLostWorkAndOnlyIfItMakesTheRoom) {
@@ -82,11 +82,11 @@
   EXPECT_TRUE(evict({4, 0, 4}, four, offered)->victims.empty());
 }
 
-TEST(Fleet, RentsTheCheapestThatFitsAndLetsTheDearestGo) {
+TEST(Autoscaler, RentsTheCheapestThatFitsAndLetsTheDearestGo) {
   Catalog catalog{{"s", {8, 0, 16}, 30, 1, 0.48, 0.13, 30, {Zone{"a"}}},
                   {"l", {32, 0, 128}, 50, 1, 2.18, 0.61, 20, {Zone{"a"}, Zone{"b"}}}};
   ShardFleet f;
-  f.lendable = {0, 32, 0, 0, 0, 4, 0, 1, {}, {}};
+  f.spotAllowed = {0, 32, 0, 0, 0, 4, 0, 1, {}, {}};
   auto t = targets(f, catalog, 0, 0);
   auto w = rent(f, t, catalog, {});
   ASSERT_TRUE(w);
@@ -95,47 +95,47 @@
   auto none = rent(f, t, catalog, {{"s", Zone{"a"}, true}, {"l", Zone{"a"}, true}, {"l", Zone{"b"}, true}});
   ASSERT_TRUE(none);
   EXPECT_FALSE(none->offer.spot);  // ordinary when no spot machine is to be had
-  f.lendable.ramPerCore = 3;       // now memory decides: the small type holds few tasks
+  f.spotAllowed.ramPerCore = 3;    // now memory decides: the small type holds few tasks
   EXPECT_EQ(rent(f, t, catalog, {})->offer.type, "l");
-  f.lendable = {};
+  f.spotAllowed = {};
   f.machines = {{"l", Zone{"a"}, true, 32, true, 60, 0, 100},
                 {"l", Zone{"a"}, false, 32, true, 60, 0, 100},
                 {"s", Zone{"a"}, false, 8, true, 2, 0, 100}};
-  auto go = letGo(f, targets(f, catalog, 0, 0), catalog, 10, 1000);
+  auto go = machineToRelease(f, targets(f, catalog, 0, 0), catalog, 10, 1000);
   ASSERT_TRUE(go);
   EXPECT_EQ(*go, 1U);
   f.machines[1].ageS = 30;  // the cloud charges a minute whatever happens
-  EXPECT_NE(letGo(f, targets(f, catalog, 0, 0), catalog, 10, 1000), std::optional<std::size_t>(1));
+  EXPECT_NE(machineToRelease(f, targets(f, catalog, 0, 0), catalog, 10, 1000), std::optional<std::size_t>(1));
   f.machines[1].ageS = 100;
-  f.firm.used = 40;  // all ordinary machines are needed
-  EXPECT_NE(letGo(f, targets(f, catalog, 0, 0), catalog, 10, 1000), std::optional<std::size_t>(1));
+  f.onDemandOnly.used = 40;  // all ordinary machines are needed
+  EXPECT_NE(machineToRelease(f, targets(f, catalog, 0, 0), catalog, 10, 1000), std::optional<std::size_t>(1));
 }
 
 // Guards against a fleet that stays large after a burst: one busy machine a turn, and none while any is idle,
 // kept thousands of cores for minutes after their work had ended.
-TEST(Fleet, EmptiesSeveralBusyMachinesWhenFarTooLarge) {
+TEST(Autoscaler, EmptiesSeveralBusyMachinesWhenFarTooLarge) {
   Catalog catalog{{"l", {32, 0, 128}, 50, 1, 2.18, 0.61, 20, {Zone{"a"}}}};
   ShardFleet f;
-  f.firm.used = 160;
+  f.onDemandOnly.used = 160;
   FleetMachine busy{"l", Zone{"a"}, false, 32, true, -1, 8, 100};
   f.machines.assign(30, busy);
   f.machines[0].idleS = 5;
   f.machines[1].pinned = true;
   f.machines[2].usedCores = 1;
   auto t = targets(f, catalog, 0, 0);
-  auto chosen = toEmpty(f, t, catalog, 60, 4);
+  auto chosen = machinesToDrain(f, t, catalog, 60, 4);
   ASSERT_EQ(chosen.size(), 4U);
   EXPECT_EQ(chosen.front(), 2U);  // the least runs there
   EXPECT_EQ(std::count(chosen.begin(), chosen.end(), 0U) + std::count(chosen.begin(), chosen.end(), 1U), 0);
   // Nothing is emptied below what is needed, however many may be.
-  auto all = toEmpty(f, t, catalog, 60, 20);
+  auto all = machinesToDrain(f, t, catalog, 60, 20);
   EXPECT_GE(coresOf(f) - 32.0 * static_cast<double>(all.size()), t.total);
   // Near the target, and in a small fleet, one at a time, and none while an idle machine can go.
   f.machines.resize(12, busy);
   f.machines[0].idleS = -1;
-  EXPECT_EQ(toEmpty(f, t, catalog, 60, 4).size(), 1U);
+  EXPECT_EQ(machinesToDrain(f, t, catalog, 60, 4).size(), 1U);
   f.machines[0].idleS = 5;
-  EXPECT_TRUE(toEmpty(f, t, catalog, 60, 4).empty());
+  EXPECT_TRUE(machinesToDrain(f, t, catalog, 60, 4).empty());
 }
 
 TEST(Settings, SharesAndTimes) {
@@ -150,7 +150,7 @@
   EXPECT_EQ(s.blindFor(), s.leaseTtl() + s.grace());
   // "A value of 0 means none": no guarantee, and no limit.
   d.guest = true;
-  auto guest = parseSettings(d.settingsOf(1), {}).team(TeamId{"team-guest"})->coresMax;
+  auto guest = parseSettings(d.settingsOf(1), {}).team(TeamId{"team-guest"})->coreQuota;
   EXPECT_TRUE(std::isinf(guest));
   EXPECT_THROW(parseSettings("{}", {}), SettingsError);
   EXPECT_THROW(parseSettings("nonsense", {}), SettingsError);
@@ -222,7 +222,7 @@
   EXPECT_TRUE(bad([](auto& j) { j.each.ram = 33; }));
   EXPECT_TRUE(bad([](auto& j) { j.types = std::vector<std::string>{"x"}; }));
   EXPECT_TRUE(bad([](auto& j) { j.zone = Zone{"c"}; }));
-  EXPECT_TRUE(bad([](auto& j) { j.shape = Shape::Service, j.tasks = 23; }));
+  EXPECT_TRUE(bad([](auto& j) { j.kind = JobKind::Service, j.tasks = 23; }));
   EXPECT_FALSE(bad([](auto& j) { j.tasks = 23; }));  // an array needs room for one task
   EXPECT_TRUE(bad([](auto& j) { j.spread = j.oneZone = true, j.tasks = 2; }));
 }
