--- a/tests/unit/recorded_examples_test.cpp
+++ b/tests/unit/recorded_examples_test.cpp
@@ -26,18 +26,18 @@
   s.id = JobId{"wk-000412"};
   s.jobClass = "train";
   s.team = TeamId{"vision"};
-  s.rank = Rank::High;
+  s.priority = PriorityClass::High;
   s.tasks = 16;
   s.each = {8, 1, 64};
   s.types = {{"g8"}};
   s.zone = Zone{"a"};
-  s.lendable = true;
+  s.spotAllowed = true;
   s.image = ImageId{"img-07"};
   s.imageGb = 6.5;
-  s.expectS = 240;
-  s.snapshotEveryS = 30;
-  s.snapshotS = 4;
-  s.dueS = 900;
+  s.expectedRunSeconds = 240;
+  s.checkpointIntervalSeconds = 30;
+  s.checkpointSeconds = 4;
+  s.deadlineSeconds = 900;
   return s;
 }
 
@@ -50,21 +50,21 @@
             "\"g8\"],\"zone\":\"a\"},\"st\":0}");
   wire::JobRecord done{JobStatus::Done, ShardId{2}, 16, WallTime{1700}, {}, {}};
   EXPECT_EQ(wire::encodeJobRecord(done), "{\"n\":16,\"sh\":2,\"st\":1}");
-  auto transferred = open;
-  transferred.atOnce = 5;
-  auto text = wire::encodeJobRecord(transferred);
+  auto migrated = open;
+  migrated.maxConcurrent = 5;
+  auto text = wire::encodeJobRecord(migrated);
   EXPECT_NE(text.find("\"most\":5"), std::string::npos) << text;
   auto back = wire::parseJobRecord(JobId{"wk-000412"}, text);
   ASSERT_TRUE(back);
-  EXPECT_EQ(back->atOnce, 5U);
-  EXPECT_FALSE(wire::parseJobRecord(JobId{"wk-000412"}, wire::encodeJobRecord(open))->atOnce);
+  EXPECT_EQ(back->maxConcurrent, 5U);
+  EXPECT_FALSE(wire::parseJobRecord(JobId{"wk-000412"}, wire::encodeJobRecord(open))->maxConcurrent);
 }
 
 TEST(Recorded, JobRecordsWithDelegations) {
   wire::JobRecord open{JobStatus::Open, ShardId{2}, 16, WallTime{1700}, spec(), {}};
   open.delegations.push_back({ShardId{1}, Zone{"a"}, {4, 5, 9}, Attempt{99}, true});
   open.delegations.push_back({ShardId{0}, std::nullopt, {7}});
-  open.doneElsewhere = {0, 1, 3};
+  open.doneRemotely = {0, 1, 3};
   auto text = wire::encodeJobRecord(open);
   EXPECT_NE(text.find("\"done\":[[0,1],[3,3]]"), std::string::npos) << text;
   EXPECT_NE(text.find("\"parts\":[{\"back\":true,\"sh\":1,\"t\":[[4,5],[9,9]],\"try\":99,\"zo\":\"a\"},"
@@ -89,7 +89,7 @@
   EXPECT_FALSE(wire::parseJobRecord(JobId{"wk-000412"}, text.replace(at, 7, "[[4]]")));
 }
 
-TEST(Recorded, Pages) {
+TEST(Recorded, PlacementPages) {
   wire::PageRecord page;
   page.jobs[JobId{"wk-000412"}] = {{0, 1, 2, 7}, {{4, Attempt{99}, MachineId{"host-000231"}}}};
   EXPECT_EQ(wire::encodePage(page),
@@ -141,15 +141,15 @@
             "38010000000000000061010000000000001040000000000000f83f010001000000000000c04e40");
   EXPECT_EQ(frameOf(mesh::MachineDirective{1, "host-000231", mesh::MachineDirective::Move, 2}),
             "01010000000200000007000000010000000b00000000000000686f73742d3030303233310100000002000000");
-  EXPECT_EQ(frameOf(mesh::RoomWanted{1, {"wk-000412"}}),
+  EXPECT_EQ(frameOf(mesh::CapacityRequest{1, {"wk-000412"}}),
             "010100000002000000090000000100000001000000000000000900000000000000776b2d303030343132");
-  EXPECT_EQ(frameOf(mesh::RoomOffer{2, 1, "wk-000412", 4}),
+  EXPECT_EQ(frameOf(mesh::CapacityOffer{2, 1, "wk-000412", 4}),
             "0101000000020000000a00000002000000010000000900000000000000776b2d30303034313204000000");
-  EXPECT_EQ(frameOf(mesh::PartialRoomWanted{1, {{"wk-000412", 3, {{"a", 2}}}}}),
+  EXPECT_EQ(frameOf(mesh::TaskCapacityRequest{1, {{"wk-000412", 3, {{"a", 2}}}}}),
             "0101000000020000000b00000001000000010000000000000009000000000000"
             "00776b2d3030303431320300000001000000000000000100000000000000610200"
             "0000");
-  EXPECT_EQ(frameOf(mesh::PartialRoomOffer{2, 1, "wk-000412", {"a", 2}}),
+  EXPECT_EQ(frameOf(mesh::TaskCapacityOffer{2, 1, "wk-000412", {"a", 2}}),
             "0101000000020000000c0000000200000001000000090000000000000"
             "0776b2d30303034313201000000000000006102000000");
 }
--- a/tests/unit/scale_out_test.cpp
+++ b/tests/unit/scale_out_test.cpp
@@ -25,15 +25,15 @@
   KeyValueStore store{settings, runtime, silentLog(), 1};
   ClusterView clusterView;
   Leadership leadership{true, runtime.now()};
-  FleetContext context{settings, runtime, silentLog(), store, clusterView, leadership};
+  AutoscalerContext context{settings, runtime, silentLog(), store, clusterView, leadership};
   MachineRecords records{context, [](const MachineId&) { return false; }};
-  Rentals rentals{context, records, 1};
-  policy::Wish wish{{"m", settings.zones[0], false}, 2, 16};
+  ScaleOut scaleOut{context, records, 1};
+  policy::ScaleOutRequest request{{"m", settings.zones[0], false}, 2, 16};
 
   RentalsTest() { clusterView.leader = OwnerEntry{{settings.controller, Epoch{7}}, Version{70}}; }
   std::size_t ordered(ShardId shard) const {
     policy::ShardFleet fleet;
-    rentals.addOrdered(shard, fleet);
+    scaleOut.addOrdered(shard, fleet);
     return fleet.machines.size();
   }
 };
@@ -43,7 +43,7 @@
 }  // namespace
 
 TEST_F(RentalsTest, AnOrderCountsForItsShareUntilItIsAnswered) {
-  rentals.start(ShardId{1}, wish);
+  scaleOut.start(ShardId{1}, request);
   EXPECT_EQ(ordered(ShardId{1}), 1U);
   EXPECT_EQ(ordered(ShardId{0}), 0U);
   runtime.answer(0, 400, "{}");
@@ -51,7 +51,7 @@
 }
 
 TEST_F(RentalsTest, WithoutAnAnswerTheSameClaimIsSentAgain) {
-  rentals.start(ShardId{1}, wish);
+  scaleOut.start(ShardId{1}, request);
   auto done = runtime.open.at(0);
   done({HttpResult::Outcome::Unknown, {}});
   runtime.clock.run(runtime.clock.now() + 2'000);
@@ -60,16 +60,16 @@
 }
 
 TEST_F(RentalsTest, AnOfferWithoutCapacityIsRefusedForEverLonger) {
-  rentals.start(ShardId{1}, wish);
+  scaleOut.start(ShardId{1}, request);
   runtime.answer(0, 503, kNoCapacity);
-  EXPECT_EQ(rentals.refused().count(wish.offer), 1U);
+  EXPECT_EQ(scaleOut.refused().count(request.offer), 1U);
   runtime.clock.run(runtime.clock.now() + 9'100);
-  EXPECT_TRUE(rentals.refused().empty());
-  rentals.start(ShardId{1}, wish);
+  EXPECT_TRUE(scaleOut.refused().empty());
+  scaleOut.start(ShardId{1}, request);
   EXPECT_NE(runtime.claim(0), runtime.claim(1));
   runtime.answer(1, 503, kNoCapacity);
   runtime.clock.run(runtime.clock.now() + 15'000);
-  EXPECT_EQ(rentals.refused().count(wish.offer), 1U);
-  rentals.available(wish.offer);
-  EXPECT_TRUE(rentals.refused().empty());
+  EXPECT_EQ(scaleOut.refused().count(request.offer), 1U);
+  scaleOut.available(request.offer);
+  EXPECT_TRUE(scaleOut.refused().empty());
 }
--- a/tests/unit/shard_state_test.cpp
+++ b/tests/unit/shard_state_test.cpp
@@ -35,7 +35,7 @@
   record.record.zone = Zone{"a"};
   auto& machine = state.addMachine(MachineId{"host-" + std::string(180, '1')}, record, &type, Time{});
   auto& job = state.addJob(JobId{"wk-1"}, knownJob("wk-1"));
-  constexpr PageNo kLarge = 0;
+  constexpr PageNumber kLarge = 0;
   // Few enough facts for the page to count as half empty, and each of them long.
   std::deque<TaskId> standing;
   for (std::uint32_t i = 0; i < 6; ++i) {
@@ -46,11 +46,11 @@
   }
   // The new fact is short: it would fit beside those that still do.
   auto& other = state.addMachine(MachineId{"host-2"}, record, &type, Time{});
-  std::deque<TaskId> fresh{{job.id, 20}};
+  std::deque<TaskId> unwritten{{job.id, 20}};
   state.place(job, 20, other, Attempt{1}, Time{});
-  std::set<PageNo> taken;
-  std::optional<PageDraft> draft;
-  while (!draft && !fresh.empty()) draft = state.composePage(fresh, taken);
+  std::set<PageNumber> taken;
+  std::optional<PageUpdate> draft;
+  while (!draft && !unwritten.empty()) draft = state.composePage(unwritten, taken);
   ASSERT_TRUE(draft);
   EXPECT_NE(draft->number, kLarge);
   EXPECT_EQ(draft->record.jobs.at(job.id).placed.size(), 1U);
--- a/tests/unit/wire_test.cpp
+++ b/tests/unit/wire_test.cpp
@@ -38,7 +38,7 @@
   EXPECT_EQ(s.id.value, "wk-000412");
   EXPECT_EQ(s.tasks, 16U);
   EXPECT_FALSE(s.types);
-  EXPECT_FALSE(s.dueS);
+  EXPECT_FALSE(s.deadlineSeconds);
   j.erase("site");  // null equals absent
   j.erase("due_s");
   EXPECT_TRUE(good(j));
@@ -83,14 +83,14 @@
   auto spec = std::get<JobSpec>(parseSubmission(body().dump()));
   spec.types = std::vector<std::string>{"m"};
   spec.zone = Zone{"a"};
-  spec.dueS = 90;
+  spec.deadlineSeconds = 90;
   JobRecord r{JobStatus::Open, ShardId{2}, spec.tasks, WallTime{1234}, spec};
   auto back = parseJobRecord(spec.id, encodeJobRecord(r));
   ASSERT_TRUE(back && back->spec);
   EXPECT_EQ(encodeJobRecord(*back), encodeJobRecord(r));
   EXPECT_EQ(back->spec->zone, spec.zone);
   EXPECT_EQ(back->spec->each.ram, 64);
-  r.status = JobStatus::Aborted;
+  r.status = JobStatus::Cancelled;
   back = parseJobRecord(spec.id, encodeJobRecord(r));
   EXPECT_TRUE(back && back->spec);
   JobRecord done{JobStatus::Done, ShardId{2}, 16, {}, {}};
@@ -127,21 +127,21 @@
   s.tasks = 4000;
   s.each = {8, 1, 64};
   s.oneZone = true;
-  wire::JobRecord aborted{JobStatus::Aborted, ShardId{2}, s.tasks, WallTime{1700}, s, {}};
-  aborted.delegations.push_back({ShardId{1}, std::nullopt, {}});
-  for (std::uint32_t i = 1; i < s.tasks; i += 2) aborted.delegations[0].tasks.push_back(i);
-  auto value = wire::encodeWithin(aborted, 2048);
+  wire::JobRecord cancelled{JobStatus::Cancelled, ShardId{2}, s.tasks, WallTime{1700}, s, {}};
+  cancelled.delegations.push_back({ShardId{1}, std::nullopt, {}});
+  for (std::uint32_t i = 1; i < s.tasks; i += 2) cancelled.delegations[0].tasks.push_back(i);
+  auto value = wire::encodeWithin(cancelled, 2048);
   EXPECT_LE(value.size(), 2048U);
   auto back = wire::parseJobRecord(s.id, value);
   ASSERT_TRUE(back && back->spec);
-  EXPECT_EQ(back->status, JobStatus::Aborted);
+  EXPECT_EQ(back->status, JobStatus::Cancelled);
   EXPECT_EQ(back->spec->team, s.team);
   EXPECT_EQ(back->spec->each.cores, 8);
   EXPECT_EQ(back->spec->each.ram, 64);
   EXPECT_TRUE(back->spec->oneZone);
-  for (auto i : aborted.delegations[0].tasks) EXPECT_TRUE(back->delegations.at(0).covers(i));
+  for (auto i : cancelled.delegations[0].tasks) EXPECT_TRUE(back->delegations.at(0).covers(i));
   // One that fits is kept as it is.
-  EXPECT_EQ(wire::encodeWithin(aborted, 1 << 20), wire::encodeJobRecord(aborted));
+  EXPECT_EQ(wire::encodeWithin(cancelled, 1 << 20), wire::encodeJobRecord(cancelled));
 }
 
 TEST(Records, AnotherLayoutIsToldAndNotGuessedAt) {
--- a/tests/world/checker.cpp
+++ b/tests/world/checker.cpp
@@ -79,7 +79,7 @@
       breaks("started_cancelled", name + " starts by a command given " + std::to_string(givenAt - j.finalAt) +
                                       " ms after its cancellation");
   }
-  if (!s.allowsType(m.type) || (m.spot && !s.lendable) || (s.zone && s.zone->value != m.zone))
+  if (!s.allowsType(m.type) || (m.spot && !s.spotAllowed) || (s.zone && s.zone->value != m.zone))
     breaks("wrong_place", name + " on " + m.id);
   std::map<std::string, unsigned> zones;
   for (const auto& [i, other] : j.on)
@@ -93,7 +93,8 @@
   for (const auto& [_, other] : jobs_)
     if (other.spec && other.spec->team == s.team)
       cores += other.spec->each.cores * static_cast<double>(other.on.size());
-  if (team && cores > team->coresMax + 1e-6) breaks("quota", s.team.value + " uses " + std::to_string(cores));
+  if (team && cores > team->coreQuota + 1e-6)
+    breaks("quota", s.team.value + " uses " + std::to_string(cores));
 }
 
 void Checker::left(const std::string& machine, const std::string& job, std::uint32_t index, bool done) {
--- a/tests/world/checker.h
+++ b/tests/world/checker.h
@@ -105,7 +105,7 @@
     bool accepted = false, cancelAsked = false;
     Ms submittedAt = 0, acceptedAt = -1, answeredAt = -1, begunAt = -1;
     bool silent = false;  // was found to be forgotten
-    std::string final;    // done or aborted, as told
+    std::string final;    // done or cancelled, as told
     Ms finalAt = -1;
     std::map<unsigned, Ms> endGiven,
         lastOpenGiven;  // by controller: its first word of the end, its last before
--- a/tests/world/checker_waiting.cpp
+++ b/tests/world/checker_waiting.cpp
@@ -9,12 +9,12 @@
 constexpr Ms kLeftWaiting = 90'000;  // beside room, once all troubles are over
 constexpr Ms kLookEvery = 1'000;
 
-using cherryloft::Shape;
+using cherryloft::JobKind;
 
 std::uint32_t perZone(const cherryloft::JobSpec& s) { return s.spread ? (s.tasks + 1) / 2 : s.tasks; }
 
 bool mayUse(const cherryloft::JobSpec& s, const Machine& m) {
-  return s.allowsType(m.type) && (!m.spot || s.lendable) && (!s.zone || s.zone->value == m.zone);
+  return s.allowsType(m.type) && (!m.spot || s.spotAllowed) && (!s.zone || s.zone->value == m.zone);
 }
 }  // namespace
 
@@ -30,18 +30,18 @@
                              [&](const auto& z) { return z.value == s.zone->value; }))
     return "its zone does not exist";
   if (s.tasks > perZone(s) && (s.oneZone || s.zone)) return "its tasks can't be spread";
-  double cores = s.each.cores * (s.shape == Shape::Array ? 1.0 : s.tasks);
-  if (cores > team->coresMax + 1e-6) return "it needs more than its team's limit";
+  double cores = s.each.cores * (s.kind == JobKind::Array ? 1.0 : s.tasks);
+  if (cores > team->coreQuota + 1e-6) return "it needs more than its team's limit";
   return "";
 }
 
 // Whether one more task could start now or, of a gang that is nowhere, all of them at once.
 bool Checker::hasRoom(const Job& j, const Held& held, double teamUses, const std::vector<Room>& rooms) const {
   const auto& s = *j.spec;
-  bool whole = s.shape == Shape::Gang;
+  bool whole = s.kind == JobKind::Gang;
   std::uint32_t need = whole ? s.tasks : 1;
   if (whole && held.tasks > 0) return false;  // it ends, or is being stopped, as a whole
-  if (teamUses + s.each.cores * need > settings_.team(s.team)->coresMax + 1e-6) return false;
+  if (teamUses + s.each.cores * need > settings_.team(s.team)->coreQuota + 1e-6) return false;
   std::map<std::string, std::uint32_t> fit;  // by zone
   for (const auto& r : rooms) {
     if (!r.takesWork || !mayUse(s, r.machine)) continue;
--- a/tests/world/clock.h
+++ b/tests/world/clock.h
@@ -38,17 +38,18 @@
 // So much a second, in bursts of one second's worth.
 class Allowance {
  public:
-  explicit Allowance(double perSecond) : perSecond_(perSecond), left_(perSecond) {}
+  explicit Allowance(double perSecond) : perSecond_(perSecond), migrationCleanups_(perSecond) {}
   bool take(Ms now, double n) {
-    left_ = std::min(left_ + static_cast<double>(now - at_) * perSecond_ / 1000, perSecond_);
+    migrationCleanups_ =
+        std::min(migrationCleanups_ + static_cast<double>(now - at_) * perSecond_ / 1000, perSecond_);
     at_ = now;
-    if (left_ < n) return false;
-    left_ -= n;
+    if (migrationCleanups_ < n) return false;
+    migrationCleanups_ -= n;
     return true;
   }
 
  private:
-  double perSecond_, left_;
+  double perSecond_, migrationCleanups_;
   Ms at_ = 0;
 };
 
--- a/tests/world/gang_board.cpp
+++ b/tests/world/gang_board.cpp
@@ -65,7 +65,7 @@
 // Progress falls back to a multiple of the checkpoint interval.
 void GangBoard::fallBack(const Name& name) {
   auto& gang = gangs_.at(name);
-  auto every = static_cast<Ms>(gang.nature->spec.snapshotEveryS * 1000);
+  auto every = static_cast<Ms>(gang.nature->spec.checkpointIntervalSeconds * 1000);
   auto& kept = kept_[name.first];
   if (every > 0) kept = std::max(kept, progress(gang) / every * every);
 }
@@ -99,7 +99,7 @@
   if (auto member = gang.members.find(index); member != gang.members.end()) member->second.told = true;
   if (gang.firstToldAt >= 0) return;
   gang.firstToldAt = clock_.now();
-  auto saveMs = static_cast<Ms>(gang.nature->spec.snapshotS * 1000);
+  auto saveMs = static_cast<Ms>(gang.nature->spec.checkpointSeconds * 1000);
   clock_.after(std::max(peer_, saveMs), [this, name] { settleStop(name); });
 }
 
--- a/tests/world/scenario_expectations.cpp
+++ b/tests/world/scenario_expectations.cpp
@@ -37,7 +37,7 @@
   for (auto number = range.first; number <= range.last; ++number) each(number, range.next);
 }
 
-// expect done|aborted 1 [to 5] [by 100]
+// expect done|cancelled 1 [to 5] [by 100]
 void checkStatus(const Check& check) {
   const auto& status = check.line.word(1);
   forEachJob(check, [&](unsigned number, std::size_t next) {
@@ -53,7 +53,7 @@
   });
 }
 
-// expect over 1 [to 5] by 100: done or aborted
+// expect over 1 [to 5] by 100: done or cancelled
 void checkOver(const Check& check) {
   forEachJob(check, [&](unsigned number, std::size_t next) {
     Ms end = check.world.trace(jobIdOf(number)).finalAt;
@@ -108,7 +108,7 @@
   check.compare(static_cast<double>(confirmed), check.line.word(4), check.line.number(5));
 }
 
-double sumOfCounts(const World& world, std::size_t cherryloft::Counts::*count) {
+double sumOfCounts(const World& world, std::size_t cherryloft::ShardCounters::*count) {
   double sum = 0;
   for (const auto& controller : world.controllers)
     if (controller->controller()) sum += static_cast<double>(controller->controller()->counts().*count);
@@ -116,7 +116,7 @@
 }
 
 double perStart(const World& world, double sum) {
-  return sum / std::max(sumOfCounts(world, &cherryloft::Counts::starts), 1.0);
+  return sum / std::max(sumOfCounts(world, &cherryloft::ShardCounters::starts), 1.0);
 }
 
 using Measure = double (*)(const World&);
@@ -144,9 +144,9 @@
       {"answers-lost", [](const World& w) { return static_cast<double>(w.store.answersLost()); }},
       {"old-reports", [](const World& w) { return static_cast<double>(w.oldReports()); }},
       {"outdated-commands", [](const World& w) -> double { return w.checker.commandsOutdated(); }},
-      {"given-up", [](const World& w) { return sumOfCounts(w, &cherryloft::Counts::quarantined); }},
+      {"given-up", [](const World& w) { return sumOfCounts(w, &cherryloft::ShardCounters::quarantined); }},
       {"looked-per-start",
-       [](const World& w) { return perStart(w, sumOfCounts(w, &cherryloft::Counts::looked)); }},
+       [](const World& w) { return perStart(w, sumOfCounts(w, &cherryloft::ShardCounters::machinesExamined)); }},
       {"writes-per-start",
        [](const World& w) { return perStart(w, static_cast<double>(w.store.writes())); }}};
   return table;
--- a/tests/world/scenario_setup.cpp
+++ b/tests/world/scenario_setup.cpp
@@ -81,17 +81,17 @@
   return words;
 }
 
-cherryloft::Shape parseShape(const std::string& word) {
-  if (word == "service") return cherryloft::Shape::Service;
-  if (word == "gang") return cherryloft::Shape::Gang;
-  return cherryloft::Shape::Array;
+cherryloft::JobKind parseShape(const std::string& word) {
+  if (word == "service") return cherryloft::JobKind::Service;
+  if (word == "gang") return cherryloft::JobKind::Gang;
+  return cherryloft::JobKind::Array;
 }
 
-cherryloft::Rank parseRank(const std::string& word) {
-  if (word == "prod") return cherryloft::Rank::Production;
-  if (word == "high") return cherryloft::Rank::High;
-  if (word == "normal") return cherryloft::Rank::Normal;
-  return cherryloft::Rank::BestEffort;
+cherryloft::PriorityClass parseRank(const std::string& word) {
+  if (word == "prod") return cherryloft::PriorityClass::Production;
+  if (word == "high") return cherryloft::PriorityClass::High;
+  if (word == "normal") return cherryloft::PriorityClass::Normal;
+  return cherryloft::PriorityClass::BestEffort;
 }
 
 }  // namespace
@@ -109,16 +109,16 @@
   spec.id = cherryloft::JobId{id};
   spec.team = cherryloft::TeamId{"team-" + options.text("team", "0")};
   spec.jobClass = options.text("class", "plain");
-  spec.shape = parseShape(options.text("shape", "array"));
-  spec.rank = parseRank(options.text("rank", "normal"));
+  spec.kind = parseShape(options.text("shape", "array"));
+  spec.priority = parseRank(options.text("rank", "normal"));
   spec.tasks = static_cast<std::uint32_t>(options.number("tasks", 1));
   spec.each = {options.number("cores", 4), 0, options.number("ram", 4)};
   spec.image = cherryloft::ImageId{options.text("image", "img-1")};
   spec.imageGb = options.number("gb", 0.5);
-  spec.expectS = options.number("expect", runS);
-  spec.snapshotEveryS = options.number("every", 0);
-  spec.snapshotS = options.number("save", 0);
-  spec.lendable = options.has("lendable");
+  spec.expectedRunSeconds = options.number("expect", runS);
+  spec.checkpointIntervalSeconds = options.number("every", 0);
+  spec.checkpointSeconds = options.number("save", 0);
+  spec.spotAllowed = options.has("lendable");
   spec.spread = options.has("spread");
   spec.oneZone = options.has("one_zone");
   if (options.has("site")) spec.zone = cherryloft::Zone{options.text("site")};
--- a/tests/world/scenario_setup.h
+++ b/tests/world/scenario_setup.h
@@ -15,7 +15,7 @@
 // Takes one line such as "controllers 3" into the setup. Throws std::runtime_error on an unknown word.
 void applySetup(const Line& line, ScenarioSetup& setup);
 
-// The job with that id as its options tell it, "cores=2 run=5 lendable" and so on.
+// The job with that id as its options tell it, "cores=2 run=5 allowed on spot machines" and so on.
 TaskNature parseJob(const std::string& id, const Options& options);
 
 }  // namespace world
--- a/tests/world/worker.cpp
+++ b/tests/world/worker.cpp
@@ -187,14 +187,14 @@
   if (it == tasks_.end() || it->second.run != run || it->second.state != "fetching") return;
   const auto& nature = natures_.at(k.first);
   images_.insert(nature.spec.image.value);
-  bool gang = nature.spec.shape == cherryloft::Shape::Gang;
+  bool gang = nature.spec.kind == cherryloft::JobKind::Gang;
   it->second.state = gang ? "gathering" : "running";
   it->second.onMachine = true;
   checker_.started(machine_, k.first, k.second, it->second.givenAt);
   changed();
   if (gang && !nature.fails && !faulty_) return gangs_.gather(*this, nature, k.second, it->second.attempt);
   bool fails = nature.fails || faulty_;
-  if (nature.spec.shape == cherryloft::Shape::Service && !fails) return;
+  if (nature.spec.kind == cherryloft::JobKind::Service && !fails) return;
   Ms lasts = fails ? kFailsAfter : nature.run;
   later(lasts, [this, k, run, fails] {
     awake([this, k, run, fails] {
@@ -219,7 +219,7 @@
 void Worker::kill(const Key& k, double graceS) {
   auto& held = tasks_.at(k);
   const auto& spec = natures_.at(k.first).spec;
-  bool maySave = spec.snapshotEveryS > 0 && graceS >= spec.snapshotS;
+  bool maySave = spec.checkpointIntervalSeconds > 0 && graceS >= spec.checkpointSeconds;
   if (held.state == "flushing" && graceS > 0) return;
   if (held.state != "running" || !maySave) {
     leaveGang(k, held);
@@ -227,8 +227,8 @@
   }
   held.state = "flushing";
   changed();
-  if (spec.shape == cherryloft::Shape::Gang) return gangs_.told(k.first, k.second, held.attempt);
-  later(static_cast<Ms>(spec.snapshotS * 1000), [this, k, run = held.run] {
+  if (spec.kind == cherryloft::JobKind::Gang) return gangs_.told(k.first, k.second, held.attempt);
+  later(static_cast<Ms>(spec.checkpointSeconds * 1000), [this, k, run = held.run] {
     awake([this, k, run] {
       auto it = tasks_.find(k);
       if (it != tasks_.end() && it->second.run == run && it->second.state == "flushing") end(k, "halted");
