--- a/src/base/job.h
+++ b/src/base/job.h
@@ -17,28 +17,36 @@
 // Sums of decimal numbers are not exact: what is missing by less does not count.
 inline constexpr double kResourceSlack = 1e-6;
 
+// What a task takes or a machine has: cores, gpus, and memory in gigabytes.
 struct Resources {
   double cores = 0;
   double gpus = 0;
   double ram = 0;
 
-  Resources& operator+=(const Resources& o) {
-    cores += o.cores, gpus += o.gpus, ram += o.ram;
+  Resources& operator+=(const Resources& other) {
+    cores += other.cores;
+    gpus += other.gpus;
+    ram += other.ram;
     return *this;
   }
-  Resources& operator-=(const Resources& o) {
-    cores -= o.cores, gpus -= o.gpus, ram -= o.ram;
+  Resources& operator-=(const Resources& other) {
+    cores -= other.cores;
+    gpus -= other.gpus;
+    ram -= other.ram;
     return *this;
   }
   friend Resources operator+(Resources a, const Resources& b) { return a += b; }
   friend Resources operator-(Resources a, const Resources& b) { return a -= b; }
-  friend Resources operator*(Resources a, double n) { return {a.cores * n, a.gpus * n, a.ram * n}; }
-  bool fitsIn(const Resources& o) const {
-    return cores <= o.cores + kResourceSlack && gpus <= o.gpus + kResourceSlack &&
-           ram <= o.ram + kResourceSlack;
+  friend Resources operator*(Resources each, double count) {
+    return {each.cores * count, each.gpus * count, each.ram * count};
+  }
+  [[nodiscard]] bool fitsIn(const Resources& available) const {
+    return cores <= available.cores + kResourceSlack && gpus <= available.gpus + kResourceSlack &&
+           ram <= available.ram + kResourceSlack;
   }
 };
 
+// A job as its user described it. Its tasks are alike.
 struct JobSpec {
   JobId id;
   std::string jobClass;
@@ -59,7 +67,7 @@
   double checkpointSeconds = 0;
   std::optional<double> deadlineSeconds;
 
-  bool allowsType(const std::string& type) const {
+  [[nodiscard]] bool allowsType(const std::string& type) const {
     if (!types) return true;
     return std::find(types->begin(), types->end(), type) != types->end();
   }
@@ -73,15 +81,18 @@
   std::optional<Attempt> attempt{};  // of a gang: common to all its members
   bool recalled = false;             // the owner asks for what is not done
 
-  bool covers(std::uint32_t index) const { return std::binary_search(tasks.begin(), tasks.end(), index); }
+  [[nodiscard]] bool covers(std::uint32_t index) const {
+    return std::binary_search(tasks.begin(), tasks.end(), index);
+  }
 };
 
 inline const Delegation* findDelegation(const std::vector<Delegation>& delegations, ShardId shard) {
-  for (const auto& d : delegations)
-    if (d.shard == shard) return &d;
+  for (const auto& delegation : delegations)
+    if (delegation.shard == shard) return &delegation;
   return nullptr;
 }
 
+// A type of machine that the cloud offers. Prices are per hour.
 struct MachineType {
   std::string name;
   Resources size;
@@ -95,8 +106,8 @@
 using Catalog = std::vector<MachineType>;
 
 inline const MachineType* findType(const Catalog& catalog, const std::string& name) {
-  for (const auto& t : catalog)
-    if (t.name == name) return &t;
+  for (const auto& type : catalog)
+    if (type.name == name) return &type;
   return nullptr;
 }
 
--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -95,7 +95,7 @@
 
 // What an answer may prolong, and the lease after it, must end within cancel_s of a cancellation that the
 // answer did not know of (invariant 16). The margin covers drift, a request's way and the steps in which
-// silence is noticed; where there is little room it shrinks with it.
+// silence is noticed; where there is little capacity it shrinks with it.
 Duration Settings::margin() const {
   return seconds(std::min(3.0 + 0.005 * cancelS, 0.4 * (cancelS - leaseS)));
 }
--- a/src/config/settings.h
+++ b/src/config/settings.h
@@ -10,47 +10,54 @@
 
 namespace cherryloft {
 
+// A settings file, flag or address that can't be used; what() says which part and why, in one line.
 struct SettingsError : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
+// An IPv4 address and port.
 struct Address {
   std::string ip;
   std::uint16_t port = 0;
   friend bool operator==(const Address&, const Address&) = default;
   friend auto operator<=>(const Address&, const Address&) = default;
-  std::string text() const { return ip + ":" + std::to_string(port); }
+  [[nodiscard]] std::string text() const { return ip + ":" + std::to_string(port); }
 };
 // Throws SettingsError when the text is no IPv4 address with a port.
 Address parseAddress(const std::string& text);
 
+// Another controller of the deployment, and where its mesh port is.
 struct Sibling {
   ControllerId controller;
   Address address;
 };
 
+// Guarantee and quota of a team; a team without a quota has an infinite one.
 struct Team {
   TeamId name;
-  double cores = 0, coreQuota = 0, gpus = 0,
-         gpuQuota = 0;  // guaranteed, and at most; without a limit infinite
+  double cores = 0;  // guaranteed
+  double coreQuota = 0;
+  double gpus = 0;  // guaranteed
+  double gpuQuota = 0;
 };
 
-// "This fraction of the jobs of a class should be done", or their tasks started, "so long after submission."
+// How long after submission jobs of a class should be done, or their tasks started.
 struct ServiceLevelObjective {
   std::string jobClass;
-  double withinS = 0;
+  double withinS = 0;  // seconds
 };
 
 // Values the operators may set; the defaults are what OPERATING.md lists.
 struct Tuning {
-  Duration leaseTtl{3000};
-  Duration returnOwnershipAfter{8000};
-  Duration moveEvery{30000};
-  unsigned sampleSize = 64;     // K
-  double spareFraction = 0.25;  // room kept free above what is asked for, as a fraction of it
-  std::uint64_t seed = 0;       // 0: from the node's name and the time of day
+  Duration leaseTtl{3000};              // of this controller's lease in the state service
+  Duration returnOwnershipAfter{8000};  // how long a controller must be back before it gets its shard
+  Duration moveEvery{30000};            // between two times that idle machines move between shards in bulk
+  unsigned sampleSize = 64;             // machines sampled for a placement (K of the design note)
+  double spareFraction = 0.25;          // capacity kept free above what is asked for, as a fraction of it
+  std::uint64_t seed = 0;               // 0: from the controller's name and the time of day
 };
 
+// One controller's settings, checked. Names ending in S are seconds.
 struct Settings {
   ControllerId controller;
   Address front;
@@ -60,45 +67,52 @@
   Address state;
   std::vector<Zone> zones;
   std::vector<Team> teams;  // sorted by name
-  std::vector<ServiceLevelObjective> finishObjectives, startObjectives;
-  std::optional<double> guaranteeWithinS;  // "work within a guarantee should have started so soon"
-  double reportS = 3, leaseS = 45, cancelS = 75;
-  // A gang that is not complete within the first gives up; its members notice a lost one within the second.
-  double gangWaitS = 45, gangPeerS = 4;
+  std::vector<ServiceLevelObjective> finishObjectives;
+  std::vector<ServiceLevelObjective> startObjectives;
+  std::optional<double> guaranteeWithinS;  // work within a guarantee should have started so soon
+  double reportS = 3;                      // between two heartbeats of a worker
+  double leaseS = 45;                      // of a worker: it ends its tasks when unanswered for so long
+  double cancelS = 75;                     // after a confirmed cancellation nothing of the job may run
+  double gangWaitS = 45;                   // a gang that is not complete within it gives up
+  double gangPeerS = 4;                    // within which members of a gang notice a lost one
   // Of the state service: what holds now and what is announced for later, whichever is lower.
-  double stateRps = 100, stateWriteRps = 50;
+  double stateRps = 100;
+  double stateWriteRps = 50;
   std::size_t valueBytes = 4096;
   unsigned txnOps = 12;
-  double cloudRps = 5, listLagS = 5;
+  double cloudRps = 5;
+  double listLagS = 5;  // by which the cloud's list of machines may be old
   unsigned fdLimit = 1024;
   double clockErrorMs = 250;
   Tuning tuning;
 
-  std::vector<ControllerId>
-      controllers;  // all controllers, sorted; the index is the number of the home shard
+  // All controllers, sorted: each is the preferred owner of the shard with its index.
+  std::vector<ControllerId> controllers;
 
-  unsigned size() const { return static_cast<unsigned>(controllers.size()); }
-  // The life of this controller's lease: the operators' choice, or less where the deployment leaves little
-  // room.
-  Duration leaseTtl() const;
+  [[nodiscard]] unsigned size() const { return static_cast<unsigned>(controllers.size()); }
+  // The time to live of this controller's lease: the operators' choice, or less where `lease_s` and
+  // `cancel_s` leave little time.
+  [[nodiscard]] Duration leaseTtl() const;
   // How long after its lease ran out a controller goes on answering heartbeats (invariant 6).
-  Duration grace() const;
+  [[nodiscard]] Duration grace() const;
   // How long after a moment whose cancellations are all known a worker may be answered, though those since
   // are not (invariant 16). Nothing where cancel_s is hardly above lease_s.
-  Duration blindFor() const;
-  Duration margin() const;
-  // Of the sockets allowed, those kept for siblings, the store, the cloud and commands to workers.
-  std::size_t keptSockets() const { return fdLimit / 4 + 16; }
-  ShardId shardOfTeam(const TeamId& name) const;
-  // The shortest time within which jobs of the class should be done, or started, if there is an aim for it.
-  std::optional<double> finishWithin(const std::string& jobClass) const;
-  std::optional<double> startWithin(const std::string& jobClass) const;
-  // How long work may wait for cheap room and still meet what is aimed at, with a reserve.
-  double patienceS() const;
-  const Team* team(const TeamId& name) const;
-  ShardId preferredShard(const ControllerId& name) const;
+  [[nodiscard]] Duration blindFor() const;
+  [[nodiscard]] Duration margin() const;
+  // Of the sockets allowed, those kept for siblings, the state service, the cloud and commands to workers.
+  [[nodiscard]] std::size_t keptSockets() const { return fdLimit / 4 + 16; }
+  [[nodiscard]] ShardId shardOfTeam(const TeamId& name) const;
+  // The shortest time within which jobs of the class should be done, or started, if there is an objective for
+  // it.
+  [[nodiscard]] std::optional<double> finishWithin(const std::string& jobClass) const;
+  [[nodiscard]] std::optional<double> startWithin(const std::string& jobClass) const;
+  // How long work may wait for cheap capacity and still meet its objective, with a reserve.
+  [[nodiscard]] double patienceS() const;
+  [[nodiscard]] const Team* team(const TeamId& name) const;
+  [[nodiscard]] ShardId preferredShard(const ControllerId& name) const;
 };
 
+// Both throw SettingsError on a file that can't be used. `source`: the text of the settings file (JSON).
 Settings parseSettings(const std::string& source, const Tuning& tuning);
 Settings readSettings(const std::string& path, const Tuning& tuning);
 
--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -64,7 +64,7 @@
       [&controller](HttpRequest r, Responder done) { controller.request(std::move(r), std::move(done)); },
       &Controller::fromWorker);
   controller.start();
-  log->info("serving on {}", settings.front.text());
+  log->info("serving: address={}", settings.front.text());
   loop.run();
   return 0;
 }
--- a/src/mesh/messages.h
+++ b/src/mesh/messages.h
@@ -28,7 +28,7 @@
   bool serving = false;        // it has loaded what it needs
   std::int64_t ownsForMs = 0;  // its lease is good for so long
   std::vector<OwnedShard> owns;
-  // What keep-alive proxies need (actors/keep-alive proxy.h), each for the sibling that the heartbeat goes
+  // What keep-alive proxies need (cluster/keep_alive_proxy.h), each for the sibling that the heartbeat goes
   // to.
   std::uint64_t life = 0;           // of the process, later ones higher
   std::int64_t at = 0;              // when it was sent, by the sender's steady clock
@@ -62,7 +62,7 @@
   }
 };
 
-// Asks a sibling to ask a machine for its report, as we can't reach it.
+// Asks a sibling to probe a machine, as we can't reach it.
 struct ProbeAsk {
   std::uint64_t id = 0;
   std::string address;
@@ -158,7 +158,7 @@
   enum Kind : std::int32_t {
     Return,          // back to the cloud if it is idle
     Move,            // to another shard if it is idle
-    Drain,           // takes no more work and goes once what ends by itself has ended, unless room gets short
+    Drain,           // takes no more work and goes once what ends by itself has ended, unless capacity gets short
     Keep,            // takes work again after all
     MoveAfterDrain,  // to another shard once what ends by itself has ended
   };
@@ -173,7 +173,7 @@
 };
 
 // From a shard's owner to everybody: jobs that have waited long and that none of the shard's machines has
-// room for.
+// capacity for.
 struct CapacityRequest {
   std::uint32_t shard = 0;
   std::vector<std::string> jobs;
@@ -183,7 +183,7 @@
   }
 };
 
-// The reply of another shard's owner: its machines have room for so many tasks of the job now.
+// The reply of another shard's owner: its machines have capacity for so many tasks of the job now.
 struct CapacityOffer {
   std::uint32_t shard = 0;    // whose machines they are
   std::uint32_t toShard = 0;  // that asked
@@ -195,7 +195,7 @@
   }
 };
 
-// So many tasks of a job may go to a zone, or find room there. An empty name stands for all zones together.
+// So many tasks of a job may go to a zone, or find capacity there. An empty name stands for all zones together.
 struct ZoneTasks {
   std::string zone;
   std::uint32_t tasks = 0;
@@ -205,7 +205,7 @@
   }
 };
 
-// Waiting tasks of a job that its shard has no room for, while others of it are placed or done, or while it
+// Waiting tasks of a job that its shard has no capacity for, while others of it are placed or done, or while it
 // must be placed whole.
 struct TaskCapacityNeed {
   std::string job;
@@ -227,7 +227,7 @@
   }
 };
 
-// The reply of another shard's owner: its machines in that zone have room for so many of the tasks now.
+// The reply of another shard's owner: its machines in that zone have capacity for so many of the tasks now.
 struct TaskCapacityOffer {
   std::uint32_t shard = 0;    // whose machines they are
   std::uint32_t toShard = 0;  // that asked
--- a/src/net/server.cpp
+++ b/src/net/server.cpp
@@ -25,7 +25,7 @@
 }
 
 void HttpServer::accepted(int fd) {
-  if (count_ >= max_) preempt();
+  if (count_ >= max_) closeOneForNewcomer();
   auto c = std::make_shared<Connection>();
   c->stream = std::make_shared<Stream>(loop_, fd, false);
   c->since = loop_.now();
@@ -107,10 +107,10 @@
 
 // Those who wait for nothing before those who wait for an answer, and users before workers, whose leases hang
 // on their connections.
-void HttpServer::preempt() {
+void HttpServer::closeOneForNewcomer() {
   if (auto now = loop_.now(); now - saidFull_ > kSayAgain) {
     saidFull_ = now;
-    log_->info("at the bound of {} connections", max_);
+    log_->info("connection limit reached: limit={}", max_);
   }
   for (auto s : {State::Closing, State::Idle, State::Receiving, State::Answering})
     for (bool worker : {false, true}) {
--- a/src/net/server.h
+++ b/src/net/server.h
@@ -53,7 +53,7 @@
   void become(const Ptr& c, State s) { become(c, s, c->worker); }
   void become(const Ptr& c, State s, bool worker);
   void drop(const Ptr& c);
-  void preempt();
+  void closeOneForNewcomer();
   void sweep();
   Line& line(State s, bool worker) { return lines_[static_cast<std::size_t>(s) + (worker ? kStates : 0)]; }
 
--- a/src/wire/cloud.h
+++ b/src/wire/cloud.h
@@ -9,21 +9,24 @@
 
 namespace cherryloft::wire {
 
+// Nothing when the body is no catalog or names no type.
 std::optional<Catalog> parseCatalog(const std::string& body);
 std::string encodeCatalog(const Catalog& catalog);
 
-struct Rental {
+// So many machines of a type in a zone. `claim`: an idempotency key, by which a repeated request is known.
+struct ProvisionRequest {
   std::string claim;
   std::string type;
   Zone zone;
   bool spot = false;
   unsigned count = 1;
 };
-std::string encodeRental(const Rental& r);
+std::string encodeProvisionRequest(const ProvisionRequest& request);
 std::string encodeReturn(const std::vector<MachineId>& machines);
-// The names in the answer to a rental.
-std::optional<std::vector<MachineId>> parseRented(const std::string& body);
+// The names in the answer to a provision request.
+std::optional<std::vector<MachineId>> parseProvisioned(const std::string& body);
 
+// A machine as the cloud lists it; `heldS`: seconds since it was requested.
 struct ListedMachine {
   enum class State : std::uint8_t { Starting, Running, Failed };
   MachineId id;
@@ -34,6 +37,7 @@
   State state = State::Starting;
   double heldS = 0;
 };
+// A part of the list; truncated: there is more after the last one.
 struct MachinePage {
   std::vector<ListedMachine> machines;
   bool truncated = false;
--- a/src/wire/json.cpp
+++ b/src/wire/json.cpp
@@ -5,15 +5,18 @@
 namespace cherryloft::wire {
 namespace {
 
-const Json* at(const Json& o, const char* name) {
-  if (!o.is_object()) return nullptr;
-  auto it = o.find(name);
-  return it == o.end() || it->is_null() ? nullptr : &*it;
+constexpr int kMaxDepth = 64;
+
+const Json* at(const Json& object, const char* name) {
+  if (!object.is_object()) return nullptr;
+  auto it = object.find(name);
+  return it == object.end() || it->is_null() ? nullptr : &*it;
 }
 
 // Bodies of users are parsed recursively; this bounds the stack a hostile one can take.
 bool tooDeep(const std::string& text) {
-  int depth = 0, deepest = 0;
+  int depth = 0;
+  int deepest = 0;
   bool quoted = false;
   for (std::size_t i = 0; i < text.size(); ++i) {
     char c = text[i];
@@ -28,52 +31,52 @@
       --depth;
     }
   }
-  return deepest > 64;
+  return deepest > kMaxDepth;
 }
 
 }  // namespace
 
 std::optional<Json> parse(const std::string& text) {
   if (tooDeep(text)) return std::nullopt;
-  Json j = Json::parse(text, nullptr, false);
-  if (j.is_discarded()) return std::nullopt;
-  return j;
+  Json json = Json::parse(text, nullptr, false);
+  if (json.is_discarded()) return std::nullopt;
+  return json;
 }
 
-std::optional<std::string> textAt(const Json& o, const char* name) {
-  const Json* v = at(o, name);
-  if (!v || !v->is_string()) return std::nullopt;
-  return v->get<std::string>();
+std::optional<std::string> textAt(const Json& object, const char* name) {
+  const Json* value = at(object, name);
+  if (!value || !value->is_string()) return std::nullopt;
+  return value->get<std::string>();
 }
 
-std::optional<double> numberAt(const Json& o, const char* name) {
-  const Json* v = at(o, name);
-  if (!v || !v->is_number()) return std::nullopt;
-  double d = v->get<double>();
-  if (!std::isfinite(d)) return std::nullopt;
-  return d;
+std::optional<double> numberAt(const Json& object, const char* name) {
+  const Json* value = at(object, name);
+  if (!value || !value->is_number()) return std::nullopt;
+  double number = value->get<double>();
+  if (!std::isfinite(number)) return std::nullopt;
+  return number;
 }
 
-std::optional<std::uint64_t> countAt(const Json& o, const char* name) {
-  const Json* v = at(o, name);
-  if (!v) return std::nullopt;
-  if (v->is_number_unsigned()) return v->get<std::uint64_t>();
-  if (v->is_number_integer() && v->get<std::int64_t>() >= 0) return v->get<std::uint64_t>();
+std::optional<std::uint64_t> countAt(const Json& object, const char* name) {
+  const Json* value = at(object, name);
+  if (!value) return std::nullopt;
+  if (value->is_number_unsigned()) return value->get<std::uint64_t>();
+  if (value->is_number_integer() && value->get<std::int64_t>() >= 0) return value->get<std::uint64_t>();
   return std::nullopt;
 }
 
-std::optional<bool> flagAt(const Json& o, const char* name) {
-  const Json* v = at(o, name);
-  if (!v || !v->is_boolean()) return std::nullopt;
-  return v->get<bool>();
+std::optional<bool> flagAt(const Json& object, const char* name) {
+  const Json* value = at(object, name);
+  if (!value || !value->is_boolean()) return std::nullopt;
+  return value->get<bool>();
 }
 
-const Json& listAt(const Json& o, const char* name) {
+const Json& listAt(const Json& object, const char* name) {
   static const Json empty = Json::array();
-  const Json* v = at(o, name);
-  return v && v->is_array() ? *v : empty;
+  const Json* value = at(object, name);
+  return value && value->is_array() ? *value : empty;
 }
 
-std::string dump(const Json& j) { return j.dump(-1, ' ', false, Json::error_handler_t::replace); }
+std::string dump(const Json& json) { return json.dump(-1, ' ', false, Json::error_handler_t::replace); }
 
 }  // namespace cherryloft::wire
--- a/src/wire/json.h
+++ b/src/wire/json.h
@@ -13,13 +13,13 @@
 std::optional<Json> parse(const std::string& text);
 
 // Members by name; nothing when absent, null or of another kind.
-std::optional<std::string> textAt(const Json& o, const char* name);
-std::optional<double> numberAt(const Json& o, const char* name);
-std::optional<std::uint64_t> countAt(const Json& o, const char* name);
-std::optional<bool> flagAt(const Json& o, const char* name);
+std::optional<std::string> textAt(const Json& object, const char* name);
+std::optional<double> numberAt(const Json& object, const char* name);
+std::optional<std::uint64_t> countAt(const Json& object, const char* name);
+std::optional<bool> flagAt(const Json& object, const char* name);
 // The list by that name, or an empty one.
-const Json& listAt(const Json& o, const char* name);
+const Json& listAt(const Json& object, const char* name);
 
-std::string dump(const Json& j);
+std::string dump(const Json& json);
 
 }  // namespace cherryloft::wire
--- a/src/wire/users.cpp
+++ b/src/wire/users.cpp
@@ -1,6 +1,7 @@
 #include "wire/users.h"
 
 #include <algorithm>
+#include <string_view>
 
 #include "wire/json.h"
 
@@ -8,113 +9,118 @@
 namespace {
 
 constexpr std::uint32_t kMaxTasks = 100'000;
-constexpr double kMaxAmount = 1e9;
+constexpr double kMaxAmount = 1e9;  // of any quantity
 constexpr std::size_t kMaxName = 200;
+constexpr std::string_view kJobIdPrefix = "wk-";
+constexpr std::size_t kMaxJobId = 64;
+constexpr int kServiceUnavailable = 503;
+constexpr int kRetryAfterS = 1;
 
 // Collects the first thing wrong, so that the fields below read as a list.
 class Fields {
  public:
-  explicit Fields(const Json& o) : o_(o) {}
+  explicit Fields(const Json& object) : object_(object) {}
 
   std::string name(const char* field, bool mayBeEmpty = false) {
-    auto v = textAt(o_, field);
-    if (!v || (v->empty() && !mayBeEmpty) || v->size() > kMaxName) wrong(field);
-    return v.value_or("");
+    auto value = textAt(object_, field);
+    if (!value || (value->empty() && !mayBeEmpty) || value->size() > kMaxName) wrong(field);
+    return value.value_or("");
   }
   double amount(const char* field, double low) {
-    auto v = numberAt(o_, field);
-    if (!v || *v < low || *v > kMaxAmount) wrong(field);
-    return v.value_or(0);
+    auto value = numberAt(object_, field);
+    if (!value || *value < low || *value > kMaxAmount) wrong(field);
+    return value.value_or(0);
   }
   bool flag(const char* field) {
-    auto v = flagAt(o_, field);
-    if (!v) wrong(field);
-    return v.value_or(false);
-  }
-  bool reconcileMissingTasks(const char* field) const {
-    return !o_.contains(field) || o_.at(field).is_null();
+    auto value = flagAt(object_, field);
+    if (!value) wrong(field);
+    return value.value_or(false);
   }
+  bool absent(const char* field) const { return !object_.contains(field) || object_.at(field).is_null(); }
   void wrong(const char* field) {
     if (why_.empty()) why_ = std::string("field '") + field + "' is missing or invalid";
   }
   const std::string& why() const { return why_; }
 
  private:
-  const Json& o_;
+  const Json& object_;
   std::string why_;
 };
 
 }  // namespace
 
 bool isJobId(const std::string& id) {
-  return id.size() > 3 && id.size() <= 64 && id.compare(0, 3, "wk-") == 0 &&
-         std::all_of(id.begin() + 3, id.end(), [](char c) { return c >= '0' && c <= '9'; });
+  auto isDigit = [](char c) { return c >= '0' && c <= '9'; };
+  if (id.size() <= kJobIdPrefix.size() || id.size() > kMaxJobId || !id.starts_with(kJobIdPrefix))
+    return false;
+  return std::all_of(id.begin() + kJobIdPrefix.size(), id.end(), isDigit);
 }
 
 std::variant<JobSpec, Malformed> parseSubmission(const std::string& body) {
   auto doc = parse(body);
   if (!doc) return Malformed{"not JSON", {}};
   if (!doc->is_object()) return Malformed{"not an object", {}};
-  Fields f(*doc);
-  JobSpec s;
+  Fields fields(*doc);
+  JobSpec job;
   auto id = textAt(*doc, "name_id");
   if (!id || !isJobId(*id)) return Malformed{"field 'name_id' is missing or invalid", {}};
-  s.id = JobId{*id};
-  s.jobClass = f.name("jobclass");
-  s.team = TeamId{f.name("owner")};
-  auto kind = f.name("shape");
+  job.id = JobId{*id};
+  job.jobClass = fields.name("jobclass");
+  job.team = TeamId{fields.name("owner")};
+  auto kind = fields.name("shape");
   if (kind == "service")
-    s.kind = JobKind::Service;
+    job.kind = JobKind::Service;
   else if (kind == "ensemble")
-    s.kind = JobKind::Gang;
+    job.kind = JobKind::Gang;
   else if (kind != "sweep")
-    f.wrong("shape");
-  auto priority = f.name("rank");
+    fields.wrong("shape");
+  auto priority = fields.name("rank");
   if (priority == "prod")
-    s.priority = PriorityClass::Production;
+    job.priority = PriorityClass::Production;
   else if (priority == "high")
-    s.priority = PriorityClass::High;
+    job.priority = PriorityClass::High;
   else if (priority == "normal")
-    s.priority = PriorityClass::Normal;
+    job.priority = PriorityClass::Normal;
   else if (priority == "best_effort")
-    s.priority = PriorityClass::BestEffort;
+    job.priority = PriorityClass::BestEffort;
   else
-    f.wrong("rank");
+    fields.wrong("rank");
   auto tasks = countAt(*doc, "pieces");
-  if (!tasks || *tasks < 1 || *tasks > kMaxTasks) f.wrong("pieces");
-  s.tasks = static_cast<std::uint32_t>(std::min<std::uint64_t>(tasks.value_or(1), kMaxTasks));
-  s.each = {f.amount("cores", 0), f.amount("gpus", 0), f.amount("ram_gb", 0)};
-  if (s.each.cores <= 0 && s.each.gpus <= 0) f.wrong("cores");
-  s.image = ImageId{f.name("bundle")};
-  s.imageGb = f.amount("image_gb", 0);
-  if (!f.reconcileMissingTasks("flavours")) {
-    if (!doc->at("flavours").is_array()) f.wrong("flavours");
-    s.types.emplace();
-    for (const auto& t : listAt(*doc, "flavours")) {
-      if (t.is_string())
-        s.types->push_back(t.get<std::string>());
+  if (!tasks || *tasks < 1 || *tasks > kMaxTasks) fields.wrong("pieces");
+  job.tasks = static_cast<std::uint32_t>(std::min<std::uint64_t>(tasks.value_or(1), kMaxTasks));
+  job.each = {fields.amount("cores", 0), fields.amount("gpus", 0), fields.amount("ram_gb", 0)};
+  if (job.each.cores <= 0 && job.each.gpus <= 0) fields.wrong("cores");
+  job.image = ImageId{fields.name("bundle")};
+  job.imageGb = fields.amount("image_gb", 0);
+  if (!fields.absent("flavours")) {
+    if (!doc->at("flavours").is_array()) fields.wrong("flavours");
+    job.types.emplace();
+    for (const auto& type : listAt(*doc, "flavours")) {
+      if (type.is_string())
+        job.types->push_back(type.get<std::string>());
       else
-        f.wrong("flavours");
+        fields.wrong("flavours");
     }
   }
-  if (!f.reconcileMissingTasks("site")) s.zone = Zone{f.name("site")};
-  s.oneZone = f.flag("one_zone");
-  s.spread = f.flag("spread");
-  s.spotAllowed = f.flag("lendable");
-  s.expectedRunSeconds = f.amount("expect_s", 0);
-  s.checkpointIntervalSeconds = f.amount("snapshot_every_s", 0);
-  s.checkpointSeconds = f.amount("snapshot_s", 0);
-  if (!f.reconcileMissingTasks("due_s")) s.deadlineSeconds = f.amount("due_s", 0);
-  if (!f.why().empty()) return Malformed{f.why(), s.id};
-  return s;
+  if (!fields.absent("site")) job.zone = Zone{fields.name("site")};
+  job.oneZone = fields.flag("one_zone");
+  job.spread = fields.flag("spread");
+  job.spotAllowed = fields.flag("lendable");
+  job.expectedRunSeconds = fields.amount("expect_s", 0);
+  job.checkpointIntervalSeconds = fields.amount("snapshot_every_s", 0);
+  job.checkpointSeconds = fields.amount("snapshot_s", 0);
+  if (!fields.absent("due_s")) job.deadlineSeconds = fields.amount("due_s", 0);
+  if (!fields.why().empty()) return Malformed{fields.why(), job.id};
+  return job;
 }
 
-std::string encodeJob(const JobId& id, const JobView& v) {
-  const char* status = v.status == JobStatus::Done        ? "done"
-                       : v.status == JobStatus::Cancelled ? "aborted"
-                       : v.running > 0                    ? "running"
-                                                          : "pending";
-  return dump(Json{{"name_id", id.value}, {"status", status}, {"done", v.done}, {"running", v.running}});
+std::string encodeJob(const JobId& id, const JobView& view) {
+  const char* status = view.status == JobStatus::Done        ? "done"
+                       : view.status == JobStatus::Cancelled ? "aborted"
+                       : view.running > 0                    ? "running"
+                                                             : "pending";
+  return dump(
+      Json{{"name_id", id.value}, {"status", status}, {"done", view.done}, {"running", view.running}});
 }
 
 std::optional<JobStatus> parseEnd(const std::string& body) {
@@ -129,6 +135,8 @@
   return {status, dump(Json{{"error", why}}), false, retryAfterS};
 }
 
-HttpResponse userUnavailable(const std::string& why) { return userError(503, why, 1); }
+HttpResponse userUnavailable(const std::string& why) {
+  return userError(kServiceUnavailable, why, kRetryAfterS);
+}
 
 }  // namespace cherryloft::wire
--- a/src/wire/workers.cpp
+++ b/src/wire/workers.cpp
@@ -7,68 +7,68 @@
 namespace cherryloft::wire {
 namespace {
 
-std::optional<ReportedTask> parseReported(const Json& e) {
-  auto task = textAt(e, "piece");
-  auto attempt = countAt(e, "try");
-  auto phase = textAt(e, "status");
+std::optional<ReportedTask> parseReported(const Json& entry) {
+  auto task = textAt(entry, "piece");
+  auto attempt = countAt(entry, "try");
+  auto phase = textAt(entry, "status");
   auto id = task ? parseTask(*task) : std::nullopt;
   if (!id || !attempt || !phase) return std::nullopt;
-  ReportedTask t{*id, Attempt{*attempt}, TaskPhase::Fetching, ExitCause::Unknown};
+  ReportedTask reported{*id, Attempt{*attempt}, TaskPhase::Fetching, ExitCause::Unknown};
   if (*phase == "fetching" || *phase == "gathering") {
-    t.phase = TaskPhase::Fetching;
+    reported.phase = TaskPhase::Fetching;
   } else if (*phase == "running") {
-    t.phase = TaskPhase::Running;
+    reported.phase = TaskPhase::Running;
   } else if (*phase == "flushing") {
-    t.phase = TaskPhase::Saving;
+    reported.phase = TaskPhase::Saving;
   } else if (*phase == "ended") {
-    t.phase = TaskPhase::Exited;
-    auto cause = textAt(e, "exit_cause").value_or("");
-    t.cause = cause == "done"                        ? ExitCause::Done
-              : cause == "halted"                    ? ExitCause::Stopped
-              : cause == "no_room"                   ? ExitCause::NoRoom
-              : cause == "busy"                      ? ExitCause::Busy
-              : cause == "unknown"                   ? ExitCause::Unknown
-              : cause == "peers" || cause == "alone" ? ExitCause::Peers
-                                                     : ExitCause::Error;
+    reported.phase = TaskPhase::Exited;
+    auto cause = textAt(entry, "exit_cause").value_or("");
+    reported.cause = cause == "done"                        ? ExitCause::Done
+                     : cause == "halted"                    ? ExitCause::Stopped
+                     : cause == "no_room"                   ? ExitCause::NoRoom
+                     : cause == "busy"                      ? ExitCause::Busy
+                     : cause == "unknown"                   ? ExitCause::Unknown
+                     : cause == "peers" || cause == "alone" ? ExitCause::Peers
+                                                            : ExitCause::Error;
   } else {
     return std::nullopt;
   }
-  return t;
+  return reported;
 }
 
 Json commandsJson(const std::vector<Command>& commands) {
   Json list = Json::array();
-  for (const auto& o : commands) {
-    Json j{{"piece", encodeTask(o.task)}, {"try", o.attempt.value}};
-    switch (o.verb) {
+  for (const auto& command : commands) {
+    Json object{{"piece", encodeTask(command.task)}, {"try", command.attempt.value}};
+    switch (command.verb) {
       case Command::Verb::Start:
-        j["verb"] = "start";
+        object["verb"] = "start";
         break;
       case Command::Verb::Stop:
-        j["verb"] = "kill";
-        j["grace_s"] = o.graceS;
+        object["verb"] = "kill";
+        object["grace_s"] = command.graceS;
         break;
       case Command::Verb::Forget:
-        j["verb"] = "forget";
+        object["verb"] = "forget";
         break;
     }
-    list.push_back(std::move(j));
+    list.push_back(std::move(object));
   }
   return list;
 }
 
 }  // namespace
 
-std::string encodeTask(const TaskId& t) { return t.job.value + "/" + std::to_string(t.index); }
+std::string encodeTask(const TaskId& task) { return task.job.value + "/" + std::to_string(task.index); }
 
 std::optional<TaskId> parseTask(const std::string& text) {
   auto slash = text.rfind('/');
   if (slash == std::string::npos || slash == 0) return std::nullopt;
-  TaskId t{JobId{text.substr(0, slash)}, 0};
+  TaskId task{JobId{text.substr(0, slash)}, 0};
   const char* end = text.data() + text.size();
-  auto [p, ec] = std::from_chars(text.data() + slash + 1, end, t.index);
-  if (ec != std::errc{} || p != end) return std::nullopt;
-  return t;
+  auto [parsedEnd, ec] = std::from_chars(text.data() + slash + 1, end, task.index);
+  if (ec != std::errc{} || parsedEnd != end) return std::nullopt;
+  return task;
 }
 
 std::optional<WorkerHeartbeat> parseHeartbeat(const std::string& body) {
@@ -79,23 +79,23 @@
   auto sequence = countAt(*doc, "serial");
   auto token = countAt(*doc, "epoch");
   if (!machine || machine->empty() || !incarnation || !sequence || !token) return std::nullopt;
-  WorkerHeartbeat r{MachineId{*machine},
-                    textAt(*doc, "addr").value_or(""),
-                    textAt(*doc, "flavour").value_or(""),
-                    Zone{textAt(*doc, "site").value_or("")},
-                    flagAt(*doc, "lendable").value_or(false),
-                    Incarnation{*incarnation},
-                    SequenceNumber{*sequence},
-                    FencingToken{*token},
-                    numberAt(*doc, "reclaim_in_s"),
-                    {}};
-  for (const auto& e : listAt(*doc, "pieces")) {
-    auto t = parseReported(e);
+  WorkerHeartbeat heartbeat{MachineId{*machine},
+                            textAt(*doc, "addr").value_or(""),
+                            textAt(*doc, "flavour").value_or(""),
+                            Zone{textAt(*doc, "site").value_or("")},
+                            flagAt(*doc, "lendable").value_or(false),
+                            Incarnation{*incarnation},
+                            SequenceNumber{*sequence},
+                            FencingToken{*token},
+                            numberAt(*doc, "reclaim_in_s"),
+                            {}};
+  for (const auto& entry : listAt(*doc, "pieces")) {
+    auto task = parseReported(entry);
     // A list that cannot be read in full proves nothing about what is absent from it.
-    if (!t) return std::nullopt;
-    r.tasks.push_back(std::move(*t));
+    if (!task) return std::nullopt;
+    heartbeat.tasks.push_back(std::move(*task));
   }
-  return r;
+  return heartbeat;
 }
 
 std::string encodeHeartbeatAnswer(FencingToken token, const std::vector<Command>& commands) {
