--- a/apps/cherryloft/main.cpp
+++ b/apps/cherryloft/main.cpp
@@ -10,35 +10,50 @@
 
 using namespace cherryloft;
 
+namespace {
+
+constexpr int kBadCommandLineOrSettings = 2;
+
+// The environment variable that an option is read from: its former name goes on working where the present one
+// is not set.
+const char* variableInUse(const char* name, const char* formerName) {
+  return std::getenv(name) == nullptr && std::getenv(formerName) != nullptr ? formerName : name;
+}
+
+}  // namespace
+
 int main(int argc, char** argv) {
   CLI::App app{"cherryloft, a cluster scheduler: one controller"};
   std::string config;
   bool check = false;
   Tuning tuning;
-  std::int64_t ttlMs = tuning.leaseTtl.count();
-  double handBackS = inSeconds(tuning.returnOwnershipAfter), moveS = inSeconds(tuning.moveEvery);
+  std::int64_t leaseTtlMs = tuning.leaseTtl.count();
+  double returnOwnershipAfterS = inSeconds(tuning.returnOwnershipAfter);
+  double moveS = inSeconds(tuning.moveEvery);
   app.set_version_flag("--version", std::string("cherryloft ") + CHERRYLOFT_VERSION);
   app.add_option("--config", config, "settings file that the platform hands over (JSON)")->required();
   app.add_flag("--check", check, "check command line and settings, then exit");
-  app.add_option("--hold-ttl-ms", ttlMs, "life of this controller's hold in the state service")
-      ->envname("CHERRYLOFT_HOLD_TTL_MS")
+  app.add_option("--lease-ttl-ms,--hold-ttl-ms", leaseTtlMs,
+                 "time to live of this controller's lease in the state service")
+      ->envname(variableInUse("CHERRYLOFT_LEASE_TTL_MS", "CHERRYLOFT_HOLD_TTL_MS"))
       ->check(CLI::Range(500, 60000))
       ->capture_default_str();
-  app.add_option("--hand-back-after-s", handBackS,
-                 "how long a controller must be back before it gets its share")
-      ->envname("CHERRYLOFT_HAND_BACK_AFTER_S")
+  app.add_option("--return-ownership-after-s,--hand-back-after-s", returnOwnershipAfterS,
+                 "how long a controller must be back before it gets its shard")
+      ->envname(variableInUse("CHERRYLOFT_RETURN_OWNERSHIP_AFTER_S", "CHERRYLOFT_HAND_BACK_AFTER_S"))
       ->check(CLI::Range(0.0, 3600.0))
       ->capture_default_str();
-  app.add_option("--move-every-s", moveS, "how often idle machines move between shares")
+  app.add_option("--move-every-s", moveS, "how often idle machines move between shards")
       ->envname("CHERRYLOFT_MOVE_EVERY_S")
       ->check(CLI::Range(1.0, 3600.0))
       ->capture_default_str();
-  app.add_option("--sample", tuning.sampleSize, "machines peeked at for a placement (K)")
-      ->envname("CHERRYLOFT_SAMPLE")
+  app.add_option("--sample-size,--sample", tuning.sampleSize, "machines sampled for a placement (K)")
+      ->envname(variableInUse("CHERRYLOFT_SAMPLE_SIZE", "CHERRYLOFT_SAMPLE"))
       ->check(CLI::Range(1, 100000))
       ->capture_default_str();
-  app.add_option("--spare-share", tuning.spareFraction, "room kept above what is asked for, as a share of it")
-      ->envname("CHERRYLOFT_SPARE_SHARE")
+  app.add_option("--spare-fraction,--spare-share", tuning.spareFraction,
+                 "capacity kept above what is asked for, as a fraction of it")
+      ->envname(variableInUse("CHERRYLOFT_SPARE_FRACTION", "CHERRYLOFT_SPARE_SHARE"))
       ->check(CLI::Range(0.0, 10.0))
       ->capture_default_str();
   app.add_option("--seed", tuning.seed, "seed of all random choices, 0 for a new one each time")
@@ -50,10 +65,10 @@
     return app.exit(e);
   } catch (const CLI::ParseError& e) {
     std::cerr << "cherryloft: " << e.what() << "\n";
-    return 2;
+    return kBadCommandLineOrSettings;
   }
-  tuning.leaseTtl = Duration{ttlMs};
-  tuning.returnOwnershipAfter = seconds(handBackS);
+  tuning.leaseTtl = Duration{leaseTtlMs};
+  tuning.returnOwnershipAfter = seconds(returnOwnershipAfterS);
   tuning.moveEvery = seconds(moveS);
   try {
     auto settings = readSettings(config, tuning);
@@ -66,6 +81,6 @@
     return runDaemon(settings, makeLog(settings.controller.value, level ? level : "error"));
   } catch (const std::exception& e) {
     std::cerr << "cherryloft: " << e.what() << "\n";
-    return 2;
+    return kBadCommandLineOrSettings;
   }
 }
--- a/src/autoscaler/autoscaler.cpp
+++ b/src/autoscaler/autoscaler.cpp
@@ -23,7 +23,8 @@
       catalog_(context_),
       prices_(catalog_.prices()),
       records_(context_, [this](const MachineId& id) { return scaleIn_.returned(id); }),
-      scaleIn_(context_, [this](const policy::InstanceOffering& offer) { scaleOut_.available(offer); }),
+      scaleIn_(context_,
+               [this](const policy::InstanceOffering& offer) { scaleOut_.offeringAvailable(offer); }),
       scaleOut_(context_, records_, seed),
       adoption_(context_, catalog_, records_, scaleIn_, [this] { return shardGaps(); }),
       inventory_(context_, catalog_, adoption_, scaleIn_) {}
@@ -33,7 +34,8 @@
 void Autoscaler::leading(bool yes) {
   leadership_.active = yes;
   if (!yes) return;
-  leadership_.since = moveAt_ = runtime_.now();
+  leadership_.since = runtime_.now();
+  lastRebalance_ = leadership_.since;
   loads_.clear();
   inventory_.restart();
   scaleIn_.restart();
@@ -42,10 +44,10 @@
   records_.restart();
 }
 
-void Autoscaler::load(const mesh::ShardLoad& l) {
-  auto& s = loads_[ShardId{l.shard}];
-  if (s.load.epoch > l.epoch) return;
-  s = {l, runtime_.now()};
+void Autoscaler::load(const mesh::ShardLoad& load) {
+  auto& reported = loads_[ShardId{load.shard}];
+  if (reported.load.epoch > load.epoch) return;  // of a former owner
+  reported = {load, runtime_.now()};
 }
 
 void Autoscaler::tick() {
@@ -58,23 +60,24 @@
   scaleIn_.returnMarked(calls_);
   inventory_.reviewRecords();
   scaleIn_.markRequested();
-  if (records_.current()) adoption_.dealOut();
+  if (records_.current()) adoption_.assignToShards();
   if (!prices_.empty() && runtime_.now() - leadership_.since >= kSettle) plan();
 }
 
-policy::ShardFleet Autoscaler::fleetOf(ShardId k) const {
-  auto state = loads_.find(k);
-  const auto* load = state == loads_.end() ? nullptr : &state->second.load;
-  auto fleet = describeShardFleet(k, load, view_, prices_, runtime_.wall());
-  scaleOut_.addOrdered(k, fleet);
+policy::ShardFleet Autoscaler::fleetOf(ShardId shard) const {
+  auto reported = loads_.find(shard);
+  const auto* load = reported == loads_.end() ? nullptr : &reported->second.load;
+  auto fleet = describeShardFleet(shard, load, view_, prices_, runtime_.wall());
+  scaleOut_.addOrdered(shard, fleet);
   return fleet;
 }
 
 ShardGaps Autoscaler::shardGaps() const {
   ShardGaps gaps;
-  for (std::uint32_t k = 0; k < settings_.size(); ++k) {
-    auto fleet = fleetOf(ShardId{k});
-    auto& gap = gaps[ShardId{k}];
+  for (std::uint32_t number = 0; number < settings_.size(); ++number) {
+    ShardId shard{number};
+    auto fleet = fleetOf(shard);
+    auto& gap = gaps[shard];
     gap.cores = fleet.onDemandOnly.used + fleet.onDemandOnly.waiting + fleet.spotAllowed.used +
                 fleet.spotAllowed.waiting;
     for (const auto& machine : fleet.machines) {
@@ -85,9 +88,9 @@
   return gaps;
 }
 
-void Autoscaler::startRental(ShardId k, const policy::ScaleOutRequest& directive) {
+void Autoscaler::startScaleOut(ShardId shard, const policy::ScaleOutRequest& request) {
   calls_.take();
-  scaleOut_.start(k, directive);
+  scaleOut_.start(shard, request);
 }
 
 }  // namespace cherryloft
--- a/src/autoscaler/autoscaler.h
+++ b/src/autoscaler/autoscaler.h
@@ -1,5 +1,5 @@
-// Fleet: acts on the leader only. Plans the machines of all shards, and has its parts rent, adopt, record and
-// return them. Machines that are to move or go are asked of their owners.
+// Autoscaler: acts on the leader only. Plans the machines of all shards, and has its parts scale out, adopt,
+// record and return them. Machines that are to move or go are asked of their owners.
 #pragma once
 
 #include "autoscaler/cloud_catalog.h"
@@ -30,25 +30,43 @@
   void unrecordedMachineSeen(const wire::WorkerHeartbeat& r) { adoption_.reported(r); }
 
  private:
+  // What a shard's owner reported last, and when it came.
   struct ReportedLoad {
     mesh::ShardLoad load;
     Time at;
   };
 
   void tick();
+  // How many idle machines of a shard may move in one turn.
+  enum class MoveScope : std::uint8_t { OnePerShard, AllSpare };
+  struct MoveDestination {
+    ShardId shard;
+    bool takesSpot = false;  // work waits there that spot machines may run
+  };
+
   void plan();
-  void planShard(ShardId k, const policy::ShardFleet& f, const policy::CapacityTargets& t, double spareSpot);
-  void moveAfterDrain(const std::map<ShardId, policy::ShardFleet>& fleets);
-  void rentInTurn(const std::map<ShardId, policy::ShardFleet>& fleets,
-                  const std::map<ShardId, policy::CapacityTargets>& targets);
+  void planShard(ShardId shard, const policy::ShardFleet& fleet, const policy::CapacityTargets& target,
+                 double spareSpotCores);
+  void logShard(ShardId shard, const policy::ShardFleet& fleet, const policy::CapacityTargets& target) const;
+  void moveToEmptyShards(const std::map<ShardId, policy::ShardFleet>& fleets);
+  void scaleOutInTurn(const std::map<ShardId, policy::ShardFleet>& fleets,
+                      const std::map<ShardId, policy::CapacityTargets>& targets);
+  // The shards, the one that lacks most of what it wants first.
   static std::vector<ShardId> byPressure(const std::map<ShardId, policy::ShardFleet>& fleets,
                                          const std::map<ShardId, policy::CapacityTargets>& targets);
-  void drainSome(ShardId k, const policy::ShardFleet& f, const policy::CapacityTargets& t);
-  double comingTo(ShardId to);
-  void move(const std::map<ShardId, policy::ShardFleet>& fleets,
-            const std::map<ShardId, policy::CapacityTargets>& targets, bool beat);
-  void startRental(ShardId k, const policy::ScaleOutRequest& directive);
-  policy::ShardFleet fleetOf(ShardId k) const;
+  bool mayAskAgain(const MachineId& machine);
+  void returnDrained(ShardId shard);
+  void cancelOneDrain(ShardId shard);
+  void releaseIdle(ShardId shard, const policy::ShardFleet& fleet, const policy::CapacityTargets& target,
+                   double spareSpotCores);
+  void drainSome(ShardId shard, const policy::ShardFleet& fleet, const policy::CapacityTargets& target);
+  double coresMovingTo(ShardId to);
+  void moveIdleMachines(const std::map<ShardId, policy::ShardFleet>& fleets,
+                        const std::map<ShardId, policy::CapacityTargets>& targets, MoveScope scope);
+  void moveFrom(ShardId from, const MoveDestination& destination, double spareCores, double& missingCores,
+                MoveScope scope);
+  void startScaleOut(ShardId shard, const policy::ScaleOutRequest& request);
+  policy::ShardFleet fleetOf(ShardId shard) const;
   std::set<policy::InstanceOffering> unavailable() const { return scaleOut_.refused(); }
   ShardGaps shardGaps() const;
 
@@ -68,11 +86,12 @@
   MachineAdoption adoption_;
   MachineInventory inventory_;
   std::map<ShardId, ReportedLoad> loads_;
-  Time moveAt_{};
+  Time lastRebalance_{};
+  // A machine that was asked to move and is not recorded there yet.
   struct Moving {
     ShardId to;
     Time at;
-    double cores;
+    double cores = 0;
   };
   std::map<MachineId, Moving> moving_;
   std::map<ShardId, Time> moveAfterDrainAt_;
--- a/src/autoscaler/cloud_catalog.cpp
+++ b/src/autoscaler/cloud_catalog.cpp
@@ -47,7 +47,7 @@
   if (same) return;
   auto value = wire::encodeCatalog(fresh);
   if (value.size() > context_.settings.valueBytes) {
-    context_.log->error("the catalog of {} bytes is too large to be kept", value.size());
+    context_.log->error("catalog too large to be kept: bytes={}", value.size());
     return;
   }
   wire::Transaction transaction;
--- a/src/autoscaler/machine_adoption.cpp
+++ b/src/autoscaler/machine_adoption.cpp
@@ -19,7 +19,7 @@
 
 }  // namespace
 
-ShardId neediestShard(const ShardGaps& gaps, const std::string& type) {
+ShardId shardWithLargestGap(const ShardGaps& gaps, const std::string& type) {
   auto needier = [&](const auto& a, const auto& b) {
     long ofA = machinesOfType(a.second, type);
     long ofB = machinesOfType(b.second, type);
@@ -88,7 +88,7 @@
   return ids;
 }
 
-void MachineAdoption::dealOut() {
+void MachineAdoption::assignToShards() {
   if (waiting_.empty() || context_.runtime.now() < dealAt_) return;
   auto order = smallestFirst();
   auto waiting = std::exchange(waiting_, {});
@@ -96,7 +96,7 @@
   std::map<std::tuple<ShardId, std::string, Zone, bool>, wire::GroupRecord> groups;
   for (const auto& id : order) {
     const auto& record = waiting.at(id);
-    auto shard = neediestShard(gaps, record.type);
+    auto shard = shardWithLargestGap(gaps, record.type);
     auto& gap = gaps[shard];
     const auto* type = findType(catalog_.prices(), record.type);
     gap.cores -= type ? type->size.cores : 1;
@@ -108,8 +108,8 @@
     group.members.push_back({id, wire::MachinePhase::InUse, record.address});
   }
   for (const auto& [_, group] : groups) {
-    context_.log->info("adopting {} {} in {} for share {}", group.members.size(), group.type,
-                       group.zone.value, group.shard.value);
+    context_.log->info("machines adopted: count={} type={} zone={} shard={}", group.members.size(),
+                       group.type, group.zone.value, group.shard.value);
     records_.create(group);
   }
 }
--- a/src/autoscaler/machine_adoption.h
+++ b/src/autoscaler/machine_adoption.h
@@ -1,5 +1,5 @@
-// MachineAdoption: deals machines without a record out to shards. They were rented by a leader that did not
-// live to record them, or were there from the start.
+// MachineAdoption: deals machines without a record out to shards. They were provisioned by a leader that did
+// not live to record them, or were there from the start.
 #pragma once
 
 #include <functional>
@@ -35,7 +35,7 @@
   // A machine without a record has reported.
   void reported(const wire::WorkerHeartbeat& report);
   // Deals out the machines that have waited for others.
-  void dealOut();
+  void assignToShards();
 
  private:
   bool unknown(const MachineId& id) const;
@@ -53,6 +53,6 @@
 };
 
 // The shard with the fewest machines of that type, and among those the one that lacks most.
-ShardId neediestShard(const ShardGaps& gaps, const std::string& type);
+ShardId shardWithLargestGap(const ShardGaps& gaps, const std::string& type);
 
 }  // namespace cherryloft
--- a/src/autoscaler/machine_records.h
+++ b/src/autoscaler/machine_records.h
@@ -1,4 +1,4 @@
-// MachineRecords: creates the records of machines that were rented or adopted.
+// MachineRecords: creates the records of machines that were provisioned or adopted.
 #pragma once
 
 #include <deque>
--- a/src/autoscaler/planning.cpp
+++ b/src/autoscaler/planning.cpp
@@ -1,4 +1,5 @@
-// What the fleet should become: which shards rent, which machines move between shards, and which go.
+// The leader's plan of the fleet: which shards scale out, which machines move between shards, which are
+// drained or returned.
 #include <algorithm>
 
 #include "autoscaler/autoscaler.h"
@@ -11,9 +12,10 @@
 constexpr Duration kMoveAfterDrainAgain{20'000};
 constexpr Duration kMoveTakes{20'000};  // after which a machine asked to move is taken to stay
 constexpr double kMinIdleS = 10;
-constexpr double kMinAgeS = 60;         // what the cloud charges at least
-constexpr unsigned kMostLetGo = 20;     // idle machines of a shard in a turn
-constexpr std::size_t kMaxDrained = 8;  // busy ones
+constexpr double kMinAgeS = 60;                   // what the cloud charges at least
+constexpr unsigned kMaxReleased = 20;             // idle machines of a shard in a turn
+constexpr std::size_t kMaxDrained = 8;            // busy ones
+constexpr std::size_t kLeastMachinesToShare = 2;  // of a shard that gives one to a shard without any
 
 }  // namespace
 
@@ -21,200 +23,226 @@
   auto now = runtime_.now();
   std::map<ShardId, policy::ShardFleet> fleets;
   std::map<ShardId, policy::CapacityTargets> targets;
-  for (std::uint32_t k = 0; k < settings_.size(); ++k) {
-    auto s = loads_.find(ShardId{k});
-    if (s == loads_.end() || now - s->second.at > kLoadStale) continue;
-    fleets[ShardId{k}] = fleetOf(ShardId{k});
-    targets[ShardId{k}] =
-        policy::targets(fleets[ShardId{k}], prices_, settings_.tuning.spareFraction, settings_.patienceS());
+  for (std::uint32_t number = 0; number < settings_.size(); ++number) {
+    ShardId shard{number};
+    auto reported = loads_.find(shard);
+    if (reported == loads_.end() || now - reported->second.at > kLoadStale) continue;
+    fleets[shard] = fleetOf(shard);
+    targets[shard] =
+        policy::targets(fleets[shard], prices_, settings_.tuning.spareFraction, settings_.patienceS());
   }
-  bool beat = now - moveAt_ >= settings_.tuning.moveEvery;
-  if (beat) moveAt_ = now;
-  move(fleets, targets, beat);
-  // Spare room is common to all shards, as idle machines are moved on request.
-  double spare = 0, burst = 0;
-  for (const auto& [k, f] : fleets) {
-    spare += policy::coresOf(f) - targets[k].spotTarget;
-    burst = std::max(burst, f.spotAllowed.largestJob);
+  bool rebalancingDue = now - lastRebalance_ >= settings_.tuning.moveEvery;
+  if (rebalancingDue) lastRebalance_ = now;
+  moveIdleMachines(fleets, targets, rebalancingDue ? MoveScope::AllSpare : MoveScope::OnePerShard);
+  // Spare capacity is common to all shards, as idle machines are moved on request.
+  double spareCores = 0;
+  double largestArrival = 0;
+  for (const auto& [shard, fleet] : fleets) {
+    spareCores += policy::coresOf(fleet) - targets[shard].spotTarget;
+    largestArrival = std::max(largestArrival, fleet.spotAllowed.largestJob);
   }
-  rentInTurn(fleets, targets);
-  moveAfterDrain(fleets);
-  for (const auto& [k, f] : fleets) planShard(k, f, targets[k], spare - burst);
+  scaleOutInTurn(fleets, targets);
+  moveToEmptyShards(fleets);
+  for (const auto& [shard, fleet] : fleets)
+    planShard(shard, fleet, targets[shard], spareCores - largestArrival);
 }
 
-// A shard with work and no machine at all, while the cloud has none to give: the largest shard cedes one, so
-// that none of its teams starves.
-void Autoscaler::moveAfterDrain(const std::map<ShardId, policy::ShardFleet>& fleets) {
+// A shard with work and no machine at all, while the cloud has none to give: the largest shard lets one go
+// once it is drained, so that none of the teams starves.
+void Autoscaler::moveToEmptyShards(const std::map<ShardId, policy::ShardFleet>& fleets) {
   auto now = runtime_.now();
-  for (const auto& [to, need] : fleets) {
-    bool has =
-        std::any_of(need.machines.begin(), need.machines.end(), [](const auto& h) { return h.cores > 0; });
-    if (has || need.onDemandOnly.waiting + need.spotAllowed.waiting <= 0 ||
-        now - moveAfterDrainAt_[to] < kMoveAfterDrainAgain)
+  for (const auto& [needyShard, needy] : fleets) {
+    bool hasMachines = std::any_of(needy.machines.begin(), needy.machines.end(),
+                                   [](const auto& machine) { return machine.cores > 0; });
+    double waitingCores = needy.onDemandOnly.waiting + needy.spotAllowed.waiting;
+    if (hasMachines || waitingCores <= 0 || now - moveAfterDrainAt_[needyShard] < kMoveAfterDrainAgain)
       continue;
-    auto rich = std::max_element(fleets.begin(), fleets.end(), [](const auto& a, const auto& b) {
+    auto largest = std::max_element(fleets.begin(), fleets.end(), [](const auto& a, const auto& b) {
       return a.second.machines.size() < b.second.machines.size();
     });
-    if (rich->second.machines.size() < 2) continue;
-    for (const auto& h : loads_[rich->first].load.machines) {
-      if (!h.usable || (h.spot && need.spotAllowed.waiting <= 0)) continue;
-      moveAfterDrainAt_[to] = now;
-      log_->info("share {} cedes {} to share {}", rich->first.value, h.machine, to.value);
-      callbacks_.sendDirective({rich->first.value, h.machine, mesh::MachineDirective::MoveAfterDrain, to.value});
+    if (largest->second.machines.size() < kLeastMachinesToShare) continue;
+    for (const auto& machine : loads_[largest->first].load.machines) {
+      if (!machine.usable || (machine.spot && needy.spotAllowed.waiting <= 0)) continue;
+      moveAfterDrainAt_[needyShard] = now;
+      log_->info("machine moves once drained: machine={} from_shard={} to_shard={}", machine.machine,
+                 largest->first.value, needyShard.value);
+      callbacks_.sendDirective(
+          {largest->first.value, machine.machine, mesh::MachineDirective::MoveAfterDrain, needyShard.value});
       break;
     }
   }
 }
 
-// One rental for each shard in turn, the most pressed first, so that the first in line does not take all
+// One request for each shard in turn, the most pressed first, so that the first in line does not take all
 // there is.
-void Autoscaler::rentInTurn(const std::map<ShardId, policy::ShardFleet>& fleets,
-                            const std::map<ShardId, policy::CapacityTargets>& targets) {
+void Autoscaler::scaleOutInTurn(const std::map<ShardId, policy::ShardFleet>& fleets,
+                                const std::map<ShardId, policy::CapacityTargets>& targets) {
   auto planned = fleets;
-  auto offers = unavailable();
-  for (bool any = true; any && calls_ >= 1;) {
-    any = false;
-    for (auto k : byPressure(planned, targets)) {
-      auto& f = planned[k];
-      bool keeps =
-          std::any_of(f.machines.begin(), f.machines.end(), [](const auto& h) { return h.draining; });
-      if (calls_ < 1 || (keeps && policy::isShort(f, targets.at(k)))) continue;  // planShare keeps that one
-      auto request = policy::rent(f, targets.at(k), prices_, offers);
+  auto refused = unavailable();
+  bool requested = true;
+  while (requested && calls_ >= 1) {
+    requested = false;
+    for (auto shard : byPressure(planned, targets)) {
+      auto& fleet = planned[shard];
+      bool drains = std::any_of(fleet.machines.begin(), fleet.machines.end(),
+                                [](const auto& machine) { return machine.draining; });
+      // planShard takes a draining machine back into use first.
+      if (calls_ < 1 || (drains && policy::isShort(fleet, targets.at(shard)))) continue;
+      auto request = policy::nextScaleOut(fleet, targets.at(shard), prices_, refused);
       if (!request) continue;
-      startRental(k, *request);
-      f.machines.push_back({request->offer.type,
-                            request->offer.zone,
-                            request->offer.spot,
-                            request->cores,
-                            true,
-                            -1,
-                            0,
-                            0,
-                            false,
-                            false,
-                            {}});
-      any = true;
+      startScaleOut(shard, *request);
+      policy::FleetMachine ordered;
+      ordered.type = request->offer.type;
+      ordered.zone = request->offer.zone;
+      ordered.spot = request->offer.spot;
+      ordered.cores = request->cores;
+      ordered.counts = true;
+      fleet.machines.push_back(ordered);
+      requested = true;
     }
   }
 }
 
 std::vector<ShardId> Autoscaler::byPressure(const std::map<ShardId, policy::ShardFleet>& fleets,
                                             const std::map<ShardId, policy::CapacityTargets>& targets) {
-  std::vector<ShardId> out;
-  out.reserve(fleets.size());
-  for (const auto& [k, _] : fleets) out.push_back(k);
-  std::stable_sort(out.begin(), out.end(), [&](ShardId a, ShardId b) {
+  std::vector<ShardId> shards;
+  shards.reserve(fleets.size());
+  for (const auto& [shard, _] : fleets) shards.push_back(shard);
+  std::stable_sort(shards.begin(), shards.end(), [&](ShardId a, ShardId b) {
     return policy::pressure(fleets.at(a), targets.at(a)) > policy::pressure(fleets.at(b), targets.at(b));
   });
-  return out;
+  return shards;
 }
 
-void Autoscaler::planShard(ShardId k, const policy::ShardFleet& f, const policy::CapacityTargets& t,
-                           double spareSpot) {
-  auto now = runtime_.now();
-  if (log_->should_log(spdlog::level::debug)) {
-    double ordinary = 0, spot = 0;
-    for (const auto& h : f.machines)
-      if (h.counts) (h.spot ? spot : ordinary) += h.cores;
-    log_->debug("share {}: firm {}+{} lendable {}+{} wants {} of {}, has {}+{} spot", k.value,
-                f.onDemandOnly.used, f.onDemandOnly.waiting, f.spotAllowed.used, f.spotAllowed.waiting,
-                t.ordinary, t.total, ordinary, spot);
-  }
-  for (auto& h : loads_[k].load.machines) {
-    if (!h.draining || h.idleS <= 0) continue;
-    auto& asked = asked_[MachineId{h.machine}];
-    if (asked != Time{} && now - asked < kAskAgain) continue;
-    asked = now;
-    callbacks_.sendDirective({k.value, h.machine, mesh::MachineDirective::Return, 0});
-  }
-  if (policy::isShort(f, t)) {
-    // A machine that was to empty itself is back at once, and paid for already.
-    auto& machines = loads_[k].load.machines;
-    auto kept = std::find_if(machines.begin(), machines.end(),
-                             [](const auto& h) { return h.draining && h.idleS <= 0; });
-    if (kept != machines.end()) {
-      kept->draining = false;
-      callbacks_.sendDirective({k.value, kept->machine, mesh::MachineDirective::Keep, 0});
-    }
-    return;
+void Autoscaler::planShard(ShardId shard, const policy::ShardFleet& fleet,
+                           const policy::CapacityTargets& target, double spareSpotCores) {
+  logShard(shard, fleet, target);
+  returnDrained(shard);
+  if (policy::isShort(fleet, target)) return cancelOneDrain(shard);
+  if (auto small = policy::replacement(fleet, target, prices_, unavailable(), kMinAgeS); small && calls_ >= 1)
+    return startScaleOut(shard, *small);
+  releaseIdle(shard, fleet, target, spareSpotCores);
+  drainSome(shard, fleet, target);
+}
+
+void Autoscaler::logShard(ShardId shard, const policy::ShardFleet& fleet,
+                          const policy::CapacityTargets& target) const {
+  if (!log_->should_log(spdlog::level::debug)) return;
+  double onDemandCores = 0;
+  double spotCores = 0;
+  for (const auto& machine : fleet.machines)
+    if (machine.counts) (machine.spot ? spotCores : onDemandCores) += machine.cores;
+  log_->debug(
+      "shard capacity: shard={} on_demand_used={} on_demand_waiting={} spot_used={} spot_waiting={} "
+      "target_on_demand={} target_total={} has_on_demand={} has_spot={}",
+      shard.value, fleet.onDemandOnly.used, fleet.onDemandOnly.waiting, fleet.spotAllowed.used,
+      fleet.spotAllowed.waiting, target.onDemand, target.total, onDemandCores, spotCores);
+}
+
+// Whether the owner of a machine may be told again to give it up; counts as told.
+bool Autoscaler::mayAskAgain(const MachineId& machine) {
+  auto& asked = asked_[machine];
+  if (asked != Time{} && runtime_.now() - asked < kAskAgain) return false;
+  asked = runtime_.now();
+  return true;
+}
+
+void Autoscaler::returnDrained(ShardId shard) {
+  for (const auto& machine : loads_[shard].load.machines) {
+    if (!machine.draining || machine.idleS <= 0) continue;
+    if (!mayAskAgain(MachineId{machine.machine})) continue;
+    callbacks_.sendDirective({shard.value, machine.machine, mesh::MachineDirective::Return, 0});
   }
-  if (auto small = policy::replacement(f, t, prices_, unavailable(), kMinAgeS); small && calls_ >= 1)
-    return startRental(k, *small);
-  auto left = f;
-  unsigned gone = 0;
-  while (gone < kMostLetGo) {
-    auto go = policy::machineToRelease(left, t, prices_, kMinIdleS, spareSpot);
-    if (!go) break;
-    auto& want = left.machines[*go];
-    want.counts = false;
-    if (want.spot) spareSpot -= want.cores;
-    ++gone;
-    auto& asked = asked_[want.id];
-    if (asked != Time{} && now - asked < kAskAgain) continue;
-    asked = now;
-    log_->info("letting go of idle {}", want.id.value);
-    callbacks_.sendDirective({k.value, want.id.value, mesh::MachineDirective::Return, 0});
+}
+
+// A machine that was to be drained is back in use at once, and paid for already.
+void Autoscaler::cancelOneDrain(ShardId shard) {
+  auto& machines = loads_[shard].load.machines;
+  auto kept = std::find_if(machines.begin(), machines.end(),
+                           [](const auto& machine) { return machine.draining && machine.idleS <= 0; });
+  if (kept == machines.end()) return;
+  kept->draining = false;
+  callbacks_.sendDirective({shard.value, kept->machine, mesh::MachineDirective::Keep, 0});
+}
+
+void Autoscaler::releaseIdle(ShardId shard, const policy::ShardFleet& fleet,
+                             const policy::CapacityTargets& target, double spareSpotCores) {
+  auto remaining = fleet;
+  for (unsigned released = 0; released < kMaxReleased; ++released) {
+    auto index = policy::machineToRelease(remaining, target, prices_, kMinIdleS, spareSpotCores);
+    if (!index) break;
+    auto& machine = remaining.machines[*index];
+    machine.counts = false;
+    if (machine.spot) spareSpotCores -= machine.cores;
+    if (!mayAskAgain(machine.id)) continue;
+    log_->info("idle machine released: machine={} shard={}", machine.id.value, shard.value);
+    callbacks_.sendDirective({shard.value, machine.id.value, mesh::MachineDirective::Return, 0});
   }
-  drainSome(k, f, t);
 }
 
 // Consolidates: machines that the others can do without take no more work.
-void Autoscaler::drainSome(ShardId k, const policy::ShardFleet& f, const policy::CapacityTargets& t) {
+void Autoscaler::drainSome(ShardId shard, const policy::ShardFleet& fleet,
+                           const policy::CapacityTargets& target) {
   std::set<std::string> chosen;
-  for (auto index : policy::machinesToDrain(f, t, prices_, kMinAgeS, kMaxDrained))
-    chosen.insert(f.machines[index].id.value);
-  for (auto& h : loads_[k].load.machines) {
-    if (chosen.count(h.machine) == 0) continue;
-    h.draining = true;
-    log_->info("share {} empties {}", k.value, h.machine);
-    callbacks_.sendDirective({k.value, h.machine, mesh::MachineDirective::Drain, 0});
+  for (auto index : policy::machinesToDrain(fleet, target, prices_, kMinAgeS, kMaxDrained))
+    chosen.insert(fleet.machines[index].id.value);
+  for (auto& machine : loads_[shard].load.machines) {
+    if (chosen.count(machine.machine) == 0) continue;
+    machine.draining = true;
+    log_->info("machine drains: machine={} shard={}", machine.machine, shard.value);
+    callbacks_.sendDirective({shard.value, machine.machine, mesh::MachineDirective::Drain, 0});
   }
 }
 
 // Cores of machines that were asked to move to a shard and are not recorded there yet: a record may take its
 // time, and a shard that waits for it must not be sent ever more machines.
-double Autoscaler::comingTo(ShardId to) {
-  double cores = 0;
-  std::erase_if(moving_, [&](const auto& m) {
-    auto h = view_.machines.find(m.first);
-    return h == view_.machines.end() || h->second.record.shard == m.second.to ||
-           runtime_.now() - m.second.at > kMoveTakes;
+double Autoscaler::coresMovingTo(ShardId to) {
+  std::erase_if(moving_, [&](const auto& entry) {
+    const auto& [id, moving] = entry;
+    auto machine = view_.machines.find(id);
+    return machine == view_.machines.end() || machine->second.record.shard == moving.to ||
+           runtime_.now() - moving.at > kMoveTakes;
   });
-  for (const auto& [_, m] : moving_)
-    if (m.to == to) cores += m.cores;
+  double cores = 0;
+  for (const auto& [_, moving] : moving_)
+    if (moving.to == to) cores += moving.cores;
   return cores;
 }
 
 // The design's rebalancing: idle machines of shards that can spare them go to waiting work. Between two beats
 // the same is done for one machine a shard and turn, on request (DESIGN.md, exceptions).
-void Autoscaler::move(const std::map<ShardId, policy::ShardFleet>& fleets,
-                      const std::map<ShardId, policy::CapacityTargets>& targets, bool beat) {
-  auto now = runtime_.now();
+void Autoscaler::moveIdleMachines(const std::map<ShardId, policy::ShardFleet>& fleets,
+                                  const std::map<ShardId, policy::CapacityTargets>& targets,
+                                  MoveScope scope) {
   for (auto to : byPressure(fleets, targets)) {
-    const auto& need = fleets.at(to);
-    double missing = need.onDemandOnly.waiting + need.spotAllowed.waiting - comingTo(to);
-    for (const auto& [from, spare] : fleets) {
+    const auto& needy = fleets.at(to);
+    double missingCores = needy.onDemandOnly.waiting + needy.spotAllowed.waiting - coresMovingTo(to);
+    for (const auto& [from, fleet] : fleets) {
       if (from == to) continue;
-      const auto& t = targets.at(from);
-      double left = policy::coresOf(spare) - t.total;
-      for (auto& h : loads_[from].load.machines) {
-        const auto* type = findType(prices_, h.type);
-        bool spareable = h.draining || (h.usable && type && type->size.cores <= left);
-        if (missing <= 0 || !type || h.idleS <= 0 || !spareable) continue;
-        if (h.spot && need.spotAllowed.waiting <= 0) continue;
-        auto& asked = asked_[MachineId{h.machine}];
-        if (asked != Time{} && now - asked < kAskAgain) continue;
-        asked = now;
-        if (!h.draining) left -= type->size.cores;
-        missing -= type->size.cores;
-        h.idleS = 0;
-        moving_[MachineId{h.machine}] = {to, now, type->size.cores};
-        log_->info("moving {} from share {} to {}", h.machine, from.value, to.value);
-        callbacks_.sendDirective({from.value, h.machine, mesh::MachineDirective::Move, to.value});
-        if (!beat) break;
-      }
+      double spareCores = policy::coresOf(fleet) - targets.at(from).total;
+      moveFrom(from, {to, needy.spotAllowed.waiting > 0}, spareCores, missingCores, scope);
     }
   }
 }
 
+void Autoscaler::moveFrom(ShardId from, const MoveDestination& destination, double spareCores,
+                          double& missingCores, MoveScope scope) {
+  for (auto& machine : loads_[from].load.machines) {
+    const auto* type = findType(prices_, machine.type);
+    bool canBeSpared = machine.draining || (machine.usable && type && type->size.cores <= spareCores);
+    if (missingCores <= 0 || !type || machine.idleS <= 0 || !canBeSpared) continue;
+    if (machine.spot && !destination.takesSpot) continue;
+    if (!mayAskAgain(MachineId{machine.machine})) continue;
+    if (!machine.draining) spareCores -= type->size.cores;
+    missingCores -= type->size.cores;
+    machine.idleS = 0;
+    moving_[MachineId{machine.machine}] = {destination.shard, runtime_.now(), type->size.cores};
+    log_->info("idle machine moves: machine={} from_shard={} to_shard={}", machine.machine, from.value,
+               destination.shard.value);
+    callbacks_.sendDirective(
+        {from.value, machine.machine, mesh::MachineDirective::Move, destination.shard.value});
+    if (scope == MoveScope::OnePerShard) break;
+  }
+}
+
 }  // namespace cherryloft
--- a/src/autoscaler/scale_in.cpp
+++ b/src/autoscaler/scale_in.cpp
@@ -14,7 +14,7 @@
 
 void ScaleIn::request(const MachineId& id, const char* why) {
   if (context_.clusterView.machines.count(id) == 0 || !toMark_.insert(id).second) return;
-  context_.log->info("{} {}: returning it", id.value, why);
+  context_.log->info("machine to be returned: machine={} reason=\"{}\"", id.value, why);
 }
 
 void ScaleIn::markRequested() {
@@ -62,7 +62,7 @@
 }
 
 void ScaleIn::noteReturned(const MachineId& id) {
-  context_.log->info("{} returned", id.value);
+  context_.log->info("machine returned: machine={}", id.value);
   auto known = context_.clusterView.machines.find(id);
   if (known != context_.clusterView.machines.end()) {
     const auto& record = known->second.record;
--- a/src/autoscaler/scale_in.h
+++ b/src/autoscaler/scale_in.h
@@ -1,4 +1,4 @@
-// MachineReturns: marks machines that are to go in their records, gives them back to the cloud and then drops
+// ScaleIn: marks machines that are to go in their records, returns them to the cloud and then drops
 // the records.
 #pragma once
 
--- a/src/autoscaler/scale_out.cpp
+++ b/src/autoscaler/scale_out.cpp
@@ -11,7 +11,7 @@
 constexpr std::uint64_t kSendAgainMs = 500;
 constexpr std::uint64_t kSendAgainJitterMs = 500;
 
-policy::InstanceOffering offeringOf(const wire::Rental& request) {
+policy::InstanceOffering offeringOf(const wire::ProvisionRequest& request) {
   return {request.type, request.zone, request.spot};
 }
 
@@ -29,13 +29,13 @@
 
 void ScaleOut::start(ShardId shard, const policy::ScaleOutRequest& request) {
   const auto& offer = request.offer;
-  auto rental = std::make_shared<Rental>();
+  auto rental = std::make_shared<ProvisionRequest>();
   rental->request = {nextClaim(), offer.type, offer.zone, offer.spot, request.count};
   rental->shard = shard;
   rental->cores = request.cores;
   open_.push_back(rental);
-  context_.log->info("renting {} {} in {} for share {} (spot {})", request.count, offer.type,
-                     offer.zone.value, shard.value, offer.spot);
+  context_.log->info("scale out requested: count={} type={} zone={} shard={} spot={}", request.count,
+                     offer.type, offer.zone.value, shard.value, offer.spot);
   send(rental);
 }
 
@@ -54,15 +54,15 @@
   return offers;
 }
 
-void ScaleOut::send(const RentalPtr& rental) {
-  context_.callCloud({"POST", "/hosts", wire::encodeRental(rental->request), false},
+void ScaleOut::send(const OpenRequestPtr& rental) {
+  context_.callCloud({"POST", "/hosts", wire::encodeProvisionRequest(rental->request), false},
                      [this, rental](const HttpResult& result) { answered(rental, result); });
 }
 
-void ScaleOut::answered(const RentalPtr& rental, const HttpResult& result) {
-  auto machines = result.answered(200) ? wire::parseRented(result.response.body) : std::nullopt;
+void ScaleOut::answered(const OpenRequestPtr& rental, const HttpResult& result) {
+  auto machines = result.answered(200) ? wire::parseProvisioned(result.response.body) : std::nullopt;
   if (machines) {
-    rented(*rental, *machines);
+    provisioned(*rental, *machines);
     close(rental);
   } else if (noCapacity(result)) {
     backOff(offeringOf(rental->request));
@@ -74,7 +74,7 @@
   }
 }
 
-void ScaleOut::rented(const Rental& rental, const std::vector<MachineId>& machines) {
+void ScaleOut::provisioned(const ProvisionRequest& rental, const std::vector<MachineId>& machines) {
   const auto& request = rental.request;
   wire::GroupRecord group{
       rental.shard, Epoch{}, request.type, request.zone, request.spot, context_.runtime.wall(), {}};
@@ -93,15 +93,15 @@
   refusedUntil_[offer] = context_.runtime.now() + refusedFor + Duration{rng_() % kRefusalJitterMs};
 }
 
-// Executed or not: the same claim again tells, and never rents twice.
-void ScaleOut::sendAgain(const RentalPtr& rental) {
+// Executed or not: the same claim again tells, and never provisions twice.
+void ScaleOut::sendAgain(const OpenRequestPtr& rental) {
   context_.runtime.after(Duration{kSendAgainMs + rng_() % kSendAgainJitterMs}, [this, rental] {
     bool open = std::count(open_.begin(), open_.end(), rental) > 0;
     if (context_.leadership.active && open) send(rental);
   });
 }
 
-void ScaleOut::close(const RentalPtr& rental) {
+void ScaleOut::close(const OpenRequestPtr& rental) {
   open_.erase(std::remove(open_.begin(), open_.end(), rental), open_.end());
 }
 
--- a/src/autoscaler/scale_out.h
+++ b/src/autoscaler/scale_out.h
@@ -1,5 +1,5 @@
-// Rentals: rents machines from the cloud, each order under a claim of its own, so that it is never carried
-// out twice.
+// ScaleOut: requests machines from the cloud. Each request carries a claim, an idempotency key of its own, so
+// that it is never carried out twice.
 #pragma once
 
 #include <cstdint>
@@ -28,29 +28,29 @@
   // Offers that the cloud refused of late.
   std::set<policy::InstanceOffering> refused() const;
   // There is a machine of that offer to be had again.
-  void available(const policy::InstanceOffering& offer) { refusedUntil_.erase(offer); }
+  void offeringAvailable(const policy::InstanceOffering& offer) { refusedUntil_.erase(offer); }
 
  private:
-  struct Rental {
-    wire::Rental request;
+  struct ProvisionRequest {
+    wire::ProvisionRequest request;
     ShardId shard;
     double cores = 0;
   };
-  using RentalPtr = std::shared_ptr<Rental>;
+  using OpenRequestPtr = std::shared_ptr<ProvisionRequest>;
 
   std::string nextClaim();
-  void send(const RentalPtr& rental);
-  void answered(const RentalPtr& rental, const HttpResult& result);
-  void rented(const Rental& rental, const std::vector<MachineId>& machines);
+  void send(const OpenRequestPtr& rental);
+  void answered(const OpenRequestPtr& rental, const HttpResult& result);
+  void provisioned(const ProvisionRequest& rental, const std::vector<MachineId>& machines);
   void backOff(const policy::InstanceOffering& offer);
-  void sendAgain(const RentalPtr& rental);
-  void close(const RentalPtr& rental);
+  void sendAgain(const OpenRequestPtr& rental);
+  void close(const OpenRequestPtr& rental);
 
   const AutoscalerContext& context_;
   MachineRecords& records_;
   std::mt19937_64 rng_;
-  std::uint64_t claims_ = 0;     // of this process: it may lead twice under one epoch
-  std::vector<RentalPtr> open_;  // not yet answered
+  std::uint64_t claims_ = 0;          // of this process: it may lead twice under one epoch
+  std::vector<OpenRequestPtr> open_;  // not yet answered
   std::map<policy::InstanceOffering, Time> refusedUntil_;
   std::map<policy::InstanceOffering, Duration> refusedFor_;
 };
--- a/src/autoscaler/shard_fleet.cpp
+++ b/src/autoscaler/shard_fleet.cpp
@@ -11,9 +11,10 @@
 constexpr double kNotYetTold = 3;  // a record so young may not be in its owner's load yet
 constexpr double kMsPerSecond = 1000;
 
-policy::Work workOf(const mesh::Demand& demand) {
-  policy::Work work{demand.used,        demand.waiting,    demand.arriving,   demand.departing, demand.runS,
-                    demand.largestTask, demand.largestJob, demand.ramPerCore, demand.types,     {}};
+policy::Workload workOf(const mesh::Demand& demand) {
+  policy::Workload work{
+      demand.used,        demand.waiting,    demand.arriving,   demand.departing, demand.runS,
+      demand.largestTask, demand.largestJob, demand.ramPerCore, demand.types,     {}};
   for (const auto& zone : demand.stuckZones) work.stuckZones.push_back(Zone{zone});
   return work;
 }
--- a/src/autoscaler/shard_fleet.h
+++ b/src/autoscaler/shard_fleet.h
@@ -1,4 +1,5 @@
-// The machines of one shard and its work as the leader knows them, from records and from the owner's reports.
+// The machines of one shard and its work as the leader knows them, from records and from the owner's load
+// reports.
 #pragma once
 
 #include "cluster/cluster_view.h"
--- a/src/policy/coupling.h
+++ b/src/policy/coupling.h
@@ -8,8 +8,8 @@
 namespace cherryloft::policy {
 
 struct SampleEstimate {
-  double holders = 0;        // p-hat: share of the sampled machines that cache the image and have room
-  double withFreeCores = 0;  // N-hat: owned machines times the sampled share with room
+  double holders = 0;        // p-hat: fraction of the sampled machines that cache the image and have room
+  double withFreeCores = 0;  // N-hat: owned machines times the sampled fraction with room
 };
 
 // Alpha: 0.7 if the zone holds the image and the machine runs tasks of the job, 0.8 for the zone alone.
--- a/src/policy/order.h
+++ b/src/policy/order.h
@@ -11,7 +11,7 @@
   bool overdue = false;  // has waited so long for its first start that it goes before all others once
   PriorityClass priority = PriorityClass::Normal;
   bool guaranteed = false;       // fits its team's guarantee along with the team's earlier jobs
-  bool hopeful = true;           // may still meet its deadline or the tightest aim of its class
+  bool hopeful = true;           // may still meet its deadline or the tightest objective of its class
   unsigned turns = 0;            // batches of tasks its team was given in this round
   std::optional<double> slackS;  // until the deadline, less the time the work takes
   double workLeft = 0;           // core seconds
--- a/tests/unit/machine_adoption_test.cpp
+++ b/tests/unit/machine_adoption_test.cpp
@@ -9,8 +9,8 @@
   ShardGaps gaps;
   gaps[ShardId{0}] = {100, {{"small", 2}}};
   gaps[ShardId{1}] = {0, {{"small", 1}, {"large", 9}}};
-  EXPECT_EQ(neediestShard(gaps, "small"), ShardId{1});
-  EXPECT_EQ(neediestShard(gaps, "large"), ShardId{0});
+  EXPECT_EQ(shardWithLargestGap(gaps, "small"), ShardId{1});
+  EXPECT_EQ(shardWithLargestGap(gaps, "large"), ShardId{0});
 }
 
 TEST(MachineAdoption, AmongEqualsTheShareThatLacksMost) {
@@ -18,5 +18,5 @@
   gaps[ShardId{0}] = {10, {{"small", 1}}};
   gaps[ShardId{1}] = {30, {{"small", 1}}};
   gaps[ShardId{2}] = {20, {{"small", 1}}};
-  EXPECT_EQ(neediestShard(gaps, "small"), ShardId{1});
+  EXPECT_EQ(shardWithLargestGap(gaps, "small"), ShardId{1});
 }
--- a/tests/unit/policy_test.cpp
+++ b/tests/unit/policy_test.cpp
@@ -88,15 +88,15 @@
   ShardFleet f;
   f.spotAllowed = {0, 32, 0, 0, 0, 4, 0, 1, {}, {}};
   auto t = targets(f, catalog, 0, 0);
-  auto w = rent(f, t, catalog, {});
+  auto w = nextScaleOut(f, t, catalog, {});
   ASSERT_TRUE(w);
   EXPECT_TRUE(w->offer.spot);
   EXPECT_EQ(w->offer.type, "s");
-  auto none = rent(f, t, catalog, {{"s", Zone{"a"}, true}, {"l", Zone{"a"}, true}, {"l", Zone{"b"}, true}});
+  auto none = nextScaleOut(f, t, catalog, {{"s", Zone{"a"}, true}, {"l", Zone{"a"}, true}, {"l", Zone{"b"}, true}});
   ASSERT_TRUE(none);
   EXPECT_FALSE(none->offer.spot);  // ordinary when no spot machine is to be had
   f.spotAllowed.ramPerCore = 3;    // now memory decides: the small type holds few tasks
-  EXPECT_EQ(rent(f, t, catalog, {})->offer.type, "l");
+  EXPECT_EQ(nextScaleOut(f, t, catalog, {})->offer.type, "l");
   f.spotAllowed = {};
   f.machines = {{"l", Zone{"a"}, true, 32, true, 60, 0, 100},
                 {"l", Zone{"a"}, false, 32, true, 60, 0, 100},
--- a/tests/unit/request_queue_test.cpp
+++ b/tests/unit/request_queue_test.cpp
@@ -28,7 +28,7 @@
 TEST_F(RequestQueueTest, SendsTheUrgentFirst) {
   useUpRequests();
   push(RequestPriority::User, "/user");
-  push(RequestPriority::Work, "/work");
+  push(RequestPriority::Workload, "/work");
   push(RequestPriority::Control, "/control");
   EXPECT_TRUE(runtime.requests.empty());
   run(1'000);
@@ -64,8 +64,8 @@
 
 TEST_F(RequestQueueTest, ChangesAreSpentToo) {
   auto most = static_cast<unsigned>(limiter.changes());
-  push(RequestPriority::Work, "/all", Duration{10'000}, most);
-  push(RequestPriority::Work, "/more", Duration{10'000}, 1);
+  push(RequestPriority::Workload, "/all", Duration{10'000}, most);
+  push(RequestPriority::Workload, "/more", Duration{10'000}, 1);
   EXPECT_EQ(runtime.targets(), (std::vector<std::string>{"/all"}));
   run(1'000);
   EXPECT_EQ(runtime.requests.size(), 2U);
