--- a/src/policy/gang.cpp
+++ b/src/policy/gang.cpp
@@ -2,24 +2,28 @@
 
 #include <algorithm>
 #include <cmath>
-#include <tuple>
 
 namespace cherryloft::policy {
 
 std::vector<Zone> zonesToTry(std::vector<GangZone> zones, std::uint32_t members) {
-  std::erase_if(zones, [&](const GangZone& z) { return z.room < members; });
-  auto slowest = [&](const GangZone& z) { return z.roomOnHolders >= members ? 0 : z.fetchS; };
-  std::stable_sort(zones.begin(), zones.end(), [&](const GangZone& a, const GangZone& b) {
-    return std::tuple(slowest(a), b.room) < std::tuple(slowest(b), a.room);
+  std::erase_if(zones, [&](const GangZone& zone) { return zone.capacity < members; });
+  auto slowestFetch = [&](const GangZone& zone) {
+    return zone.capacityOnHolders >= members ? 0 : zone.fetchSeconds;
+  };
+  std::stable_sort(zones.begin(), zones.end(), [&](const GangZone& left, const GangZone& right) {
+    double leftFetch = slowestFetch(left);
+    double rightFetch = slowestFetch(right);
+    if (leftFetch != rightFetch) return leftFetch < rightFetch;
+    return left.capacity > right.capacity;
   });
   std::vector<Zone> order;
   order.reserve(zones.size());
-  for (const auto& z : zones) order.push_back(z.zone);
+  for (const auto& zone : zones) order.push_back(zone.zone);
   return order;
 }
 
-double lostSinceCheckpoint(double ranS, double checkpointIntervalSeconds) {
-  return checkpointIntervalSeconds > 0 ? std::fmod(ranS, checkpointIntervalSeconds) : ranS;
+double lostSinceCheckpoint(double ranSeconds, double checkpointIntervalSeconds) {
+  return checkpointIntervalSeconds > 0 ? std::fmod(ranSeconds, checkpointIntervalSeconds) : ranSeconds;
 }
 
 }  // namespace cherryloft::policy
--- a/src/policy/gang.h
+++ b/src/policy/gang.h
@@ -1,4 +1,4 @@
-// Where a gang should be tried first, and what stopping one wastes.
+// Gang scheduling: which zone to try first, and what stopping a gang loses. Pure functions.
 #pragma once
 
 #include <cstdint>
@@ -8,20 +8,20 @@
 
 namespace cherryloft::policy {
 
-// What a zone, or all zones together, has for a gang now.
+// What a zone has for a gang now.
 struct GangZone {
   Zone zone;
-  std::uint32_t room = 0;           // members that fit
-  std::uint32_t roomOnHolders = 0;  // of these, on machines that cache the image
-  double fetchS = 0;                // of the image to the quickest machine with room that lacks it
+  std::uint32_t capacity = 0;           // members that fit
+  std::uint32_t capacityOnHolders = 0;  // of these, on machines that cache the image
+  double fetchSeconds = 0;              // of the image, to the fastest machine with capacity that lacks it
 };
 
-// The zones that have room for all members, in the order in which they should be tried. A gang starts with
-// its slowest member: where all find the image first, then by the time of the fetch, then where most room is
-// left.
-std::vector<Zone> zonesToTry(std::vector<GangZone> zones, std::uint32_t members);
+// The zones with capacity for all members, in the order in which they should be tried. A gang starts with its
+// slowest member: first where all find the image, then by fetch time, then where most capacity is left.
+[[nodiscard]] std::vector<Zone> zonesToTry(std::vector<GangZone> zones, std::uint32_t members);
 
-// Seconds of progress that every member loses when the gang is stopped without saving.
-double lostSinceCheckpoint(double ranS, double checkpointIntervalSeconds);
+// Seconds of progress that every member loses when the gang is stopped without a checkpoint after it ran for
+// so long. An interval of 0 means that it writes none.
+[[nodiscard]] double lostSinceCheckpoint(double ranSeconds, double checkpointIntervalSeconds);
 
 }  // namespace cherryloft::policy
--- a/src/policy/order.cpp
+++ b/src/policy/order.cpp
@@ -4,17 +4,19 @@
 
 namespace cherryloft::policy {
 
-bool before(const Candidate& a, const Candidate& b) {
-  if (a.overdue != b.overdue) return a.overdue;
-  if (a.priority != b.priority) return a.priority > b.priority;
-  if (a.guaranteed != b.guaranteed) return a.guaranteed;
-  if (a.hopeful != b.hopeful) return a.hopeful;
-  if (a.turns != b.turns) return a.turns < b.turns;
-  constexpr double never = std::numeric_limits<double>::infinity();
-  double sa = a.slackS.value_or(never), sb = b.slackS.value_or(never);
-  if (sa != sb) return sa < sb;
-  if (a.workLeft != b.workLeft) return a.workLeft < b.workLeft;
-  return a.ageS > b.ageS;
+bool precedes(const PlacementOrderKey& left, const PlacementOrderKey& right) {
+  if (left.firstStartOverdue != right.firstStartOverdue) return left.firstStartOverdue;
+  if (left.priority != right.priority) return left.priority > right.priority;
+  if (left.withinGuarantee != right.withinGuarantee) return left.withinGuarantee;
+  if (left.objectiveFeasible != right.objectiveFeasible) return left.objectiveFeasible;
+  if (left.teamTurns != right.teamTurns) return left.teamTurns < right.teamTurns;
+  constexpr double kNoDeadline = std::numeric_limits<double>::infinity();
+  double leftSlack = left.slackSeconds.value_or(kNoDeadline);
+  double rightSlack = right.slackSeconds.value_or(kNoDeadline);
+  if (leftSlack != rightSlack) return leftSlack < rightSlack;
+  if (left.remainingCoreSeconds != right.remainingCoreSeconds)
+    return left.remainingCoreSeconds < right.remainingCoreSeconds;
+  return left.ageSeconds > right.ageSeconds;
 }
 
 }  // namespace cherryloft::policy
--- a/src/policy/order.h
+++ b/src/policy/order.h
@@ -1,4 +1,4 @@
-// Which waiting job comes first.
+// The order in which pending jobs get their turns in a placement round (DESIGN.md, section 2).
 #pragma once
 
 #include <optional>
@@ -7,19 +7,21 @@
 
 namespace cherryloft::policy {
 
-struct Candidate {
-  bool overdue = false;  // has waited so long for its first start that it goes before all others once
+// What decides on a pending job's place in the order.
+struct PlacementOrderKey {
+  bool firstStartOverdue = false;  // waited too long for its first start: before all others, for one turn
   PriorityClass priority = PriorityClass::Normal;
-  bool guaranteed = false;       // fits its team's guarantee along with the team's earlier jobs
-  bool hopeful = true;           // may still meet its deadline or the tightest aim of its class
-  unsigned turns = 0;            // batches of tasks its team was given in this round
-  std::optional<double> slackS;  // until the deadline, less the time the work takes
-  double workLeft = 0;           // core seconds
-  double ageS = 0;
+  bool withinGuarantee = false;        // fits its team's guarantee along with the team's earlier jobs
+  bool objectiveFeasible = true;       // may still meet its deadline, or the tightest objective of its class
+  unsigned teamTurns = 0;              // turns its team had in this round
+  std::optional<double> slackSeconds;  // until the deadline, less the expected run time
+  double remainingCoreSeconds = 0;     // of work
+  double ageSeconds = 0;               // since submission
 };
 
-// True if a comes before b: overdue, rank, guarantee before borrowed, what may still be in time, teams in
-// turn, deadline slack, little work before much, age.
-bool before(const Candidate& a, const Candidate& b);
+// Whether the job of `left` goes before that of `right`. In order of weight: an overdue first start,
+// priority, guarantee before borrowed capacity, feasible objectives, the team with fewer turns, least
+// deadline slack (jobs without a deadline last), least remaining work, age. A strict weak order.
+[[nodiscard]] bool precedes(const PlacementOrderKey& left, const PlacementOrderKey& right);
 
 }  // namespace cherryloft::policy
--- a/src/policy/preempt.h
+++ b/src/policy/preempt.h
@@ -1,4 +1,4 @@
-// Which tasks to stop on one machine so that another fits.
+// Preemption rules, and the choice of victims on one machine (DESIGN.md, section 2). Pure functions.
 #pragma once
 
 #include <optional>
@@ -8,24 +8,38 @@
 
 namespace cherryloft::policy {
 
-struct Victim {
-  Resources holds;
-  double lostS = 0;  // seconds of work that stopping it wastes
+// The pending job that needs capacity.
+struct Preemptor {
+  PriorityClass priority = PriorityClass::Normal;
+  bool withinGuarantee = false;  // of its team
 };
 
-struct Eviction {
-  std::vector<std::size_t> victims;  // indices into what was offered
-  double lost = 0;                   // core seconds wasted
+// A running task that might be stopped for it.
+struct PreemptionTarget {
+  PriorityClass priority = PriorityClass::Normal;
+  bool sameTeam = false;            // as the preemptor
+  bool teamAboveGuarantee = false;  // its team keeps its guarantee without the task
 };
 
-// A higher rank may stop a lower one; work within a guarantee may stop what another team runs above its own.
-// The protocol allows the latter whatever the ranks; here lower ranks do not displace higher ones, as
-// services must not give way to batches.
-bool mayStop(PriorityClass claimant, bool claimantGuaranteed, bool sameTeam, PriorityClass victim,
-             bool victimAboveGuarantee);
+// A higher priority may stop a lower one; work within a guarantee may stop what another team runs above its
+// own. The protocol allows the latter whatever the priorities; here only among equal ones, so that services
+// are not stopped for batch work.
+[[nodiscard]] bool mayPreempt(const Preemptor& preemptor, const PreemptionTarget& target);
 
-// Least lost work first; nothing if stopping all of them would not make the room.
-std::optional<Eviction> evict(const Resources& free, const Resources& need,
-                              const std::vector<Victim>& offered);
+// A task that may be stopped.
+struct VictimCandidate {
+  Resources held;
+  double lostSeconds = 0;  // of progress, if it is stopped
+};
+
+struct VictimSelection {
+  std::vector<std::size_t> victims;  // indices into the candidates, cheapest first
+  double lostCoreSeconds = 0;
+};
+
+// The victims that free the needed resources with the least lost work, cheapest first, without those that
+// turn out not to be needed. Empty victims if `free` suffices; nothing if stopping all candidates does not.
+[[nodiscard]] std::optional<VictimSelection> selectVictims(const Resources& free, const Resources& needed,
+                                                           const std::vector<VictimCandidate>& candidates);
 
 }  // namespace cherryloft::policy
--- a/src/scheduler/delegation.cpp
+++ b/src/scheduler/delegation.cpp
@@ -64,7 +64,7 @@
   }
   for (const auto& zone : settings_.zones) {
     std::uint32_t allowed = 0;
-    while (allowed < request.tasks && zoneAllows(job, zone, allowed)) ++allowed;
+    while (allowed < request.tasks && constraints_.allowsZone(job, zone, allowed)) ++allowed;
     if (allowed > 0) request.zones.push_back({zone.value, allowed});
   }
   return request;
@@ -120,7 +120,7 @@
 void ShardScheduler::delegate(Job& job, const ReceivedTaskOffer& offer, std::uint32_t most) {
   Delegation d{offer.shard, offer.zone, {}, job.gangAttempt};
   most = std::min({most, offer.tasks, kMostDelegated});
-  while (d.tasks.size() < most && (!offer.zone || zoneAllows(job, *offer.zone))) {
+  while (d.tasks.size() < most && (!offer.zone || constraints_.allowsZone(job, *offer.zone))) {
     auto index = job.waiting.front();
     job.waiting.pop_front();
     state_.makeRemote(job, index, offer.zone);
@@ -151,7 +151,7 @@
   if (recalled)
     job.recalling = true;
   else if (!job.waiting.empty())
-    gangBroken(job);
+    handleGangMemberLost(job);
 }
 
 void ShardScheduler::undoPlan(Job& job, const std::vector<Delegation>& planned) {
@@ -247,8 +247,8 @@
     job.recalling = false;
     job.gangAttempt.reset();
   }
-  settleDoneGang(job);
-  if (notDone) gangBroken(job);
+  completeGangIfDone(job);
+  if (notDone) handleGangMemberLost(job);
   endIfFinished(job);
   if (any) requestRound(true);
 }
--- a/src/scheduler/heartbeats.cpp
+++ b/src/scheduler/heartbeats.cpp
@@ -169,9 +169,9 @@
   if (it == h.placements.end()) return;  // went together with another member of its gang
   Job& job = *it->second.job;
   state_.markGone(h, task, runtime_.now());
-  settleDoneGang(job);
+  completeGangIfDone(job);
   endIfFinished(job);
-  gangBroken(job);
+  handleGangMemberLost(job);
   cleanUp(job);
 }
 
@@ -230,7 +230,9 @@
     auto it = h.placements.find(task);
     if (it == h.placements.end()) continue;  // it went with another member of its gang
     if (it->second.job->isGang())
-      stopGang(*it->second.job, it->second.job->spec->checkpointSeconds >= *r.reclaimInS);
+      stopGang(*it->second.job, it->second.job->spec->checkpointSeconds >= *r.reclaimInS
+                                    ? GangCheckpoint::Skipped
+                                    : GangCheckpoint::Allowed);
     else
       stop(h, task, it->second);
   }
--- a/src/scheduler/job_migration.cpp
+++ b/src/scheduler/job_migration.cpp
@@ -33,7 +33,7 @@
 bool ShardScheduler::unplaceable(const Job& job) const {
   if (!state_.withinLimit(job)) return false;
   if (job.spec->kind == JobKind::Gang) return job.placed == 0 && capacityFor(job) < job.waiting.size();
-  return !hasCapacity(job);
+  return !constraints_.hasCapacity(job);
 }
 
 // The oldest jobs that have waited long in vain, untouched ones or others: some tasks of those have begun, or
@@ -142,14 +142,15 @@
   const auto& spec = *job.spec;
   std::map<Zone, std::uint32_t> found;
   for (const auto& pool : state_.pools()) {
-    if (!allowedIn(job, pool)) continue;
+    if (!constraints_.allowsPool(job, pool)) continue;
     auto& inZone = found[pool.zone];
     auto at = pool.withFreeCores(spec.each.cores);
     for (unsigned looked = 0; at != pool.byFreeCores.end() && looked < settings_.tuning.sampleSize;
          ++at, ++looked) {
       auto free = at->second->free();
-      if (!allowed(job, *at->second)) continue;
-      for (; spec.each.fitsIn(free) && inZone < spec.tasks && zoneAllows(job, pool.zone, inZone); ++inZone)
+      if (!constraints_.allowsMachine(job, *at->second)) continue;
+      for (; spec.each.fitsIn(free) && inZone < spec.tasks && constraints_.allowsZone(job, pool.zone, inZone);
+           ++inZone)
         free -= spec.each;
     }
   }
--- a/src/scheduler/load_reports.cpp
+++ b/src/scheduler/load_reports.cpp
@@ -51,7 +51,7 @@
   std::vector<std::string> open;
   bool full = runtime_.now() - std::max(job.since, job.placedLast) > kZoneIsFull;
   for (const auto& z : settings_.zones) {
-    if (!zoneAllows(job, z)) continue;
+    if (!constraints_.allowsZone(job, z)) continue;
     for (const auto& p : state_.pools()) {
       const auto& s = *job.spec;
       bool fits = p.zone == z && s.allowsType(p.type) && s.each.fitsIn(p.size) && (!p.spot || s.spotAllowed);
@@ -91,7 +91,7 @@
     d.used += each.cores * job.placed;
     if (!job.open()) continue;
     double limit = job.team ? std::max(0.0, job.team->coreQuota - state_.teamUse(job.spec->team).cores) : 0;
-    auto& w = fragile(job) ? load.onDemandOnly : d;
+    auto& w = constraints_.shouldAvoidSpot(job) ? load.onDemandOnly : d;
     auto waiting = tasksWantingCapacity(job, now);
     w.waiting += std::min(each.cores * static_cast<double>(waiting), limit);
     d.largestTask = std::max(d.largestTask, each.cores);
--- a/src/scheduler/machine_drain.cpp
+++ b/src/scheduler/machine_drain.cpp
@@ -48,8 +48,9 @@
       if (x == &h || !x->open() || ++looked > settings_.tuning.sampleSize) continue;
       auto free = room.try_emplace(no, x->free()).first->second;
       // Within its zone it changes nothing for the zones' rules; elsewhere they must allow one more.
-      bool zoneFits = x->zone() == h.zone() || zoneAllows(*p.job, x->zone(), come[{p.job, x->zone()}]);
-      if (!spec.each.fitsIn(free) || !allowedKind(*p.job, *x) || !zoneFits) continue;
+      bool zoneFits =
+          x->zone() == h.zone() || constraints_.allowsZone(*p.job, x->zone(), come[{p.job, x->zone()}]);
+      if (!spec.each.fitsIn(free) || !constraints_.allowsMachineKind(*p.job, *x) || !zoneFits) continue;
       to = x;
       break;
     }
--- a/src/scheduler/shard_scheduler.cpp
+++ b/src/scheduler/shard_scheduler.cpp
@@ -229,7 +229,7 @@
     auto task = h->placements.begin()->first;
     taskLost(*h, task);
   }
-  machinesToConsider_.erase(id);
+  roundScope_.machines.erase(id);
   failures_.forget(id);
   state_.removeMachine(id);
   if (held) requestRound(true);
--- a/src/scheduler/shard_scheduler.h
+++ b/src/scheduler/shard_scheduler.h
@@ -9,11 +9,11 @@
 #include "kvstore/key_value_store.h"
 #include "kvstore/transaction_builder.h"
 #include "mesh/messages.h"
-#include "policy/coupling.h"
 #include "policy/gang.h"
-#include "policy/order.h"
-#include "policy/preempt.h"
+#include "scheduler/eviction_planner.h"
 #include "scheduler/failure_attribution.h"
+#include "scheduler/pending_jobs.h"
+#include "scheduler/placement_turn.h"
 #include "scheduler/shard_state.h"
 #include "scheduler/start_latencies.h"
 #include "wire/users.h"
@@ -159,82 +159,52 @@
   void sendLoad();
   std::size_t tasksWantingCapacity(const Job& job, Time now) const;
   void stuckZones(const Job& job, mesh::Demand& d) const;
-  // come: tasks of it that are to go there already.
-  bool zoneAllows(const Job& job, const Zone& zone, unsigned come = 0) const;
 
-  // Rounds.
-  void requestRound(bool everywhere, const MachineId* at = nullptr);
+  // Placement rounds (placement_rounds.cpp).
+  // Has the next round consider all machines with capacity, or beside others the one that reported.
+  void requestRound(bool allMachines, const MachineId* reportedMachine = nullptr);
   void runRound();
-  void place();
-  struct Ranked {
-    Job* job;
-    policy::Candidate c;
-  };
-  std::vector<Ranked> candidates();
+  void placePendingJobs();
+  // Returns the jobs that found no capacity; those that had no turn stay in the list.
+  std::vector<PendingJob> runTurns(std::vector<PendingJob>& pending);
+  // Returns how many tasks were placed, `most` at most.
   unsigned placeTasks(Job& job, unsigned most);
+  void placeNextTask(Job& job, Machine& machine, Attempt attempt);
+  // A job that failed wherever it was tried gets one task at a time, and nothing is preempted for it.
   void placeProbeTask(Job& job);
-  bool cancelOneDrain();
-  bool hasCapacity(const Job& job) const;
-  bool anyFreeCores(const Job& job) const;
-  bool fragile(const Job& job) const;
-  bool tooSlow(const Job& job, const Machine& h) const;
-  bool holderCouldPreempt(const Job& job) const;
-  std::pair<std::vector<policy::Victim>, std::vector<TaskId>> victims(
-      const Job& job, bool guaranteed, const Machine& h, const std::set<TaskId>& taken = {}) const;
-  bool allowed(const Job& job, const Machine& h) const;
-  bool allowedKind(const Job& job, const Machine& h) const;
-  bool allowedIn(const Job& job, const Pool& p) const;
-  bool better(const Job& job, const Machine& a, const Machine& b) const;
-  // What one turn of a job looked up: holders in order, and the estimates for the draw.
-  struct PlacementTurn {
-    std::vector<Machine*> holders;
-    std::set<std::uint32_t> refused;  // by the draw, in this round
-    std::optional<policy::SampleEstimate> sample;
-    std::optional<std::set<Zone>> holdingZones;
-  };
-  PlacementTurn beginTurn(const Job& job);
-  Machine* choose(Job& job, PlacementTurn& turn);
-  Machine* holder(const Job& job, PlacementTurn& turn) const;
-  std::vector<Machine*> others(const Job& job, const PlacementTurn& turn);
-  policy::SampleEstimate sample(const Job& job);
-  // Gangs (scheduler_gangs.cpp).
+  // Draining machines take work again, as capacity is short. False if there were none.
+  bool cancelDrains();
+  // Gangs (gangs.cpp, invariant 19).
+  // What each zone that the gang may be in has for it.
   std::vector<policy::GangZone> gangZones(const Job& job) const;
+  // The attempt that all members share; nothing if the job is no gang.
+  std::optional<Attempt> attemptForGang(const Job& job);
+  // Places all members or none. False: it found no capacity; true also if it must not be tried yet.
   bool placeGang(Job& job);
-  bool placeWhole(Job& job);
-  void gangBroken(Job& job);
-  void stopGang(Job& job, bool skipCheckpoint);
-  void settleDoneGang(Job& job);
+  bool placeAllMembers(Job& job);
+  // The other members can't go on without it: they are stopped, and the gang starts anew.
+  void handleGangMemberLost(Job& job);
+  enum class GangCheckpoint : std::uint8_t { Allowed, Skipped };
+  // One decision stops all members: a save succeeds only if each is told soon after the first.
+  void stopGang(Job& job, GangCheckpoint checkpoint);
+  // Members complete together: once one is known done, so are those known gone.
+  void completeGangIfDone(Job& job);
+  // A former owner wrote some members only, or lost one: what there is ends, and the gang starts as a whole.
   void restoreGang(Job& job);
-  // Preemption.
-  // What machines have free now or soon, less what is spoken for in this round.
-  struct CapacityForecast {
-    std::map<std::uint32_t, Resources> left;
-    Resources& of(const Machine& h);
-  };
-  struct PlannedEviction {
-    Machine* machine = nullptr;
-    double lost = 0;  // seconds of work times cores
-    std::vector<TaskId> victims;
+  // Preemption (preemption.cpp).
+  struct PreemptionRound {
+    CapacityForecast forecast;
+    std::set<MachineId> machinesToCommand;
+    unsigned plans = 0;  // tasks and gangs that evictions were planned for
   };
-  std::vector<Machine*> sampleForEviction(const Job& job);
-  std::optional<PlannedEviction> cheapestEviction(const Job& job, bool guaranteed,
-                                                  const std::vector<Machine*>& sampled,
-                                                  CapacityForecast& room,
-                                                  const std::set<TaskId>& taken = {}) const;
-  std::optional<std::vector<PlannedEviction>> planEvictionsForGang(const Ranked& blocked,
-                                                                   const std::vector<Machine*>& sampled,
-                                                                   const CapacityForecast& room) const;
-  std::optional<std::vector<PlannedEviction>> planEvictionsOn(const Ranked& blocked,
-                                                              const std::vector<Machine*>& machines,
-                                                              CapacityForecast room) const;
-  void preemptForGang(const Ranked& blocked, CapacityForecast& room, std::set<MachineId>& changed);
-  bool leavesTimeToSave(const Ranked& claimant, const Machine& h, const JobSpec& victim) const;
-  void carryOut(const PlannedEviction& plan, const Ranked& claimant, CapacityForecast& room);
-  Duration patienceLeft(const Ranked& blocked) const;
-  void preemptAfter(Duration wait);
-  void preempt(const std::vector<Ranked>& blocked);
-  void preemptFor(const Ranked& blocked, CapacityForecast& room, unsigned& asked,
-                  std::set<MachineId>& changed);
+  // Stops tasks for those that found no capacity, in their order.
+  void preempt(const std::vector<PendingJob>& blocked);
+  void preemptForTasks(const PendingJob& pending, PreemptionRound& round);
+  void preemptForGang(const PendingJob& pending, PreemptionRound& round);
+  void carryOut(const PlannedEviction& eviction, const PendingJob& pending, PreemptionRound& round);
+  // How long the job still waits for others to end by themselves.
+  Duration timeUntilPreemption(const PendingJob& pending) const;
+  void schedulePreemption(Duration wait);
   // Transfers of jobs to other shards (invariant 17).
   void reviewMigrations(Time now);
   bool migrationPlanned(const JobId& id) const;
@@ -308,6 +278,7 @@
 
   ShardState state_;
   FailureAttribution failures_;
+  PlacementConstraints constraints_{settings_, state_, failures_, runtime_};
   Time failuresReviewed_{};
   bool loaded_ = false;
   Version lastCancelled_;
@@ -317,12 +288,11 @@
   bool ownershipTransferSent_ = false;
 
   bool roundScheduled_ = false;
-  bool considerAllMachines_ = false;
-  std::set<MachineId> machinesToConsider_;
+  RoundScope roundScope_;  // of the next round
 
   Time lastRound_{};
   Time lastPreemption_{};
-  std::optional<Time> preemptionDue_;  // when a round is to make room next
+  std::optional<Time> preemptionDue_;  // when a round is to preempt next
   Time loadSent_{};
   std::deque<TaskId> unwrittenTasks_;  // tasks whose placement or completion is to be written
   std::set<JobId> ending_;             // jobs to write as done or cancelled
--- a/src/scheduler/task_failures.cpp
+++ b/src/scheduler/task_failures.cpp
@@ -22,7 +22,7 @@
     quarantineFaulty(job.id);
     if (job.status == JobStatus::Open) {
       unwrittenTasks_.push_back(t.task);
-      settleDoneGang(job);
+      completeGangIfDone(job);
       endIfFinished(job);
     }
     cleanUp(job);
@@ -49,9 +49,9 @@
     default:
       break;
   }
-  settleDoneGang(job);
+  completeGangIfDone(job);
   endIfFinished(job);
-  gangBroken(job);
+  handleGangMemberLost(job);
   cleanUp(job);
 }
 
--- a/tests/unit/gang_test.cpp
+++ b/tests/unit/gang_test.cpp
@@ -9,11 +9,11 @@
 std::vector<std::string> namesOf(const std::vector<Zone>& zones) {
   std::vector<std::string> names;
   names.reserve(zones.size());
-  for (const auto& z : zones) names.push_back(z.value);
+  for (const auto& zone : zones) names.push_back(zone.value);
   return names;
 }
 
-TEST(Gang, OnlyZonesWithRoomForAllMembersAreTried) {
+TEST(Gang, OnlyZonesWithCapacityForAllMembersAreTried) {
   EXPECT_TRUE(zonesToTry({{Zone{"a"}, 3, 3, 1}, {Zone{"b"}, 2, 0, 1}}, 4).empty());
   EXPECT_EQ(namesOf(zonesToTry({{Zone{"a"}, 3, 3, 1}, {Zone{"b"}, 4, 0, 9}}, 4)),
             (std::vector<std::string>{"b"}));
@@ -21,7 +21,7 @@
 
 // A gang starts with its slowest member: a zone where most find the image is no better than one where none
 // does.
-TEST(Gang, TheSlowestMemberDecidesThenTheRoomThatIsLeft) {
+TEST(Gang, TheSlowestMemberDecidesThenTheCapacityThatIsLeft) {
   auto order = zonesToTry({{Zone{"most"}, 20, 3, 4}, {Zone{"all"}, 4, 4, 4}, {Zone{"quick"}, 5, 0, 2}}, 4);
   EXPECT_EQ(namesOf(order), (std::vector<std::string>{"all", "quick", "most"}));
   order = zonesToTry({{Zone{"little"}, 5, 0, 2}, {Zone{"much"}, 50, 0, 2}}, 4);
--- a/tests/unit/policy_test.cpp
+++ b/tests/unit/policy_test.cpp
@@ -22,9 +22,9 @@
   // Fewer than one machine with room counts as one in beta.
   beta = 0.1 + 0.9 * (1 - std::exp(-2.0));
   EXPECT_NEAR(couplingProbability(1.0, {0.5, 0.5}, 2), 1 - std::pow(0.5, beta) * (1 - std::exp(-0.5)), 1e-12);
-  EXPECT_DOUBLE_EQ(alphaOf(true, true), 0.7);
-  EXPECT_DOUBLE_EQ(alphaOf(true, false), 0.8);
-  EXPECT_DOUBLE_EQ(alphaOf(false, true), 1.0);
+  EXPECT_DOUBLE_EQ(alphaOf(ImageLocality::InZoneWithJobTasks), 0.7);
+  EXPECT_DOUBLE_EQ(alphaOf(ImageLocality::InZone), 0.8);
+  EXPECT_DOUBLE_EQ(alphaOf(ImageLocality::OutsideZone), 1.0);
 }
 
 TEST(Coupling, SampleIsWithoutReplacement) {
@@ -34,52 +34,67 @@
   EXPECT_EQ(std::set<std::size_t>(s.begin(), s.end()).size(), 64U);
 }
 
-TEST(Command, OverdueThenRankThenGuaranteeThenTurnsThenSlackThenAge) {
-  Candidate base{false, PriorityClass::Normal, false, true, 0, std::nullopt, 100, 10};
-  auto with = [&](auto f) {
-    auto c = base;
-    f(c);
-    return c;
+TEST(PlacementOrder, OverduePriorityGuaranteeFeasibilityTurnsSlackWorkAge) {
+  const PlacementOrderKey base{false, PriorityClass::Normal, false, true, 0, std::nullopt, 100, 10};
+  auto with = [&](auto change) {
+    auto key = base;
+    change(key);
+    return key;
   };
-  auto high = with([](auto& c) { c.priority = PriorityClass::High; });
-  auto guaranteed = with([](auto& c) { c.guaranteed = true; });
-  auto due = with([](auto& c) { c.slackS = 5; });
-  auto late = with([](auto& c) { c.hopeful = false, c.workLeft = 1, c.slackS = 0; });
-  auto small = with([](auto& c) { c.workLeft = 50, c.ageS = 1; });
-  auto older = with([](auto& c) { c.ageS = 20; });
-  auto served = with([](auto& c) { c.turns = 1, c.ageS = 99, c.slackS = 0; });
-  auto overdue = with([](auto& c) { c.overdue = true; });
-  EXPECT_TRUE(before(overdue, high));
-  EXPECT_TRUE(before(high, guaranteed));
-  EXPECT_TRUE(before(guaranteed, due));
-  EXPECT_TRUE(before(due, small));
-  EXPECT_TRUE(before(small, older));
-  EXPECT_TRUE(before(base, late));
-  EXPECT_TRUE(before(older, base));
-  EXPECT_TRUE(before(base, served));
-  EXPECT_FALSE(before(base, base));
+  auto high = with([](auto& key) { key.priority = PriorityClass::High; });
+  auto guaranteed = with([](auto& key) { key.withinGuarantee = true; });
+  auto due = with([](auto& key) { key.slackSeconds = 5; });
+  auto infeasible = with([](auto& key) {
+    key.objectiveFeasible = false;
+    key.remainingCoreSeconds = 1;
+    key.slackSeconds = 0;
+  });
+  auto small = with([](auto& key) {
+    key.remainingCoreSeconds = 50;
+    key.ageSeconds = 1;
+  });
+  auto older = with([](auto& key) { key.ageSeconds = 20; });
+  auto served = with([](auto& key) {
+    key.teamTurns = 1;
+    key.ageSeconds = 99;
+    key.slackSeconds = 0;
+  });
+  auto overdue = with([](auto& key) { key.firstStartOverdue = true; });
+  EXPECT_TRUE(precedes(overdue, high));
+  EXPECT_TRUE(precedes(high, guaranteed));
+  EXPECT_TRUE(precedes(guaranteed, due));
+  EXPECT_TRUE(precedes(due, small));
+  EXPECT_TRUE(precedes(small, older));
+  EXPECT_TRUE(precedes(base, infeasible));
+  EXPECT_TRUE(precedes(older, base));
+  EXPECT_TRUE(precedes(base, served));
+  EXPECT_FALSE(precedes(base, base));
 }
 
 TEST(Preemption, OnlyAsTheProtocolPermits) {
-  EXPECT_TRUE(mayStop(PriorityClass::High, false, true, PriorityClass::Normal, false));
-  EXPECT_FALSE(mayStop(PriorityClass::High, false, false, PriorityClass::High, true));
-  EXPECT_FALSE(mayStop(PriorityClass::BestEffort, true, false, PriorityClass::Production, true));
-  EXPECT_TRUE(mayStop(PriorityClass::Normal, true, false, PriorityClass::Normal, true));
-  EXPECT_FALSE(mayStop(PriorityClass::BestEffort, true, true, PriorityClass::Production, true));
-  EXPECT_FALSE(mayStop(PriorityClass::Normal, true, false, PriorityClass::Normal, false));
+  auto allowed = [](PriorityClass preemptor, bool withinGuarantee, bool sameTeam, PriorityClass target,
+                    bool teamAboveGuarantee) {
+    return mayPreempt({preemptor, withinGuarantee}, {target, sameTeam, teamAboveGuarantee});
+  };
+  EXPECT_TRUE(allowed(PriorityClass::High, false, true, PriorityClass::Normal, false));
+  EXPECT_FALSE(allowed(PriorityClass::High, false, false, PriorityClass::High, true));
+  EXPECT_FALSE(allowed(PriorityClass::BestEffort, true, false, PriorityClass::Production, true));
+  EXPECT_TRUE(allowed(PriorityClass::Normal, true, false, PriorityClass::Normal, true));
+  EXPECT_FALSE(allowed(PriorityClass::BestEffort, true, true, PriorityClass::Production, true));
+  EXPECT_FALSE(allowed(PriorityClass::Normal, true, false, PriorityClass::Normal, false));
 }
 
-TEST(Preemption, LeastLostWorkAndOnlyIfItMakesTheRoom) {
+TEST(Preemption, LeastLostWorkAndOnlyIfItFreesEnough) {
   Resources four{4, 0, 4}, eight{8, 0, 8};
-  std::vector<Victim> offered{{four, 50}, {four, 5}, {eight, 20}};
-  auto e = evict({0, 0, 0}, four, offered);
-  ASSERT_TRUE(e);
-  EXPECT_EQ(e->victims, std::vector<std::size_t>{1});
-  e = evict({0, 0, 0}, eight, offered);  // 5*4 + 20*8 is more than 20*8: the small one runs on
-  ASSERT_TRUE(e);
-  EXPECT_DOUBLE_EQ(e->lost, 160);
-  EXPECT_FALSE(evict({0, 0, 0}, {32, 0, 32}, offered));
-  EXPECT_TRUE(evict({4, 0, 4}, four, offered)->victims.empty());
+  std::vector<VictimCandidate> candidates{{four, 50}, {four, 5}, {eight, 20}};
+  auto selection = selectVictims({0, 0, 0}, four, candidates);
+  ASSERT_TRUE(selection);
+  EXPECT_EQ(selection->victims, std::vector<std::size_t>{1});
+  selection = selectVictims({0, 0, 0}, eight, candidates);  // 5*4 + 20*8 > 20*8: the small one is spared
+  ASSERT_TRUE(selection);
+  EXPECT_DOUBLE_EQ(selection->lostCoreSeconds, 160);
+  EXPECT_FALSE(selectVictims({0, 0, 0}, {32, 0, 32}, candidates));
+  EXPECT_TRUE(selectVictims({4, 0, 4}, four, candidates)->victims.empty());
 }
 
 TEST(Autoscaler, RentsTheCheapestThatFitsAndLetsTheDearestGo) {
