--- /dev/null
+++ b/tests/unit/command_fence_test.cpp
@@ -0,0 +1,113 @@
+// Which heartbeats of a worker count, and when commands sent to it can no longer take effect.
+#include "scheduler/command_fence.h"
+
+#include <gtest/gtest.h>
+
+namespace cherryloft {
+namespace {
+
+constexpr FencingToken kOwnToken{100};
+
+wire::WorkerHeartbeat heartbeat(std::uint64_t incarnation, std::uint64_t sequence, FencingToken token) {
+  wire::WorkerHeartbeat made;
+  made.incarnation = Incarnation{incarnation};
+  made.sequence = SequenceNumber{sequence};
+  made.token = token;
+  return made;
+}
+
+// A fence whose worker has sent heartbeat 5 of incarnation 2 under the owner's token.
+class CommandFenceTest : public ::testing::Test {
+ protected:
+  CommandFenceTest() { fence_.accept(heartbeat(2, 5, kOwnToken)); }
+
+  CommandFence fence_{kOwnToken};
+};
+
+TEST_F(CommandFenceTest, ALaterHeartbeatIsNewer) {
+  EXPECT_TRUE(fence_.isNewer(heartbeat(2, 6, kOwnToken)));
+  EXPECT_TRUE(fence_.isNewer(heartbeat(3, 1, kOwnToken)));
+}
+
+TEST_F(CommandFenceTest, ACopyOrALateHeartbeatIsNotNewer) {
+  EXPECT_FALSE(fence_.isNewer(heartbeat(2, 5, kOwnToken)));
+  EXPECT_FALSE(fence_.isNewer(heartbeat(1, 9, kOwnToken)));
+}
+
+TEST_F(CommandFenceTest, ALowerTokenThanTheWorkerHasShownIsNotNewer) {
+  auto lower = heartbeat(2, 6, FencingToken{kOwnToken.value - 1});
+  EXPECT_TRUE(fence_.showsLowerToken(lower));
+  EXPECT_FALSE(fence_.isNewer(lower));
+}
+
+TEST_F(CommandFenceTest, NothingOfAnExpiredIncarnationIsNewer) {
+  fence_.expireIncarnation();
+  EXPECT_FALSE(fence_.isNewer(heartbeat(2, 6, kOwnToken)));
+  EXPECT_TRUE(fence_.isNewer(heartbeat(3, 1, kOwnToken)));
+}
+
+TEST_F(CommandFenceTest, ATokenAboveTheOwnersSupersedesIt) {
+  EXPECT_FALSE(fence_.supersededBy(heartbeat(2, 6, kOwnToken)));
+  EXPECT_TRUE(fence_.supersededBy(heartbeat(2, 6, FencingToken{kOwnToken.value + 1})));
+}
+
+TEST_F(CommandFenceTest, OnlyATokenOfThisOwnerProvesThePresent) {
+  EXPECT_TRUE(fence_.showsOwnToken(heartbeat(2, 6, kOwnToken)));
+  EXPECT_FALSE(fence_.showsOwnToken(heartbeat(2, 6, FencingToken{kOwnToken.value - 1})));
+}
+
+TEST_F(CommandFenceTest, TheFirstHeartbeatOfAllStartsNoIncarnation) {
+  EXPECT_FALSE(CommandFence{kOwnToken}.startsIncarnation(heartbeat(4, 1, kOwnToken)));
+  EXPECT_FALSE(fence_.startsIncarnation(heartbeat(2, 6, kOwnToken)));
+  EXPECT_TRUE(fence_.startsIncarnation(heartbeat(3, 1, kOwnToken)));
+}
+
+TEST_F(CommandFenceTest, AnUnansweredCommandIsInDoubtUntilAHigherTokenIsShown) {
+  fence_.commandUnanswered(fence_.token());
+  EXPECT_GT(fence_.token(), kOwnToken);
+  fence_.accept(heartbeat(2, 6, kOwnToken));
+  EXPECT_FALSE(fence_.noCommandInDoubt());
+  fence_.accept(heartbeat(2, 7, fence_.token()));
+  EXPECT_TRUE(fence_.noCommandInDoubt());
+}
+
+TEST_F(CommandFenceTest, AnAdvancedTokenPutsAllSentBeforeInDoubt) {
+  fence_.advanceToken();
+  EXPECT_EQ(fence_.token(), FencingToken{kOwnToken.value + 1});
+  EXPECT_FALSE(fence_.noCommandInDoubt());
+}
+
+TEST_F(CommandFenceTest, TheEndOfTheIncarnationEndsTheDoubt) {
+  fence_.commandUnanswered(fence_.token());
+  fence_.expireIncarnation();
+  EXPECT_TRUE(fence_.noCommandInDoubt());
+}
+
+TEST_F(CommandFenceTest, AHigherLowestTokenStartsANewGeneration) {
+  fence_.advanceToken();
+  fence_.raiseLowestOwnToken(FencingToken{200});
+  EXPECT_EQ(fence_.token(), FencingToken{200});
+  fence_.raiseLowestOwnToken(FencingToken{150});
+  EXPECT_EQ(fence_.token(), FencingToken{200});
+}
+
+TEST_F(CommandFenceTest, TheExpectedIncarnationNeverFallsNorNamesAnExpiredOne) {
+  EXPECT_EQ(CommandFence{kOwnToken}.expectedIncarnation(), Incarnation{1});
+  fence_.learnExpectedIncarnation(Incarnation{1});
+  EXPECT_EQ(fence_.expectedIncarnation(), Incarnation{2});
+  fence_.learnExpectedIncarnation(Incarnation{4});
+  EXPECT_EQ(fence_.expectedIncarnation(), Incarnation{4});
+}
+
+// A new process counts from one again; starts meant for the old one may still reach it.
+TEST_F(CommandFenceTest, AfterARestartTheAnswerIsNewerAndEarlierCommandsAreInDoubt) {
+  auto answer = heartbeat(1, 1, kOwnToken);
+  EXPECT_FALSE(fence_.isNewer(answer));
+  fence_.restart(answer);
+  EXPECT_TRUE(fence_.isNewer(answer));
+  EXPECT_FALSE(fence_.startsIncarnation(answer));
+  EXPECT_FALSE(fence_.noCommandInDoubt());
+}
+
+}  // namespace
+}  // namespace cherryloft
