--- a/src/scheduler/commands.cpp
+++ b/src/scheduler/commands.cpp
@@ -1,183 +1,265 @@
-// The scheduler's commands to workers: what they should do, in answers to heartbeats and directly.
+// Commands to workers: which ones are due, and how they go out, in answers to heartbeats and in calls of
+// their own.
 #include <algorithm>
+#include <optional>
 #include <utility>
 
 #include "scheduler/shard_scheduler.h"
 
 namespace cherryloft {
 namespace {
+
 using wire::Command;
 using wire::TaskPhase;
 
-constexpr Duration kDirectDeadline{2'000};
-constexpr Duration kAfterUnknown{2'000};
-constexpr Duration kAfterRelayed{10'000};
-constexpr Duration kAfterRefused{1'000};
-constexpr Duration kStopAgain{1'500};
-constexpr double kSavingSlackS = 5;        // beyond twice the time that a save takes
-constexpr std::size_t kMaxCommands = 300;  // keeps an answer's line under 64 KiB
-constexpr std::size_t kMostAsking = 64;    // questions without commands under way at a time
+constexpr Duration kDirectCommandTimeout{2'000};
+// How long no further direct command goes to a machine after one ...
+constexpr Duration kBackoffUnanswered{2'000};        // ... whose fate is unknown
+constexpr Duration kBackoffUnreachable{10'000};      // ... if only its heartbeats get through
+constexpr Duration kBackoffNotSent{1'000};           // ... that was not sent
+constexpr Duration kStopRetryInterval{1'500};        // of direct commands; answers repeat a stop each time
+constexpr double kCheckpointGraceMarginSeconds = 1;  // what a checkpoint may take longer than its job says
+constexpr double kCheckpointSlackSeconds = 5;        // beyond twice the time that a checkpoint takes
+constexpr std::size_t kMaxCommands = 300;            // keeps an answer's line under 64 KiB
+constexpr std::size_t kMaxProbesInFlight = 64;       // the answers to heartbeats that come meanwhile go first
+// Sockets are kept for a third of what a controller may have to command at once: all shards may be its own.
+constexpr std::size_t kKeptSocketsPerCommand = 2;
+constexpr std::size_t kMinDirectCommandsInFlight = 8;
+
+std::optional<Address> addressOf(const Machine& machine) {
+  try {
+    return parseAddress(machine.address);
+  } catch (const SettingsError&) {
+    return std::nullopt;
+  }
+}
+
+// The committed state allows the task to run.
+bool mayStart(const Job& job) {
+  // Perhaps its end is committed, without an answer to us, and told by a sibling (invariant 8).
+  if (!job.open()) return false;
+  // No member of a gang starts before the attempts of all are written.
+  return !job.isGang() || job.allCommitted();
+}
+
+Command startCommand(const TaskId& task, const Placement& placement) {
+  return {Command::Verb::Start, task, placement.attempt, 0};
+}
+
+Command stopCommand(const TaskId& task, Attempt attempt) { return {Command::Verb::Stop, task, attempt, 0}; }
+
 }  // namespace
 
-// No task is named twice.
+// --- which commands are due ---
+
 void ShardScheduler::addCommands(std::vector<Command>& list, std::vector<Command> more) {
-  std::set<std::pair<TaskId, Attempt>> named;
-  for (const auto& o : list) named.insert({o.task, o.attempt});
-  for (auto& o : more)
-    if (named.count({o.task, o.attempt}) == 0) list.push_back(std::move(o));
+  std::set<TaskAttempt> named;
+  for (const auto& command : list) named.insert({command.task, command.attempt});
+  for (auto& command : more) {
+    bool alreadyNamed = named.count({command.task, command.attempt}) > 0;
+    if (!alreadyNamed) list.push_back(std::move(command));
+  }
 }
 
-// How long a task that was stopped may save. A member of a gang that has saved waits for the others.
 Duration ShardScheduler::maxCheckpointTime(const Job& job) const {
-  return seconds(2 * job.spec->checkpointSeconds + kSavingSlackS + (job.isGang() ? settings_.gangPeerS : 0));
+  double waitForPeers = job.isGang() ? settings_.gangPeerS : 0;
+  return seconds(2 * job.spec->checkpointSeconds + kCheckpointSlackSeconds + waitForPeers);
+}
+
+// A cancelled job's work is of no use to anyone, and nothing saves for ever.
+bool ShardScheduler::mayCheckpoint(const Placement& placement, Time now) const {
+  const Job& job = *placement.job;
+  if (job.spec->checkpointIntervalSeconds <= 0 || !job.open() || placement.skipCheckpoint) return false;
+  bool stopSentBefore = placement.stopSent != Time{};
+  return !stopSentBefore || now - placement.stopSent < maxCheckpointTime(job);
+}
+
+Command ShardScheduler::stopCommandFor(const TaskId& task, const Placement& placement, Time now) const {
+  auto command = stopCommand(task, placement.attempt);
+  if (mayCheckpoint(placement, now))
+    command.graceS = placement.job->spec->checkpointSeconds + kCheckpointGraceMarginSeconds;
+  return command;
 }
 
-// What the worker should do; for a heartbeat also what is repeated until it shows.
-std::vector<Command> ShardScheduler::commandsFor(Machine& h, const wire::WorkerHeartbeat* heartbeat) {
+std::vector<Command> ShardScheduler::commandsInAnswer(Machine& machine,
+                                                      const wire::WorkerHeartbeat& heartbeat) {
+  std::vector<Command> commands;
+  if (!machine.heard) return commands;
   auto now = runtime_.now();
-  std::vector<Command> out;
-  if (!h.heard) return out;
-  for (auto& [task, p] : h.placements) {
-    if (out.size() >= kMaxCommands) break;
-    if (p.committed && p.wanted && !p.shown && !p.restored) {
-      // Perhaps its end is committed, without an answer to us, and told by a sibling (invariant 8).
-      if (!p.job->open()) continue;
-      // No member of a gang starts before the attempts of all are written.
-      if (p.job->isGang() && !p.job->allCommitted()) continue;
-      if (heartbeat ? h.commandInFlight : p.sent) continue;
-      out.push_back({Command::Verb::Start, task, p.attempt, 0});
-      p.sent = true;
-      if (heartbeat) p.startSentWith = heartbeat->sequence;
-    } else if (!p.wanted && p.shown) {
-      bool sentBefore = p.stopSent != Time{};
-      if (!heartbeat && now - p.stopSent < kStopAgain) continue;
-      const auto& spec = *p.job->spec;
-      // An cancelled job's work is of no use to anyone, and nothing saves for ever.
-      bool saves = spec.checkpointIntervalSeconds > 0 && p.job->open() && !p.skipCheckpoint &&
-                   (!sentBefore || now - p.stopSent < maxCheckpointTime(*p.job));
-      out.push_back({Command::Verb::Stop, task, p.attempt, saves ? spec.checkpointSeconds + 1 : 0});
-      if (!sentBefore || !heartbeat) p.stopSent = now;
+  for (auto& [task, placement] : machine.placements) {
+    if (commands.size() >= kMaxCommands) break;
+    if (placement.awaitsStart()) {
+      // A direct command may be about to start it.
+      if (machine.commandInFlight || !mayStart(*placement.job)) continue;
+      commands.push_back(startCommand(task, placement));
+      placement.startSent = true;
+      placement.startSentWith = heartbeat.sequence;
+    } else if (placement.awaitsStop()) {
+      commands.push_back(stopCommandFor(task, placement, now));
+      if (placement.stopSent == Time{}) placement.stopSent = now;
     }
   }
-  if (heartbeat) stopCommandsForUnknownTasks(h, out);
-  return out;
-}
-
-// Entries of the last report that the shard state do not place there. Forgets go in answers to heartbeats
-// only: by then no copy of their start can still arrive (invariant 3).
-void ShardScheduler::stopCommandsForUnknownTasks(Machine& h, std::vector<Command>& out) {
-  bool mayForget = h.noCommandInDoubt() && !h.commandInFlight;
-  for (const auto& t : h.reported) {
-    if (out.size() >= kMaxCommands) return;
-    auto it = h.placements.find(t.task);
-    if (it != h.placements.end() && it->second.attempt == t.attempt) continue;
-    if (t.phase != TaskPhase::Exited) {
-      out.push_back({Command::Verb::Stop, t.task, t.attempt, 0});
-      continue;
-    }
-    const Job* job = state_.job(t.task.job);
-    if (job && t.task.index < job->tasks.size()) {
-      const auto& task = job->tasks[t.task.index];
-      // Done is committed before the last trace of it is forgotten (invariant 8).
-      if (task.state == TaskState::Done && !task.doneCommitted && job->status == JobStatus::Open) continue;
+  addCommandsForUnknownTasks(machine, commands);
+  return commands;
+}
+
+std::vector<Command> ShardScheduler::takeDirectCommands(Machine& machine) {
+  std::vector<Command> commands;
+  if (!machine.heard) return commands;
+  auto now = runtime_.now();
+  for (auto& [task, placement] : machine.placements) {
+    if (commands.size() >= kMaxCommands) break;
+    if (placement.awaitsStart()) {
+      if (placement.startSent || !mayStart(*placement.job)) continue;
+      commands.push_back(startCommand(task, placement));
+      placement.startSent = true;
+    } else if (placement.awaitsStop()) {
+      if (now - placement.stopSent < kStopRetryInterval) continue;
+      commands.push_back(stopCommandFor(task, placement, now));
+      placement.stopSent = now;
     }
-    if (mayForget) out.push_back({Command::Verb::Forget, t.task, t.attempt, 0});
   }
+  return commands;
 }
 
-void ShardScheduler::sendCommands(Machine& h) {
-  auto now = runtime_.now();
-  if (!owns()) return;
-  if (h.commandInFlight) {
-    h.sendAgain = true;
-    return;
+void ShardScheduler::addCommandsForUnknownTasks(Machine& machine, std::vector<Command>& commands) {
+  // By then no copy of their start can still arrive (invariant 3).
+  bool mayForget = machine.noCommandInDoubt() && !machine.commandInFlight;
+  for (const auto& reported : machine.reported) {
+    if (commands.size() >= kMaxCommands) return;
+    if (machine.placementOf(reported)) continue;
+    if (reported.phase != TaskPhase::Exited)
+      commands.push_back(stopCommand(reported.task, reported.attempt));
+    else if (mayForget && !doneIsUncommitted(reported.task))
+      commands.push_back({Command::Verb::Forget, reported.task, reported.attempt, 0});
   }
-  if (now < h.sendNotBefore || h.address.empty()) return;
-  auto list = commandsFor(h, nullptr);
-  // A machine not heard from, or not of late, is asked for a report. Few at a time: their own reports come
-  // meanwhile, and are to be answered first.
-  bool ask = list.empty();
-  if (ask && h.heard && !heartbeatOverdue(h) && !h.sendAgain) return;
-  if (ask && asking_ >= kMostAsking) return;
-  // Sockets are kept for a third of what a controller may have to command at once: all shards may be its own.
-  if (commanding_ >= std::max<std::size_t>(settings_.keptSockets() / 2 / settings_.size(), 8)) {
-    h.attention = true;
+}
+
+// Done is committed before the last trace of it is forgotten (invariant 8).
+bool ShardScheduler::doneIsUncommitted(const TaskId& id) {
+  const Job* job = state_.job(id.job);
+  if (!job || id.index >= job->tasks.size()) return false;
+  const Task& task = job->tasks[id.index];
+  return task.state == TaskState::Done && !task.doneCommitted && job->status == JobStatus::Open;
+}
+
+// --- direct commands ---
+
+void ShardScheduler::sendCommands(Machine& machine) {
+  if (!owns()) return;
+  if (machine.commandInFlight) {
+    machine.sendAgain = true;
     return;
   }
-  Address to;
-  try {
-    to = parseAddress(h.address);
-  } catch (const SettingsError&) {
+  if (runtime_.now() < machine.sendNotBefore || machine.address.empty()) return;
+  auto commands = takeDirectCommands(machine);
+  bool isProbe = commands.empty();
+  if (isProbe && (!probeDue(machine) || probesInFlight_ >= kMaxProbesInFlight)) return;
+  if (directCommandsInFlight_ >= maxDirectCommandsInFlight()) {
+    machine.contactDue = true;
     return;
   }
-  h.commandInFlight = true;
-  h.sendAgain = false;
-  asking_ += ask;
-  ++commanding_;
-  Sent sent{h.token(), h.heard ? h.incarnation : h.expectedIncarnation, std::pair(h.incarnation, h.sequence),
-            ask};
-  runtime_.call(to, {"POST", "/commands", wire::encodeCommands(sent.token, sent.incarnation, list), false},
-                kDirectDeadline,
-                guarded([this, id = h.id, sent](HttpResult r) { handleDirectAnswer(id, sent, r); }));
-}
-
-// Machines that are gone from the shard state by now are left out.
+  auto worker = addressOf(machine);
+  if (!worker) return;
+  machine.commandInFlight = true;
+  machine.sendAgain = false;
+  ++directCommandsInFlight_;
+  if (isProbe) ++probesInFlight_;
+  auto incarnation = machine.heard ? machine.fence.incarnation() : machine.fence.expectedIncarnation();
+  DirectCommand sent{machine.token(), incarnation, machine.fence.latest(), isProbe};
+  auto body = wire::encodeCommands(sent.token, sent.incarnation, commands);
+  runtime_.call(*worker, {"POST", "/commands", std::move(body), false}, kDirectCommandTimeout,
+                guarded([this, id = machine.id, sent](const HttpResult& result) {
+                  handleDirectAnswer(id, sent, result);
+                }));
+}
+
+// Without commands to send, a machine that was not heard, or not of late, is asked for a heartbeat.
+bool ShardScheduler::probeDue(const Machine& machine) const {
+  return !machine.heard || heartbeatOverdue(machine) || machine.sendAgain;
+}
+
+std::size_t ShardScheduler::maxDirectCommandsInFlight() const {
+  return std::max(settings_.keptSockets() / kKeptSocketsPerCommand / settings_.size(),
+                  kMinDirectCommandsInFlight);
+}
+
 void ShardScheduler::sendCommandsToAll(const std::set<MachineId>& machines) {
   for (const auto& id : machines)
-    if (Machine* h = state_.machine(id)) sendCommands(*h);
+    if (Machine* machine = state_.machine(id)) sendCommands(*machine);
 }
 
-void ShardScheduler::handleDirectAnswer(const MachineId& id, const Sent& sent, const HttpResult& r) {
-  if (sent.ask) --asking_;
-  --commanding_;
-  Machine* h = state_.machine(id);
-  if (!h) return;
+void ShardScheduler::handleDirectAnswer(const MachineId& id, const DirectCommand& sent,
+                                        const HttpResult& result) {
+  if (sent.isProbe) --probesInFlight_;
+  --directCommandsInFlight_;
+  Machine* machine = state_.machine(id);
+  if (!machine) return;
+  machine->commandInFlight = false;
+  // 409: the worker refused the command, as it knows a higher token or has another incarnation.
+  bool answered = result.answered(200) || result.answered(409);
+  auto heartbeat = answered ? wire::parseHeartbeat(result.response.body) : std::nullopt;
+  if (heartbeat && heartbeat->machine == id)
+    handleCommandAnswered(*machine, sent, *heartbeat);
+  else
+    handleCommandUnanswered(*machine, sent, result);
+}
+
+void ShardScheduler::handleCommandAnswered(Machine& machine, const DirectCommand& sent,
+                                           const wire::WorkerHeartbeat& heartbeat) {
+  if (machine.fence.supersededBy(heartbeat)) return;  // its heartbeats will say so
+  machine.unansweredProbes = 0;
+  bool olderThanSent = positionOf(heartbeat) <= sent.latestHeartbeat;
+  if (olderThanSent || machine.fence.isExpired(heartbeat.incarnation))
+    handleWorkerRestart(machine, heartbeat);
+  auto id = machine.id;
+  reconcile(machine, heartbeat, HeartbeatSource::DirectAnswer);
+  Machine* present = state_.machine(id);
+  if (!present) return;
+  // The first command could not know the incarnation.
+  bool wrongIncarnation = heartbeat.incarnation != sent.incarnation;
+  if (wrongIncarnation || present->sendAgain) sendCommands(*present);
+}
+
+void ShardScheduler::handleCommandUnanswered(Machine& machine, const DirectCommand& sent,
+                                             const HttpResult& result) {
   auto now = runtime_.now();
-  h->commandInFlight = false;
-  auto heartbeat = r.answered(200) || r.answered(409) ? wire::parseHeartbeat(r.response.body) : std::nullopt;
-  if (heartbeat && heartbeat->machine == id) {
-    if (heartbeat->token > h->token()) return;  // superseded; its heartbeats will say so
-    h->unansweredProbes = 0;
-    bool older = std::pair(heartbeat->incarnation, heartbeat->sequence) <= sent.known;
-    if (older || heartbeat->incarnation <= h->expiredIncarnation) handleWorkerRestart(*h, *heartbeat);
-    reconcile(*h, *heartbeat, false);
-    h = state_.machine(id);
-    if (!h) return;
-    // The first command could not know the incarnation.
-    bool missed = heartbeat->incarnation != sent.incarnation;
-    if (missed || h->sendAgain) sendCommands(*h);
-    return;
-  }
-  if (++h->unansweredProbes >= kUnansweredProbesToSuspect) probeThroughPeers(*h);
-  if (r.outcome == HttpResult::Outcome::NotSent) {
-    h->sendNotBefore = now + kAfterRefused;
+  ++machine.unansweredProbes;
+  bool unreachable = machine.unansweredProbes >= kUnansweredProbesToSuspect;
+  if (unreachable) probeThroughPeers(machine);
+  if (result.outcome == HttpResult::Outcome::NotSent) {
+    machine.sendNotBefore = now + kBackoffNotSent;
     return;
   }
   // It may be executed minutes later. The advanced token shuts it out once the worker has seen it (invariant
   // 3).
-  log_->debug("no answer to commands from {}", id.value);
-  h->commandInDoubt = sent.token;
-  ++h->tokenGeneration;
-  h->attention = true;
+  log_->debug("command unanswered: machine={} in_a_row={}", machine.id.value, machine.unansweredProbes);
+  machine.fence.commandUnanswered(sent.token);
+  machine.contactDue = true;
   // Where only its heartbeats get through, commands go in their answers: each lost command would shut it out
   // of new work until it has acknowledged the advanced token.
-  bool relayed = h->unansweredProbes >= kUnansweredProbesToSuspect && now - h->lastHeard < reportDue();
-  h->sendNotBefore = now + (relayed ? kAfterRelayed : kAfterUnknown);
-  noteTokenAcknowledged(*h, false);
-  state_.reindex(*h);
+  bool onlyHeartbeatsArrive = unreachable && now - machine.lastHeard < reportDue();
+  machine.sendNotBefore = now + (onlyHeartbeatsArrive ? kBackoffUnreachable : kBackoffUnanswered);
+  noteTokenUnacknowledged(machine);
+  state_.reindex(machine);
 }
 
 // Perhaps only we can't reach it: then its heartbeats are relayed, and it is not to be given up.
-void ShardScheduler::probeThroughPeers(Machine& h) {
-  Sent sent{h.token(), h.incarnation, std::pair(h.incarnation, h.sequence), false};
-  callbacks_.probe(h.address, guarded([this, id = h.id, sent](const std::string& body) {
-                     auto heartbeat = wire::parseHeartbeat(body);
-                     Machine* h = state_.machine(id);
-                     if (!h || !heartbeat || heartbeat->machine != id || heartbeat->token > h->token())
-                       return;
-                     if (std::pair(heartbeat->incarnation, heartbeat->sequence) > sent.known)
-                       reconcile(*h, *heartbeat, false);
+void ShardScheduler::probeThroughPeers(const Machine& machine) {
+  callbacks_.probe(machine.address,
+                   guarded([this, id = machine.id, asked = machine.fence.latest()](const std::string& body) {
+                     handlePeerProbe(id, asked, body);
                    }));
 }
 
+void ShardScheduler::handlePeerProbe(const MachineId& id, const HeartbeatPosition& latestWhenAsked,
+                                     const std::string& body) {
+  auto heartbeat = wire::parseHeartbeat(body);
+  Machine* machine = state_.machine(id);
+  if (!machine || !heartbeat || heartbeat->machine != id) return;
+  if (machine->fence.supersededBy(*heartbeat)) return;
+  if (positionOf(*heartbeat) > latestWhenAsked)
+    reconcile(*machine, *heartbeat, HeartbeatSource::DirectAnswer);
+}
+
 }  // namespace cherryloft
--- a/src/scheduler/heartbeats.cpp
+++ b/src/scheduler/heartbeats.cpp
@@ -1,4 +1,4 @@
-// The scheduler's dealings with workers: reports, commands, direct commands.
+// Heartbeats of workers: how they are answered, and how the shard state is reconciled with what they show.
 #include <algorithm>
 #include <utility>
 
@@ -7,242 +7,304 @@
 namespace cherryloft {
 namespace {
 
-using wire::Command;
 using wire::ExitCause;
 using wire::TaskPhase;
 
-constexpr unsigned kMissedStarts = 2;  // heartbeats in a row that lack what an answer should have started
+constexpr int kHttpOk = 200;
+constexpr int kHttpMisdirected = 421;  // the worker turns to another controller
+constexpr int kHttpUnavailable = 503;
+
+// Heartbeats in a row that lack what an answer should have started: one lost answer is bad luck, two show
+// that answers do not arrive.
+constexpr unsigned kMissedStartsToAdvanceToken = 2;
+// What a worker's clock may lag behind ours, and what an answer takes to reach it.
+constexpr double kLeaseClockDrift = 1.002;
+constexpr double kLeaseMarginSeconds = 1.0;
+
+// The worker would list the task by now if the answer that carried its start had arrived; even a start that
+// it refuses shows.
+bool startMissed(const Placement& placement, const wire::WorkerHeartbeat& heartbeat) {
+  bool answerCarriedStart = placement.startSentWith.value > 0;
+  return placement.wanted && !placement.shown && answerCarriedStart &&
+         heartbeat.sequence > placement.startSentWith;
+}
+
+// A start of the task may still reach the worker after it sent this heartbeat (invariants 3 and 4).
+bool startMayArrive(const Machine& machine, const Placement& placement,
+                    const wire::WorkerHeartbeat& heartbeat, HeartbeatSource source) {
+  return machine.commandInFlight || !machine.noCommandInDoubt() || source == HeartbeatSource::DirectAnswer ||
+         heartbeat.sequence <= placement.startSentWith;
+}
+
+// The heartbeat lacks the task: whether that proves that the task is gone (invariant 2).
+bool absenceProvesGone(const Machine& machine, const Placement& placement,
+                       const wire::WorkerHeartbeat& heartbeat, HeartbeatSource source) {
+  if (placement.shown) return true;
+  // No start of a former owner can act under our token.
+  if (placement.restored && !placement.startSent) return true;
+  return placement.startSent && !placement.wanted && !startMayArrive(machine, placement, heartbeat, source);
+}
+
+// The task ends by itself before the cloud takes the machine.
+bool endsWithin(const Placement& placement, double secondsLeft, Time now) {
+  const auto& spec = *placement.job->spec;
+  bool running = placement.shown && placement.phase == TaskPhase::Running;
+  double ranSeconds = running ? inSeconds(now - placement.runningSince) : 0;
+  return spec.kind != JobKind::Service && spec.expectedRunSeconds - ranSeconds < secondsLeft;
+}
 
 }  // namespace
 
-ShardScheduler::HeartbeatAnswer ShardScheduler::handleHeartbeat(const wire::WorkerHeartbeat& r) {
+// --- answers ---
+
+ShardScheduler::HeartbeatAnswer ShardScheduler::handleHeartbeat(const wire::WorkerHeartbeat& heartbeat) {
   auto now = runtime_.now();
-  if (!leaseValidity_.answers(now)) return {503, R"({"error":"not entitled"})"};
-  if (!loaded_) {
-    // Its lease must not run out while we load; build() counts the time from its own, later, moment. What the
-    // former owner cancelled may be unknown to us, for so long only (invariant 16).
-    if (now >= store_.currentAsOf(keys::kJobs) + settings_.blindFor())
-      return {503, R"({"error":"the share is not loaded"})"};
-    auto known = view_.machines.find(r.machine);
-    if (known == view_.machines.end()) return {503, R"({"error":"unknown machine"})"};
-    auto lowestOwnToken = tokenOf(std::max(known->second.record.token, takeover_.epoch));
-    if (r.token > lowestOwnToken) return {421, "{}"};
-    return {200, wire::encodeHeartbeatAnswer(lowestOwnToken, view_.stopCommandsForCancelled(r))};
-  }
-  if (mayNotKnowCancellations(now)) return {503, R"({"error":"cancellations may be unknown"})"};
-  Machine* h = state_.machine(r.machine);
-  if (!h) return {503, R"({"error":"unknown machine"})"};
-  if (r.token > h->token()) {
+  if (!leaseValidity_.answers(now)) return {kHttpUnavailable, R"({"error":"not entitled"})"};
+  if (!loaded_) return answerWhileLoading(heartbeat);
+  if (mayNotKnowCancellations(now)) return {kHttpUnavailable, R"({"error":"cancellations may be unknown"})"};
+  Machine* machine = state_.machine(heartbeat.machine);
+  if (!machine) return {kHttpUnavailable, R"({"error":"unknown machine"})"};
+  if (machine->fence.supersededBy(heartbeat)) {
     // Invariant 5: somebody else has the right to this machine now.
-    log_->info("superseded for {}", r.machine.value);
-    return {421, "{}"};
+    log_->info("machine has a later owner: machine={} token={}", heartbeat.machine.value,
+               heartbeat.token.value);
+    return {kHttpMisdirected, "{}"};
   }
-  bool news = reconcile(*h, r, true);
-  h = state_.machine(r.machine);
-  if (!h) return {503, R"({"error":"unknown machine"})"};
+  auto result = reconcile(*machine, heartbeat, HeartbeatSource::WorkerReport);
+  machine = state_.machine(heartbeat.machine);
+  if (!machine) return {kHttpUnavailable, R"({"error":"unknown machine"})"};
   // Until it has acknowledged our token, a former owner may be answering it as well (invariant 6).
-  if (!h->heard) h->aliveUntil = std::max(h->aliveUntil, now + leaseAfterAnswer());
+  if (!machine->heard) machine->aliveUntil = std::max(machine->aliveUntil, now + leaseAfterAnswer());
   // What is cancelled ends with every answer: its lease must not go on without (invariant 16).
-  auto list = view_.stopCommandsForCancelled(r);
+  auto commands = view_.stopCommandsForCancelled(heartbeat);
   // A late copy gets no other commands: whoever waits for its answer, the present machine does not (invariant
   // 12).
-  if (owns() && news) addCommands(list, commandsFor(*h, &r));
-  return {200, wire::encodeHeartbeatAnswer(h->token(), list)};
+  if (owns() && result == ReconcileResult::Accepted)
+    addCommands(commands, commandsInAnswer(*machine, heartbeat));
+  return {kHttpOk, wire::encodeHeartbeatAnswer(machine->token(), commands)};
 }
 
-Duration ShardScheduler::leaseAfterAnswer() const { return seconds(settings_.leaseS * 1.002 + 1.0); }
+// The worker's lease must not run out while we load; build() counts the time from its own, later, moment.
+// What the former owner cancelled may be unknown to us, for so long only (invariant 16).
+ShardScheduler::HeartbeatAnswer ShardScheduler::answerWhileLoading(
+    const wire::WorkerHeartbeat& heartbeat) const {
+  if (runtime_.now() >= store_.currentAsOf(keys::kJobs) + settings_.blindFor())
+    return {kHttpUnavailable, R"({"error":"the share is not loaded"})"};
+  auto known = view_.machines.find(heartbeat.machine);
+  if (known == view_.machines.end()) return {kHttpUnavailable, R"({"error":"unknown machine"})"};
+  auto lowestOwnToken = tokenOf(std::max(known->second.record.token, takeover_.epoch));
+  if (heartbeat.token > lowestOwnToken) return {kHttpMisdirected, "{}"};
+  return {kHttpOk, wire::encodeHeartbeatAnswer(lowestOwnToken, view_.stopCommandsForCancelled(heartbeat))};
+}
 
-bool ShardScheduler::reconcile(Machine& h, const wire::WorkerHeartbeat& r, bool heartbeat) {
-  auto now = runtime_.now();
-  bool trusted = r.token >= h.lowestOwnToken;
-  if (!h.heard && !trusted) {
-    // It may be a copy from any time before: nothing in it is the present but that what is done is done
-    // (invariant 12). The incarnation it names is tried in commands.
-    if (r.incarnation > h.expiredIncarnation)
-      h.expectedIncarnation = std::max(h.expectedIncarnation, r.incarnation);
-    if (h.address.empty()) h.address = r.address;
-    for (const auto& t : r.tasks)
-      if (t.phase == TaskPhase::Exited && t.cause == ExitCause::Done) {
-        auto it = h.placements.find(t.task);
-        if (it != h.placements.end() && it->second.attempt == t.attempt) taskEnded(h, t);
-      }
-    if (heartbeat) noteTokenAcknowledged(h, false);
-    h.attention = true;
-    requestRound(false);
-    return false;
+Duration ShardScheduler::leaseAfterAnswer() const {
+  return seconds(settings_.leaseS * kLeaseClockDrift + kLeaseMarginSeconds);
+}
+
+// --- reconciliation ---
+
+ShardScheduler::ReconcileResult ShardScheduler::reconcile(Machine& machine,
+                                                          const wire::WorkerHeartbeat& heartbeat,
+                                                          HeartbeatSource source) {
+  if (!machine.heard && !machine.fence.showsOwnToken(heartbeat)) {
+    reconcileUnproven(machine, heartbeat, source);
+    return ReconcileResult::Ignored;
   }
-  // Late reports never undo newer knowledge (invariant 4).
-  // Nor does one that shows a lower token than the worker has shown: it is a copy of the former worker's.
-  if (std::pair(r.incarnation, r.sequence) <= std::pair(h.incarnation, h.sequence) ||
-      r.incarnation <= h.expiredIncarnation || r.token < h.highestTokenSeen) {
-    // Or the machine began anew and counts from one again: its own answer to a question tells.
-    if (r.token < h.highestTokenSeen && heartbeat) h.sendAgain = h.attention = true;
-    return false;
+  if (!machine.fence.isNewer(heartbeat)) {
+    // It is late, or a copy of the former worker's (invariants 4 and 12). Or the machine's worker restarted
+    // and counts from one again: its own answer to a question tells.
+    if (machine.fence.showsLowerToken(heartbeat) && source == HeartbeatSource::WorkerReport) {
+      machine.sendAgain = true;
+      machine.contactDue = true;
+    }
+    return ReconcileResult::Ignored;
   }
-  bool dropped = r.incarnation > h.incarnation && h.incarnation.value > 0;
-  if (dropped) beginIncarnation(h);
-  h.incarnation = h.expectedIncarnation = r.incarnation;
-  h.sequence = r.sequence;
-  h.lastHeard = now;
-  // The answer to this report, and to any older one, renews its lease until then at the latest.
-  h.aliveUntil = now + leaseAfterAnswer();
-  h.highestTokenSeen = std::max(h.highestTokenSeen, r.token);
-  if (h.noCommandInDoubt()) h.commandInDoubt.reset();
-  bool wasCordoned = std::exchange(h.cordoned, false);
-  bool first = !h.heard;
-  if (!first && dropped && heartbeat) {
-    // It lost its lease although it was answered. It gets new work once it shows that it hears us.
-    advanceToken(h);
+  auto change = acceptHeartbeat(machine, heartbeat, source);
+  bool nothingNew =
+      !change.any() && !machine.contactDue && heartbeat.tasks == machine.reported && !heartbeat.reclaimInS;
+  if (nothingNew) {
+    state_.reindex(machine);
+    bool hasFreeCores = machine.indexedFree && *machine.indexedFree > 0;
+    if (hasFreeCores) requestRound(false, &machine.id);
+    return ReconcileResult::Accepted;
   }
-  noteTokenAcknowledged(h, h.noCommandInDoubt());
-  if (!first && !wasCordoned && !dropped && !h.attention && r.tasks == h.reported && !r.reclaimInS) {
-    state_.reindex(h);
-    if (h.indexedFree && *h.indexedFree > 0) requestRound(false, &h.id);
-    return true;  // as before
+  auto placementsBefore = machine.placements.size();
+  reconcileReportedTasks(machine, heartbeat);
+  reconcileMissingTasks(machine, heartbeat, source);
+  machine.heard = true;
+  machine.reported = heartbeat.tasks;
+  if (!heartbeat.address.empty()) machine.address = heartbeat.address;
+  handleReclaimNotice(machine, heartbeat);
+  machine.contactDue = machine.anyPending() || machine.sendAgain || !machine.noCommandInDoubt();
+  state_.reindex(machine);
+  bool capacityFreed =
+      machine.placements.size() < placementsBefore || change.firstHeartbeat || change.cordonLifted;
+  requestRound(capacityFreed, &machine.id);
+  return ReconcileResult::Accepted;
+}
+
+// A heartbeat without our token may be a copy from any time before: nothing in it is the present but that
+// what is done is done (invariant 12). The incarnation it names is tried in commands.
+void ShardScheduler::reconcileUnproven(Machine& machine, const wire::WorkerHeartbeat& heartbeat,
+                                       HeartbeatSource source) {
+  machine.fence.learnExpectedIncarnation(heartbeat.incarnation);
+  if (machine.address.empty()) machine.address = heartbeat.address;
+  for (const auto& reported : heartbeat.tasks) {
+    if (reported.phase != TaskPhase::Exited || reported.cause != ExitCause::Done) continue;
+    if (machine.placementOf(reported)) taskEnded(machine, reported);
   }
-  auto before = h.placements.size();
-  for (const auto& t : r.tasks) {
-    auto it = h.placements.find(t.task);
-    if (it == h.placements.end() || it->second.attempt != t.attempt) continue;
-    if (t.phase == TaskPhase::Exited) {
-      taskEnded(h, t);
+  if (source == HeartbeatSource::WorkerReport) noteTokenUnacknowledged(machine);
+  machine.contactDue = true;
+  requestRound(false);
+}
+
+// Takes over what the heartbeat says of the worker itself, and prolongs its lease.
+ShardScheduler::MachineChange ShardScheduler::acceptHeartbeat(Machine& machine,
+                                                              const wire::WorkerHeartbeat& heartbeat,
+                                                              HeartbeatSource source) {
+  auto now = runtime_.now();
+  MachineChange change;
+  change.newIncarnation = machine.fence.startsIncarnation(heartbeat);
+  if (change.newIncarnation) beginIncarnation(machine);
+  machine.fence.accept(heartbeat);
+  machine.lastHeard = now;
+  // The answer to this heartbeat, and to any older one, renews its lease until then at the latest.
+  machine.aliveUntil = now + leaseAfterAnswer();
+  change.cordonLifted = std::exchange(machine.cordoned, false);
+  change.firstHeartbeat = !machine.heard;
+  // It lost its lease although it was answered. It gets new work once it shows that it hears us.
+  bool lostAnsweredLease =
+      !change.firstHeartbeat && change.newIncarnation && source == HeartbeatSource::WorkerReport;
+  if (lostAnsweredLease) machine.fence.advanceToken();
+  if (machine.noCommandInDoubt())
+    machine.tokenUnacknowledgedSince.reset();
+  else
+    noteTokenUnacknowledged(machine);
+  return change;
+}
+
+// Placements that the heartbeat lists: their phases, and their ends.
+void ShardScheduler::reconcileReportedTasks(Machine& machine, const wire::WorkerHeartbeat& heartbeat) {
+  auto now = runtime_.now();
+  for (const auto& reported : heartbeat.tasks) {
+    Placement* placement = machine.placementOf(reported);
+    if (!placement) continue;
+    if (reported.phase == TaskPhase::Exited) {
+      taskEnded(machine, reported);
       continue;
     }
-    auto& p = it->second;
-    if (p.shown && p.phase == t.phase) continue;
-    if (!p.shown && !p.restored) latencies_.toShown.add(now - p.placedAt);
-    state_.setPhase(p, t.phase, now);
-    state_.cached(h, p.job->spec->image, p.job->spec->imageGb);
+    if (placement->shown && placement->phase == reported.phase) continue;
+    if (!placement->shown && !placement->restored) latencies_.toShown.add(now - placement->placedAt);
+    state_.setPhase(*placement, reported.phase, now);
+    state_.cached(machine, placement->job->spec->image, placement->job->spec->imageGb);
   }
-  reconcileMissingTasks(h, r, heartbeat);
-  h.heard = true;
-  h.reported = r.tasks;
-  if (!r.address.empty()) h.address = r.address;
-  handleReclaimNotice(h, r);
-  bool pending =
-      std::any_of(h.placements.begin(), h.placements.end(), [](const auto& p) { return p.second.pending(); });
-  h.attention = pending || h.sendAgain || !h.noCommandInDoubt();
-  state_.reindex(h);
-  bool freed = h.placements.size() < before || first || wasCordoned;
-  requestRound(freed, &h.id);
-  return true;
-}
-
-// What was sent under the token so far has no effect once the worker has seen the next (invariant 3).
-void ShardScheduler::advanceToken(Machine& h) {
-  h.commandInDoubt = h.token();
-  ++h.tokenGeneration;
-}
-
-// Reports come; do they show that our answers arrive (invariant 11)?
-void ShardScheduler::noteTokenAcknowledged(Machine& h, bool yes) {
-  if (yes)
-    h.tokenUnacknowledgedSince.reset();
-  else if (!h.tokenUnacknowledgedSince)
-    h.tokenUnacknowledgedSince = runtime_.now();
 }
 
+// Placements that the heartbeat does not list: which of them are known gone (invariants 2, 3 and 4).
+void ShardScheduler::reconcileMissingTasks(Machine& machine, const wire::WorkerHeartbeat& heartbeat,
+                                           HeartbeatSource source) {
+  std::set<TaskAttempt> present;
+  for (const auto& reported : heartbeat.tasks) present.insert({reported.task, reported.attempt});
+  std::vector<TaskId> lostTasks;
+  bool missed = false;
+  for (const auto& [task, placement] : machine.placements) {
+    bool listed = present.count({task, placement.attempt}) > 0;
+    if (listed || !placement.committed) continue;
+    if (source == HeartbeatSource::WorkerReport && startMissed(placement, heartbeat)) missed = true;
+    if (absenceProvesGone(machine, placement, heartbeat, source)) lostTasks.push_back(task);
+  }
+  countMissedStart(machine, missed);
+  tasksLost(machine, lostTasks);
+}
+
+// Once a start was missed too often, the machine must show a higher token before it gets more (invariant 11).
+void ShardScheduler::countMissedStart(Machine& machine, bool missed) {
+  machine.missedStarts = missed ? machine.missedStarts + 1 : 0;
+  if (machine.missedStarts < kMissedStartsToAdvanceToken || !machine.noCommandInDoubt()) return;
+  machine.fence.advanceToken();
+  noteTokenUnacknowledged(machine);
+}
+
+// Heartbeats come, but they do not show that our answers arrive (invariant 11).
+void ShardScheduler::noteTokenUnacknowledged(Machine& machine) {
+  if (!machine.tokenUnacknowledgedSince) machine.tokenUnacknowledgedSince = runtime_.now();
+}
+
+// --- incarnations ---
+
 // The machine's own answer to a question is older than what it said before the question: a new worker, that
 // counts from one again, has taken the place of the old one. What the old one held is gone with it, but
 // starts that were on their way may reach the new one, until it has seen a higher token (invariant 3).
-void ShardScheduler::handleWorkerRestart(Machine& h, const wire::WorkerHeartbeat& r) {
-  log_->info("{} began anew", h.id.value);
-  h.incarnation = h.expectedIncarnation = r.incarnation;
-  h.sequence = SequenceNumber{r.sequence.value - 1};
-  h.highestTokenSeen = r.token;
-  h.expiredIncarnation = Incarnation{};
-  h.reported.clear();
-  advanceToken(h);
-  for (auto& [_, p] : h.placements) {
-    if (p.shown && p.phase == TaskPhase::Running) --p.job->running;
-    p.shown = p.restored = false;
-    p.sent = true;
-    p.wanted = false;
-    p.startSentWith = h.sequence;
+void ShardScheduler::handleWorkerRestart(Machine& machine, const wire::WorkerHeartbeat& answer) {
+  log_->info("worker restarted: machine={} incarnation={}", machine.id.value, answer.incarnation.value);
+  machine.fence.restart(answer);
+  machine.reported.clear();
+  for (auto& [_, placement] : machine.placements) {
+    if (placement.shown && placement.phase == TaskPhase::Running) --placement.job->running;
+    placement.shown = false;
+    placement.restored = false;
+    placement.startSent = true;
+    placement.wanted = false;
+    placement.startSentWith = machine.fence.latest().sequence;
   }
-  h.attention = true;
+  machine.contactDue = true;
+}
+
+// The worker killed and forgot everything of the incarnation before (invariant 2).
+void ShardScheduler::beginIncarnation(Machine& machine) {
+  machine.fence.forgetCommandInDoubt();
+  machine.reported.clear();
+  tasksLost(machine, machine.tasksWhere([](const Placement& placement) {
+    return placement.startSent || placement.restored;
+  }));
 }
 
-// The task is known gone from the machine.
-void ShardScheduler::taskLost(Machine& h, const TaskId& task) {
-  auto it = h.placements.find(task);
-  if (it == h.placements.end()) return;  // went together with another member of its gang
-  Job& job = *it->second.job;
-  state_.markGone(h, task, runtime_.now());
+// --- tasks that are gone ---
+
+void ShardScheduler::taskLost(Machine& machine, const TaskId& task) {
+  auto found = machine.placements.find(task);
+  if (found == machine.placements.end()) return;  // went together with another member of its gang
+  Job& job = *found->second.job;
+  state_.markGone(machine, task, runtime_.now());
   settleDoneGang(job);
   endIfFinished(job);
   gangBroken(job);
   cleanUp(job);
 }
 
-// The worker killed and forgot everything of the incarnation before (invariant 2).
-void ShardScheduler::beginIncarnation(Machine& h) {
-  h.commandInDoubt.reset();
-  h.reported.clear();
-  std::vector<TaskId> lostTasks;
-  for (const auto& [task, p] : h.placements)
-    if (p.sent || p.restored) lostTasks.push_back(task);
-  for (const auto& task : lostTasks) {
-    taskLost(h, task);
-  }
-}
-
-// Placements that a newer report does not show: which of them are known gone (invariants 2, 3 and 4).
-void ShardScheduler::reconcileMissingTasks(Machine& h, const wire::WorkerHeartbeat& r, bool heartbeat) {
-  std::set<std::pair<TaskId, Attempt>> present;
-  for (const auto& t : r.tasks) present.insert({t.task, t.attempt});
-  std::vector<TaskId> lostTasks;
-  bool missed = false;
-  for (const auto& [task, p] : h.placements) {
-    if (present.count({task, p.attempt}) > 0 || !p.committed) continue;
-    missed |= heartbeat && p.wanted && !p.shown && p.startSentWith.value > 0 && r.sequence > p.startSentWith;
-    bool never = p.restored && !p.sent;  // no start of a former owner can act under our token
-    bool onItsWay = h.commandInFlight || !h.noCommandInDoubt() || !heartbeat || r.sequence <= p.startSentWith;
-    if (p.shown || never || (p.sent && !p.wanted && !onItsWay)) lostTasks.push_back(task);
-  }
-  // Even a refused start shows: the answer that carried it did not arrive. Once is bad luck; after that the
-  // machine must show a higher token before it gets more (invariant 11).
-  h.missedStarts = missed ? h.missedStarts + 1 : 0;
-  if (h.missedStarts >= kMissedStarts && h.noCommandInDoubt()) {
-    advanceToken(h);
-    noteTokenAcknowledged(h, false);
-  }
-  for (const auto& task : lostTasks) {
-    taskLost(h, task);
-  }
+void ShardScheduler::tasksLost(Machine& machine, const std::vector<TaskId>& tasks) {
+  for (const auto& task : tasks) taskLost(machine, task);
 }
 
-void ShardScheduler::handleReclaimNotice(Machine& h, const wire::WorkerHeartbeat& r) {
-  if (!r.reclaimInS) return;
+void ShardScheduler::handleReclaimNotice(Machine& machine, const wire::WorkerHeartbeat& heartbeat) {
+  if (!heartbeat.reclaimInS) return;
+  double secondsLeft = *heartbeat.reclaimInS;
   auto now = runtime_.now();
-  bool first = !h.reclaimAt;
-  h.reclaimAt = now + seconds(*r.reclaimInS);
-  if (!first) return;
-  log_->info("{} will be taken in {} s", h.id.value, *r.reclaimInS);
-  std::vector<TaskId> move;
-  for (const auto& [task, p] : h.placements) {
-    const auto& spec = *p.job->spec;
-    double ran = p.shown && p.phase == TaskPhase::Running ? inSeconds(now - p.runningSince) : 0;
-    bool ends = spec.kind != JobKind::Service && spec.expectedRunSeconds - ran < *r.reclaimInS;
-    if (p.wanted && !ends) move.push_back(task);
-  }
-  for (const auto& task : move) {
-    auto it = h.placements.find(task);
-    if (it == h.placements.end()) continue;  // it went with another member of its gang
-    if (it->second.job->isGang())
-      stopGang(*it->second.job, it->second.job->spec->checkpointSeconds >= *r.reclaimInS);
+  bool firstNotice = !machine.reclaimAt;
+  machine.reclaimAt = now + seconds(secondsLeft);
+  if (!firstNotice) return;
+  log_->info("cloud reclaims machine: machine={} in_seconds={}", machine.id.value, secondsLeft);
+  auto tasksToMove = machine.tasksWhere([secondsLeft, now](const Placement& placement) {
+    return placement.wanted && !endsWithin(placement, secondsLeft, now);
+  });
+  for (const auto& task : tasksToMove) {
+    auto found = machine.placements.find(task);
+    if (found == machine.placements.end()) continue;  // it went with another member of its gang
+    Job& job = *found->second.job;
+    if (job.isGang())
+      stopGang(job, job.spec->checkpointSeconds >= secondsLeft);
     else
-      stop(h, task, it->second);
+      stop(machine, task, found->second);
   }
-  state_.reindex(h);
-  sendCommands(h);
+  state_.reindex(machine);
+  sendCommands(machine);
 }
 
-void ShardScheduler::stop(Machine& h, const TaskId& id, Placement& p) {
-  p.wanted = false;
-  h.attention = true;
-  if (!p.committed || p.sent || p.restored) return;
-  taskLost(h, id);  // committed but never sent: it is nowhere
+void ShardScheduler::stop(Machine& machine, const TaskId& task, Placement& placement) {
+  placement.wanted = false;
+  machine.contactDue = true;
+  if (!placement.committed || placement.startSent || placement.restored) return;
+  taskLost(machine, task);  // committed but never sent: it is nowhere
 }
 
 }  // namespace cherryloft
--- a/src/scheduler/liveness.cpp
+++ b/src/scheduler/liveness.cpp
@@ -1,4 +1,5 @@
-// The scheduler's judgement of machines that are not heard, or do not hear: leases that ran out, and doubt.
+// Failure detection: machines whose leases ran out, that get no new work for now, or that are suspected and
+// returned to the cloud.
 #include <algorithm>
 
 #include "scheduler/shard_scheduler.h"
@@ -6,101 +7,121 @@
 namespace cherryloft {
 namespace {
 
-constexpr double kCordonAfterHeartbeats = 2.6;  // report intervals after which a machine gets no new work
-// A report may come a quarter late; one that is later still is asked for.
+// A heartbeat may come a quarter late; one that is later still is asked for.
 constexpr double kOverdueAfterHeartbeats = 1.25;
 constexpr Duration kOverdueMargin{1'000};
-constexpr Duration kNextController{6'500};  // a worker gives up on one controller and reports to the next
-constexpr double kUnacknowledgedHeartbeats = 2.5;  // the same for one that we hear and that does not hear us
-constexpr Duration kUnacknowledgedBeyond{4'000};
-constexpr double kSuspectedFraction = 0.26;  // more suspected machines than this: the fault is not theirs
+constexpr double kCordonAfterHeartbeats = 2.6;  // report intervals after which a machine gets no new work
+// A worker gives up on one controller and reports to the next.
+constexpr Duration kNextController{6'500};
+// After these a machine is suspected that we hear and that does not show that it hears us.
+constexpr double kUnacknowledgedHeartbeats = 2.5;
+constexpr Duration kUnacknowledgedMargin{4'000};
+// Where more machines than this are late or suspected, the fault is likely not theirs.
+constexpr double kSuspectedFraction = 0.26;
 constexpr double kSuspectedFractionOfZone = 0.5;
-constexpr double kFewMachines = 3;  // so many are given up singly even where that is much of a small shard
+constexpr double kFewMachines = 3;  // so many are returned singly even where that is much of a small shard
 
 }  // namespace
 
-// How long it has had the chance to be heard and was not: our own standstill is no silence of its.
-Duration ShardScheduler::timeSinceHeartbeat(const Machine& h) const {
-  return runtime_.now() - std::max(h.lastHeard, resumed_);
+bool ShardScheduler::SuspectCount::moreThan(double fraction) const {
+  return static_cast<double>(overdue) > std::max(kFewMachines, fraction * static_cast<double>(machines));
+}
+
+Duration ShardScheduler::timeSinceHeartbeat(const Machine& machine) const {
+  return runtime_.now() - std::max(machine.lastHeard, resumed_);
 }
 
 Duration ShardScheduler::reportDue() const { return seconds(settings_.reportS * kOverdueAfterHeartbeats); }
 
-// Its report should have been here by now.
-bool ShardScheduler::heartbeatOverdue(const Machine& h) const {
-  return timeSinceHeartbeat(h) > reportDue() + kOverdueMargin;
+bool ShardScheduler::heartbeatOverdue(const Machine& machine) const {
+  return timeSinceHeartbeat(machine) > reportDue() + kOverdueMargin;
 }
 
-void ShardScheduler::checkLiveness(Machine& h, Time now) {
-  bool over = now > h.aliveUntil && (h.heard || !h.placements.empty());
-  if (over && now > callbacks_.answeredElsewhere() + leaseAfterAnswer()) {
-    // Its lease has run out whatever happened (invariant 2); what it still says of that incarnation is old.
-    log_->info("{} was silent for its whole lease", h.id.value);
-    h.expiredIncarnation = h.incarnation;
-    h.heard = false;
-    h.commandInDoubt.reset();
-    h.reported.clear();
-    std::vector<TaskId> lostTasks;
-    for (const auto& [task, p] : h.placements)
-      if (p.committed) lostTasks.push_back(task);
-    for (const auto& task : lostTasks) {
-      taskLost(h, task);
-    }
-    requestRound(true);
-  }
-  if (!h.cordoned && timeSinceHeartbeat(h) > seconds(settings_.reportS * kCordonAfterHeartbeats)) {
-    h.cordoned = true;
-    state_.reindex(h);
+// --- leases ---
+
+void ShardScheduler::checkLiveness(Machine& machine, Time now) {
+  bool silent = now > machine.aliveUntil && (machine.heard || !machine.placements.empty());
+  if (silent && now > callbacks_.answeredElsewhere() + leaseAfterAnswer()) expireLease(machine);
+  if (!machine.cordoned &&
+      timeSinceHeartbeat(machine) > seconds(settings_.reportS * kCordonAfterHeartbeats)) {
+    machine.cordoned = true;
+    state_.reindex(machine);
   }
-  if (!h.heard || heartbeatOverdue(h)) h.attention = true;
+  if (!machine.heard || heartbeatOverdue(machine)) machine.contactDue = true;
+}
+
+// Its worker has killed all its tasks, whatever happened (invariant 2).
+void ShardScheduler::expireLease(Machine& machine) {
+  log_->info("lease of machine expired: machine={} tasks={}", machine.id.value, machine.placements.size());
+  machine.fence.expireIncarnation();
+  machine.heard = false;
+  machine.reported.clear();
+  tasksLost(machine, machine.tasksWhere([](const Placement& placement) { return placement.committed; }));
+  requestRound(true);
 }
 
-// Silent though it was asked, or heard without a sign that it hears us (invariant 11).
-bool ShardScheduler::suspected(const Machine& h, Time now) const {
-  if (h.known.record.phase != wire::MachinePhase::InUse) return false;
-  bool unacknowledged = h.tokenUnacknowledgedSince &&
-                        now - std::max(*h.tokenUnacknowledgedSince, resumed_) >
-                            seconds(settings_.reportS * kUnacknowledgedHeartbeats) + kUnacknowledgedBeyond;
-  if (unacknowledged) return true;
+// --- suspicion ---
+
+bool ShardScheduler::suspected(const Machine& machine, Time now) const {
+  if (machine.known.record.phase != wire::MachinePhase::InUse) return false;
+  if (tokenUnacknowledgedTooLong(machine, now)) return true;
   // One that was never heard is still booting, which the leader watches.
-  if (!h.heard && h.placements.empty()) return false;
-  return h.unansweredProbes >= kUnansweredProbesToSuspect &&
-         timeSinceHeartbeat(h) > reportDue() + kNextController;
+  if (!machine.heard && machine.placements.empty()) return false;
+  return machine.unansweredProbes >= kUnansweredProbesToSuspect &&
+         timeSinceHeartbeat(machine) > reportDue() + kNextController;
+}
+
+// We hear it, and it does not show that it hears us (invariant 11).
+bool ShardScheduler::tokenUnacknowledgedTooLong(const Machine& machine, Time now) const {
+  if (!machine.tokenUnacknowledgedSince) return false;
+  auto unacknowledgedFor = now - std::max(*machine.tokenUnacknowledgedSince, resumed_);
+  return unacknowledgedFor > seconds(settings_.reportS * kUnacknowledgedHeartbeats) + kUnacknowledgedMargin;
 }
 
-// A suspected machine is returned: the cloud's word that it is gone frees its tasks at once. Where much of a
-// shard or of a zone is in doubt the fault is likely not theirs, and leases decide. Of those that were ever
-// up all that are late count for that: those behind a cut come into doubt one after the other, over a whole
-// report interval, and the first of them must not be given up for want of the rest.
 void ShardScheduler::returnSuspected(Time now) {
-  std::vector<Machine*> suspectedMachines;
-  std::map<Zone, std::pair<double, double>> zones;  // late or suspected, all
-  double suspects = 0, all = 0;
-  for (auto& [_, h] : state_.machines()) {
-    bool doubt = suspected(h, now);
-    if (!doubt && !h.heard && h.known.record.address.empty()) continue;
-    auto& z = zones[h.zone()];
-    ++z.second;
-    ++all;
-    if (!doubt && !heartbeatOverdue(h)) continue;
-    ++z.first;
-    ++suspects;
-    if (doubt) suspectedMachines.push_back(&h);
+  auto survey = surveySuspects(now);
+  noteMassSuspicion(survey, now);
+  if (recentlyNoted(massSuspicionAt_, now)) return;
+  for (Machine* machine : survey.suspected) {
+    auto zone = massSuspicionInZoneAt_.find(machine->zone());
+    bool zoneFault = zone != massSuspicionInZoneAt_.end() && recentlyNoted(zone->second, now);
+    if (machine->returnNow || zoneFault) continue;
+    log_->info("returning suspected machine: machine={} reason={}", machine->id.value,
+               machine->tokenUnacknowledgedSince ? "token_unacknowledged" : "no_heartbeat");
+    machine->returnNow = true;
+    machine->decommissioning = true;
+    state_.reindex(*machine);
   }
-  // When such a fault ends, the machines come back one after the other as well.
-  auto settle = reportDue() + kNextController;
-  if (suspects > std::max(kFewMachines, kSuspectedFraction * all)) manySuspectedAt_ = now;
-  for (const auto& [zone, z] : zones)
-    if (z.first > std::max(kFewMachines, kSuspectedFractionOfZone * z.second)) zoneSuspectedAt_[zone] = now;
-  if (manySuspectedAt_ && now - *manySuspectedAt_ < settle) return;
-  for (Machine* h : suspectedMachines) {
-    auto z = zoneSuspectedAt_.find(h->zone());
-    if (h->returnNow || (z != zoneSuspectedAt_.end() && now - z->second < settle)) continue;
-    log_->info("{} {} and is returned", h->id.value,
-               h->tokenUnacknowledgedSince ? "does not hear us" : "is silent");
-    h->returnNow = h->decommissioning = true;
-    state_.reindex(*h);
+}
+
+// Counts all that are late, not the suspected alone: machines behind a network cut become suspected one after
+// the other, over a whole report interval, and the first must not be returned before the rest shows.
+ShardScheduler::SuspicionSurvey ShardScheduler::surveySuspects(Time now) {
+  SuspicionSurvey survey;
+  for (auto& [_, machine] : state_.machines()) {
+    bool isSuspected = suspected(machine, now);
+    bool everUp = machine.heard || !machine.known.record.address.empty();
+    if (!isSuspected && !everUp) continue;
+    auto& zone = survey.zones[machine.zone()];
+    ++zone.machines;
+    ++survey.shard.machines;
+    if (!isSuspected && !heartbeatOverdue(machine)) continue;
+    ++zone.overdue;
+    ++survey.shard.overdue;
+    if (isSuspected) survey.suspected.push_back(&machine);
   }
+  return survey;
+}
+
+void ShardScheduler::noteMassSuspicion(const SuspicionSurvey& survey, Time now) {
+  if (survey.shard.moreThan(kSuspectedFraction)) massSuspicionAt_ = now;
+  for (const auto& [zone, count] : survey.zones)
+    if (count.moreThan(kSuspectedFractionOfZone)) massSuspicionInZoneAt_[zone] = now;
+}
+
+// When such a fault ends, the machines come back one after the other as well.
+bool ShardScheduler::recentlyNoted(std::optional<Time> noted, Time now) const {
+  return noted && now - *noted < reportDue() + kNextController;
 }
 
 }  // namespace cherryloft
--- a/src/scheduler/placement_rounds.cpp
+++ b/src/scheduler/placement_rounds.cpp
@@ -140,7 +140,7 @@
     auto attempt = gang ? *common : attemptOf(takeover_.epoch, ++attempts_);
     state_.place(job, index, *h, attempt, runtime_.now());
     state_.cached(*h, job.spec->image, job.spec->imageGb);
-    h->attention = true;
+    h->contactDue = true;
     unwrittenTasks_.push_back({job.id, index});
     placementsUnwritten_ = true;
     latencies_.toPlaced.add(runtime_.now() - job.since);
--- a/src/scheduler/shard_scheduler.cpp
+++ b/src/scheduler/shard_scheduler.cpp
@@ -164,8 +164,7 @@
 Machine& ShardScheduler::admit(const MachineId& id, const MachineEntry& known) {
   auto now = runtime_.now();
   auto& h = state_.addMachine(id, known, findType(view_.catalog, known.record.type), now);
-  h.expectedIncarnation = Incarnation{1};
-  h.lowestOwnToken = tokenOf(std::max(known.record.token, takeover_.epoch));
+  h.fence = CommandFence{tokenOf(std::max(known.record.token, takeover_.epoch))};
   // The former owner may have answered it until the end of its grace.
   h.aliveUntil = now + takeover_.formerAnswers + leaseAfterAnswer();
   return h;
@@ -216,8 +215,7 @@
   }
   if (h->known.version >= known->second.version) return;
   h->known = known->second;
-  auto lowestOwnToken = tokenOf(std::max(h->known.record.token, takeover_.epoch));
-  if (lowestOwnToken > h->lowestOwnToken) h->lowestOwnToken = lowestOwnToken, h->tokenGeneration = 0;
+  h->fence.raiseLowestOwnToken(tokenOf(std::max(h->known.record.token, takeover_.epoch)));
   state_.reindex(*h);
 }
 
@@ -285,7 +283,7 @@
     if (h.size.cores <= 0)
       if (const auto* type = findType(view_.catalog, h.known.record.type)) state_.learnType(h, *type);
     progressDrain(h);
-    if (h.attention) sendCommands(h);
+    if (h.contactDue) sendCommands(h);
   }
   if (!owns()) return;
   returnSuspected(now);
--- a/src/scheduler/shard_scheduler.h
+++ b/src/scheduler/shard_scheduler.h
@@ -20,6 +20,12 @@
 
 namespace cherryloft {
 
+// How a heartbeat came to us, which decides what it proves about answers and commands on their way.
+enum class HeartbeatSource : std::uint8_t {
+  WorkerReport,  // the worker's periodic report, which we answer
+  DirectAnswer,  // its answer to a direct command or a probe, ours or a peer's
+};
+
 class ShardScheduler {
  public:
   struct Callbacks {
@@ -37,6 +43,7 @@
         requestTaskCapacity;  // to the owners of all other shards
     std::function<void(const mesh::TaskCapacityOffer&)> offerTaskCapacity;  // to the owner that asked
   };
+  // The response to a heartbeat as it goes to the worker.
   struct HeartbeatAnswer {
     int status = 503;
     std::string body;
@@ -53,7 +60,9 @@
   void leaseValidity(const LeaseValidity& s);
   void jobChanged(const JobId& id);
   void machineChanged(const MachineId& id);
-  HeartbeatAnswer handleHeartbeat(const wire::WorkerHeartbeat& r);
+  // Answers a worker's heartbeat, which prolongs its lease, and reconciles the shard state with it. 421: the
+  // machine has a later owner; 503: this actor may not answer now, or does not know the machine.
+  [[nodiscard]] HeartbeatAnswer handleHeartbeat(const wire::WorkerHeartbeat& heartbeat);
   void handleDirective(const mesh::MachineDirective& w);
   void returnToPreferredOwner(const ControllerId& to);
   // Another shard's owner looks for room for its jobs, or offers room for ours (scheduler_transfers.cpp).
@@ -101,45 +110,120 @@
   void restoreDelegation(const JobId& id, const JobEntry& known, const Delegation& delegation);
   Machine& admit(const MachineId& id, const MachineEntry& known);
 
-  // Machines.
-  // False if the report is not newer than what is known, or is not proven to be of the present.
-  bool reconcile(Machine& h, const wire::WorkerHeartbeat& r, bool handleHeartbeat);
-  void noteTokenAcknowledged(Machine& h, bool yes);
-  static void advanceToken(Machine& h);
-  static constexpr unsigned kUnansweredProbesToSuspect =
-      2;  // questions without an answer that make a silent one suspected
-  Duration reportDue() const;
-  Duration timeSinceHeartbeat(const Machine& h) const;
-  bool heartbeatOverdue(const Machine& h) const;
-  void handleWorkerRestart(Machine& h, const wire::WorkerHeartbeat& r);
-  void beginIncarnation(Machine& h);
-  void taskLost(Machine& h, const TaskId& task);
+  // Heartbeats (heartbeats.cpp).
+  enum class ReconcileResult : std::uint8_t {
+    Accepted,  // newer than what was known, and of the present
+    Ignored,   // late, a copy, or not proven to be of the present
+  };
+  // What an accepted heartbeat changed about the machine itself.
+  struct MachineChange {
+    bool firstHeartbeat = false;  // of a machine that was not heard before, or not since its lease ran out
+    bool cordonLifted = false;
+    bool newIncarnation = false;
+    [[nodiscard]] bool any() const { return firstHeartbeat || cordonLifted || newIncarnation; }
+  };
+  HeartbeatAnswer answerWhileLoading(const wire::WorkerHeartbeat& heartbeat) const;
+  // Brings the shard state in line with what a worker shows; asks for a round where that frees capacity. May
+  // remove placements, and send commands to this and other machines.
+  ReconcileResult reconcile(Machine& machine, const wire::WorkerHeartbeat& heartbeat, HeartbeatSource source);
+  void reconcileUnproven(Machine& machine, const wire::WorkerHeartbeat& heartbeat, HeartbeatSource source);
+  MachineChange acceptHeartbeat(Machine& machine, const wire::WorkerHeartbeat& heartbeat,
+                                HeartbeatSource source);
+  void reconcileReportedTasks(Machine& machine, const wire::WorkerHeartbeat& heartbeat);
+  void reconcileMissingTasks(Machine& machine, const wire::WorkerHeartbeat& heartbeat,
+                             HeartbeatSource source);
+  void countMissedStart(Machine& machine, bool missed);
+  void noteTokenUnacknowledged(Machine& machine);
+  void handleWorkerRestart(Machine& machine, const wire::WorkerHeartbeat& answer);
+  void beginIncarnation(Machine& machine);
+  void handleReclaimNotice(Machine& machine, const wire::WorkerHeartbeat& heartbeat);
+  // The task is known gone from the machine: drops its placement, and all that follows from that for its job.
+  void taskLost(Machine& machine, const TaskId& task);
+  void tasksLost(Machine& machine, const std::vector<TaskId>& tasks);
+  // Until when at the latest a worker kills its tasks that gets no answer after one given now.
+  Duration leaseAfterAnswer() const;
+  // The task is to end; its placement is dropped at once if no start of it was ever sent.
+  void stop(Machine& machine, const TaskId& task, Placement& placement);
+
+  // Failed tasks (task_failures.cpp).
   void taskEnded(Machine& h, const wire::ReportedTask& t);
   void quarantineFaulty(const JobId& job);
   void reviewFailures(Time now);
-  void reconcileMissingTasks(Machine& h, const wire::WorkerHeartbeat& r, bool handleHeartbeat);
-  std::vector<wire::Command> commandsFor(Machine& h, const wire::WorkerHeartbeat* handleHeartbeat);
-  static void addCommands(std::vector<wire::Command>& list, std::vector<wire::Command> more);
-  Duration maxCheckpointTime(const Job& job) const;
-  void stopCommandsForUnknownTasks(Machine& h, std::vector<wire::Command>& out);
-  void sendCommands(Machine& h);
-  void sendCommandsToAll(const std::set<MachineId>& machines);
-  // What a direct command went out with.
-  struct Sent {
+
+  // Commands (commands.cpp).
+  // A command in a call of its own, as it went out.
+  struct DirectCommand {
     FencingToken token;
     Incarnation incarnation;
-    std::pair<Incarnation, SequenceNumber> known;  // the latest that the machine had said
-    bool ask = false;                              // it carried no commands
+    HeartbeatPosition latestHeartbeat;  // that the machine had sent by then
+    bool isProbe = false;               // without commands: it asks for a heartbeat
   };
-  void probeThroughPeers(Machine& h);
-  void handleDirectAnswer(const MachineId& id, const Sent& sent, const HttpResult& r);
-  void handleReclaimNotice(Machine& h, const wire::WorkerHeartbeat& r);
-  Duration leaseAfterAnswer() const;
+  // What the worker is told in the answer to a heartbeat: starts and stops, each time until they show, and
+  // what to do with tasks that the shard state does not know.
+  std::vector<wire::Command> commandsInAnswer(Machine& machine, const wire::WorkerHeartbeat& heartbeat);
+  // What goes in a direct command: starts that were not sent yet, and stops now and then. They count as sent.
+  std::vector<wire::Command> takeDirectCommands(Machine& machine);
+  // Entries of the last heartbeat that the shard state does not place on the machine: ends them, and lets the
+  // worker forget them once they have ended.
+  void addCommandsForUnknownTasks(Machine& machine, std::vector<wire::Command>& commands);
+  bool doneIsUncommitted(const TaskId& id);
+  wire::Command stopCommandFor(const TaskId& task, const Placement& placement, Time now) const;
+  bool mayCheckpoint(const Placement& placement, Time now) const;
+  // How long a task that was stopped may take to save. A member of a gang that has saved waits for the
+  // others.
+  Duration maxCheckpointTime(const Job& job) const;
+  // Appends what concerns attempts that the list does not name yet.
+  static void addCommands(std::vector<wire::Command>& list, std::vector<wire::Command> more);
+  // Sends the machine what it is to do, or a probe if it is to be heard; one such call at a time, and none
+  // during the pause after one that failed.
+  void sendCommands(Machine& machine);
+  // Machines that are gone from the shard state by now are left out.
+  void sendCommandsToAll(const std::set<MachineId>& machines);
+  bool probeDue(const Machine& machine) const;
+  std::size_t maxDirectCommandsInFlight() const;
+  void handleDirectAnswer(const MachineId& id, const DirectCommand& sent, const HttpResult& result);
+  void handleCommandAnswered(Machine& machine, const DirectCommand& sent,
+                             const wire::WorkerHeartbeat& heartbeat);
+  void handleCommandUnanswered(Machine& machine, const DirectCommand& sent, const HttpResult& result);
+  void probeThroughPeers(const Machine& machine);
+  void handlePeerProbe(const MachineId& id, const HeartbeatPosition& latestWhenAsked,
+                       const std::string& body);
+
+  // Failure detection (liveness.cpp).
+  // Probes in a row without an answer that make a silent machine suspected.
+  static constexpr unsigned kUnansweredProbesToSuspect = 2;
+  // Of the machines that were ever up: how many of them are late or suspected.
+  struct SuspectCount {
+    std::size_t overdue = 0;
+    std::size_t machines = 0;
+    // So many of them that the fault is likely not theirs.
+    [[nodiscard]] bool moreThan(double fraction) const;
+  };
+  struct SuspicionSurvey {
+    SuspectCount shard;
+    std::map<Zone, SuspectCount> zones;
+    std::vector<Machine*> suspected;
+  };
+  // After this long without a heartbeat the next should have been here, a quarter of an interval included.
+  Duration reportDue() const;
+  // How long it has had the chance to be heard and was not: our own standstill does not count.
+  Duration timeSinceHeartbeat(const Machine& machine) const;
+  bool heartbeatOverdue(const Machine& machine) const;
+  void checkLiveness(Machine& machine, Time now);
+  void expireLease(Machine& machine);
+  // It is silent though it was probed, or heard without a sign that it hears us (invariant 11).
+  bool suspected(const Machine& machine, Time now) const;
+  bool tokenUnacknowledgedTooLong(const Machine& machine, Time now) const;
+  // Returns suspected machines to the cloud, whose confirmation that they are gone frees their tasks at once.
+  // Where much of the shard or of a zone is suspected the fault is likely not theirs, and leases decide.
+  void returnSuspected(Time now);
+  SuspicionSurvey surveySuspects(Time now);
+  void noteMassSuspicion(const SuspicionSurvey& survey, Time now);
+  bool recentlyNoted(std::optional<Time> noted, Time now) const;
+
+  // Upkeep.
   void tick();
   bool stoodStill(Time now);
-  void checkLiveness(Machine& h, Time now);
-  bool suspected(const Machine& h, Time now) const;
-  void returnSuspected(Time now);
   bool mayLeave(const Machine& h) const;
   void progressDrain(Machine& h);
   std::optional<std::vector<TaskId>> movableReplicas(const Machine& h) const;
@@ -154,7 +238,6 @@
                       Epoch token);
   MachineGroupRewrite groupWrites(const std::string& key, const GroupChange& change, Epoch token) const;
   void recordsWritten(const TxnResult& r);
-  void stop(Machine& h, const TaskId& id, Placement& p);
   void dropMachine(const MachineId& id);
   void sendLoad();
   std::size_t tasksWantingCapacity(const Job& job, Time now) const;
@@ -359,12 +442,12 @@
   bool recordsMoved_ = false;  // the last one was of moves
   Time recordsNotBefore_{};
   MachineGroupSplits groupSplits_;
-  Time addressSince_{};         // since when some address is not written
-  std::size_t asking_ = 0;      // questions to machines that carry no commands
-  std::size_t commanding_ = 0;  // direct commands under way, questions included
-  // When so much was last silent that the fault is likely not the machines'.
-  std::optional<Time> manySuspectedAt_;
-  std::map<Zone, Time> zoneSuspectedAt_;
+  Time addressSince_{};                     // since when some address is not written
+  std::size_t probesInFlight_ = 0;          // direct commands without commands in them
+  std::size_t directCommandsInFlight_ = 0;  // probes included
+  // When so many machines were last suspected that the fault was likely not theirs: of the shard, of a zone.
+  std::optional<Time> massSuspicionAt_;
+  std::map<Zone, Time> massSuspicionInZoneAt_;
   Time ticked_{};
   Time resumed_{};  // the end of our own last standstill
 
--- a/src/scheduler/shard_state.cpp
+++ b/src/scheduler/shard_state.cpp
@@ -22,6 +22,17 @@
   return markGone;
 }
 
+Placement* Machine::placementOf(const wire::ReportedTask& reported) {
+  auto found = placements.find(reported.task);
+  bool sameAttempt = found != placements.end() && found->second.attempt == reported.attempt;
+  return sameAttempt ? &found->second : nullptr;
+}
+
+bool Machine::anyPending() const {
+  return std::any_of(placements.begin(), placements.end(),
+                     [](const auto& entry) { return entry.second.pending(); });
+}
+
 Resources Machine::capacityBeingFreed() const {
   Resources r;
   for (const auto& [_, p] : placements)
--- a/src/scheduler/shard_state.h
+++ b/src/scheduler/shard_state.h
@@ -12,6 +12,7 @@
 
 #include "cluster/cluster_view.h"
 #include "net/server.h"
+#include "scheduler/command_fence.h"
 #include "scheduler/placement_pages.h"
 #include "wire/workers.h"
 
@@ -76,23 +77,57 @@
   Resources unfinished() const { return spec->each * static_cast<double>(tasks.size() - done - remote); }
 };
 
+// What a worker runs or is told to run: a task may be attempted several times.
+struct TaskAttempt {
+  TaskId task;
+  Attempt attempt;
+  friend auto operator<=>(const TaskAttempt&, const TaskAttempt&) = default;
+  friend bool operator==(const TaskAttempt&, const TaskAttempt&) = default;
+};
+
 // A task that may be on a machine (invariant 1: from its commit on; counted even before).
+//
+// What moves it (invariants 2, 3 and 8 say when a placement may be dropped):
+//
+//   placed        wanted; its attempt is not written yet
+//     | the commit of its attempt succeeds, or it is read from the store: restored
+//     v
+//   committed     awaitsStart(), unless restored: a former owner may have sent its start
+//     | a command with its start goes out: startSent
+//     v
+//   starting      repeated in answers to heartbeats until it is shown
+//     | a heartbeat of the worker's present incarnation lists it: shown
+//     v
+//   shown         in the phase that the worker says, until a heartbeat says that it ended
+//     | preemption, drain, cancellation, a broken gang: no longer wanted (from any state above)
+//     v
+//   stopping      awaitsStop() if it is shown; else it waits until no start can arrive any more
+//     | a heartbeat shows it ended, or lacks it and no start of it can arrive; the worker's incarnation is
+//     over; | or the machine's record is gone. One whose start was never sent
+//     | is gone at once
+//     v
+//   known gone    the placement is removed; the task waits again, unless it is done
 struct Placement {
   Job* job = nullptr;
   Attempt attempt;
-  bool committed = false;
+  bool committed = false;       // its attempt is written
   bool wanted = true;           // false: it is to be stopped
   bool skipCheckpoint = false;  // it is to be stopped at once, as others wait for its room
   bool restored = false;        // read from the store: a former owner may have sent its start
-  bool sent = false;            // we sent its start
-  bool shown = false;           // a report of this incarnation showed it
-  wire::TaskPhase phase = wire::TaskPhase::Fetching;
-  SequenceNumber startSentWith;  // the last heartbeat whose answer carried its start
+  bool startSent = false;       // a command of ours carried its start
+  bool shown = false;           // a heartbeat of the worker's present incarnation listed it
+  wire::TaskPhase phase = wire::TaskPhase::Fetching;  // as last shown
+  SequenceNumber startSentWith;                       // the last heartbeat whose answer carried its start
   Time placedAt{};
   Time runningSince{};
-  Time stopSent{};
+  Time stopSent{};  // when its first stop, or its last direct one, went out
 
-  bool pending() const { return !wanted || !shown; }
+  // What we want and what the worker shows differ.
+  [[nodiscard]] bool pending() const { return !wanted || !shown; }
+  // Its start is ours to send, and the worker does not show it yet.
+  [[nodiscard]] bool awaitsStart() const { return committed && wanted && !shown && !restored; }
+  // The worker is to be told to stop it.
+  [[nodiscard]] bool awaitsStop() const { return !wanted && shown; }
 };
 
 // The images a machine is taken to cache: the most recently used ones.
@@ -107,10 +142,31 @@
   std::list<std::pair<ImageId, double>> recent_;  // latest first
 };
 
+// A machine of the shard, as its owner knows it, and the dealings with the worker on it.
+//
+// What moves it:
+//
+//   booting       not heard, and no address in its record
+//     | a heartbeat that shows our token (invariants 7 and 12)
+//     v
+//   heard         open() for new work, unless one of the states below says otherwise
+//     |   cordoned            no heartbeat of late; the next one ends it
+//     |   command in doubt    an unanswered command may still arrive (CommandFence); a heartbeat with a
+//     higher |                       token ends it |   reclaimAt           the cloud has announced that it
+//     takes the machine |   draining            takes no more work, and leaves when it is empty; may be
+//     called off |   decommissioning     takes no more work, for good | silent for its whole lease
+//     (aliveUntil)
+//     v
+//   not heard     its incarnation is over and all its tasks are known gone; the next heartbeat of a new
+//                 incarnation makes it heard again
+//
+//   returnNow     suspected (ShardScheduler::suspected) or faulty: it goes to the cloud whatever is on it,
+//   and
+//                 is removed with its record
 struct Machine {
   MachineId id;
-  std::uint32_t no = 0;
-  MachineEntry known;
+  std::uint32_t no = 0;  // in the shard state; gives walks their order
+  MachineEntry known;    // its record
   Pool* pool = nullptr;
   Resources size, used;
   double fetchGbPerS = 0;
@@ -118,41 +174,39 @@
   std::map<TaskId, Placement> placements;
   ImageCache images;
 
-  bool heard = false;     // a report with our token came (invariant 7)
+  // --- hearing the worker ---
+  bool heard = false;     // a heartbeat with our token came (invariant 7), and its lease is not over since
   bool cordoned = false;  // not heard of late: it gets no new work
-  Incarnation incarnation, expiredIncarnation;
-  SequenceNumber sequence;
   Time lastHeard{};
-  Time aliveUntil{};            // beyond this its worker has ended its incarnation (invariant 2)
-  FencingToken lowestOwnToken;  // the lowest token that is ours
-  std::uint64_t tokenGeneration = 0;
-  FencingToken highestTokenSeen;  // highest token the worker reported
-  std::optional<FencingToken>
-      commandInDoubt;               // direct commands up to this token may still arrive (invariant 3)
-  Incarnation expectedIncarnation;  // the incarnation that commands name while no report is trusted
-  bool commandInFlight = false, sendAgain = false;
+  Time aliveUntil{};  // beyond this its worker has ended its incarnation (invariant 2)
+  CommandFence fence;
+  std::vector<wire::ReportedTask> reported;  // the tasks in the last accepted heartbeat
+  std::string address;                       // as it says itself
+  std::optional<Time> reclaimAt;             // when the cloud takes it, as announced
+
+  // --- being heard by it ---
+  bool contactDue = true;         // it has commands to get, or is to be asked for a heartbeat
+  bool commandInFlight = false;   // a direct command has neither an answer nor timed out
+  bool sendAgain = false;         // another direct command is to follow that one
+  Time sendNotBefore{};           // the next direct command
   unsigned unansweredProbes = 0;  // direct commands in a row without an answer
-  Time sendNotBefore{};
-  unsigned missedStarts =
-      0;  // heartbeats in a row that lack what an answer to one before should have started
-  std::optional<Time> tokenUnacknowledgedSince;  // reports come, but none that shows our token (invariant 11)
-  std::vector<wire::ReportedTask> reported;
-  std::optional<Time> reclaimAt;
+  // Heartbeats in a row that lack a task that an answer to an earlier one should have started.
+  unsigned missedStarts = 0;
+  std::optional<Time> tokenUnacknowledgedSince;  // heartbeats come, but none shows our token (invariant 11)
 
+  // --- leaving ---
   bool draining = false;         // takes no more work, and goes when it is empty unless room gets short
   bool decommissioning = false;  // takes no more work: to be given up
   std::optional<std::int32_t> moveTarget;  // shard, or -1 for the cloud
   bool returnNow = false;                  // to the cloud whatever is on it
-  std::string address;                     // as it says itself
   Time idleSince{};
-  bool attention = true;  // has commands to be sent, or is to be asked
 
   // Where the index has it.
   std::optional<double> indexedFree;
   std::size_t openAt = 0;
 
-  FencingToken token() const { return FencingToken{lowestOwnToken.value + tokenGeneration}; }
-  bool noCommandInDoubt() const { return !commandInDoubt || highestTokenSeen > *commandInDoubt; }
+  [[nodiscard]] FencingToken token() const { return fence.token(); }
+  [[nodiscard]] bool noCommandInDoubt() const { return fence.noCommandInDoubt(); }
   bool spot() const { return known.record.spot; }
   const Zone& zone() const { return known.record.zone; }
   Resources free() const { return size - used; }
@@ -162,6 +216,18 @@
     return heard && !cordoned && !decommissioning && !draining && !reclaimAt &&
            known.record.phase == wire::MachinePhase::InUse && noCommandInDoubt() && size.cores > 0;
   }
+  // The placement of this very attempt; null if the task is not placed here.
+  [[nodiscard]] Placement* placementOf(const wire::ReportedTask& reported);
+  // Some task is still to be started or stopped.
+  [[nodiscard]] bool anyPending() const;
+  // A copy of the tasks whose placement satisfies the predicate, as placements may go while they are walked.
+  template <class Predicate>
+  [[nodiscard]] std::vector<TaskId> tasksWhere(Predicate predicate) const {
+    std::vector<TaskId> tasks;
+    for (const auto& [task, placement] : placements)
+      if (predicate(placement)) tasks.push_back(task);
+    return tasks;
+  }
   // Room that stopping tasks will leave.
   Resources capacityBeingFreed() const;
 };
