--- a/src/scheduler/placement_rounds.cpp
+++ b/src/scheduler/placement_rounds.cpp
@@ -131,7 +131,7 @@
   job.waiting.pop_front();
   state_.place(job, index, machine, attempt, runtime_.now());
   state_.cached(machine, job.spec->image, job.spec->imageGb);
-  machine.attention = true;
+  machine.contactDue = true;
   unwrittenTasks_.push_back({job.id, index});
   placementsUnwritten_ = true;
   latencies_.toPlaced.add(runtime_.now() - job.since);
