--- a/src/scheduler/commits.cpp
+++ b/src/scheduler/commits.cpp
@@ -1,12 +1,30 @@
-// The scheduler's commits: one in flight, and what comes meanwhile forms the next.
+// The shard's commits: one transaction in flight; what comes meanwhile forms the next.
+//
+// A transaction is written on condition that the shard's record still has the version of our takeover, so
+// that a former owner's writes fail. What it writes takes effect only once it is committed (invariant 1).
 #include <algorithm>
+#include <utility>
 
 #include "scheduler/shard_scheduler.h"
 
 namespace cherryloft {
 namespace {
+
 using wire::kMostWeight;
+
+// Bytes that a page's key and its frame add to a transaction, at most.
 constexpr std::size_t kKeyWeight = 200;
+// Bytes, about, of a placement or completion in a page, with what still stands of that page.
+constexpr std::size_t kFactBytes = 40;
+// For how long the state service may take for a transaction.
+constexpr Duration kCommitDeadline{2'000};
+// After a transaction that was refused or whose result is unknown: it is sent again no sooner than a random
+// time of [kRetryPause, kRetryPause + kRetryJitterMs), and tried after kRetryAfter, which is longer than
+// both.
+constexpr Duration kRetryPause{60};
+constexpr unsigned kRetryJitterMs = 120;
+constexpr Duration kRetryAfter{190};
+
 }  // namespace
 
 wire::JobRecord ShardScheduler::doneRecord(const Job& job) const {
@@ -24,213 +42,263 @@
   if (job.status == JobStatus::Open && !job.delegation && job.finished()) ending_.insert(job.id);
 }
 
+// --- composing a transaction ---
+
 void ShardScheduler::addFinishedJobs(TransactionBuilder& transaction) {
-  for (auto it = ending_.begin(); it != ending_.end();) {
-    Job* job = state_.job(*it);
-    if (!job || job->status != JobStatus::Open) {
-      it = ending_.erase(it);
-      continue;
+  while (!ending_.empty()) {
+    const JobId id = *ending_.begin();
+    const Job* job = state_.job(id);
+    if (job && job->status == JobStatus::Open) {
+      bool done = job->finished();
+      auto value = done ? wire::encodeJobRecord(doneRecord(*job))
+                        : wire::encodeWithin(cancelledRecord(*job), settings_.valueBytes);
+      if (!transaction.add({keys::job(id), std::move(value), {}}, job->version)) return;
+      commitInFlight_->jobEnds.push_back({id, done ? JobStatus::Done : JobStatus::Cancelled});
     }
-    bool done = job->finished();
-    auto value = done ? wire::encodeJobRecord(doneRecord(*job))
-                      : wire::encodeWithin(cancelledRecord(*job), settings_.valueBytes);
-    if (!transaction.add({keys::job(*it), std::move(value), {}}, job->version)) return;
-    commitInFlight_->endedJobs.emplace_back(*it, done ? JobStatus::Done : JobStatus::Cancelled);
-    it = ending_.erase(it);
+    ending_.erase(id);
   }
 }
 
 // How many placements and completions one transaction can tell.
 std::size_t ShardScheduler::roundWidth() const {
-  constexpr std::size_t fact = 40;  // bytes, about, with what still stands of the page
   auto pages = std::clamp<std::size_t>(kMostWeight / settings_.valueBytes, 1, settings_.txnOps - 1);
-  return pages * std::max<std::size_t>(settings_.valueBytes / fact, 1);
+  return pages * std::max<std::size_t>(settings_.valueBytes / kFactBytes, 1);
 }
 
 void ShardScheduler::addPages(TransactionBuilder& transaction) {
   std::set<PageNumber> taken;
   while (!unwrittenTasks_.empty() && transaction.hasRoom(settings_.valueBytes + kKeyWeight)) {
-    auto d = state_.composePage(unwrittenTasks_, taken);
-    if (!d) continue;
-    transaction.add({keys::page(takeover_.shard, d->number), wire::encodePage(d->record), {}},
-                    state_.pages().at(d->number).version);
-    commitInFlight_->pages.push_back(d->number);
-    for (const auto& [job, facts] : d->record.jobs) {
-      for (const auto& e : facts.placed)
-        commitInFlight_->placed.emplace_back(e.machine, TaskId{job, e.index}, e.attempt);
-      for (auto i : facts.done) commitInFlight_->done.push_back({job, i});
+    auto page = state_.composePage(unwrittenTasks_, taken);
+    if (!page) continue;
+    transaction.add({keys::page(takeover_.shard, page->number), wire::encodePage(page->record), {}},
+                    state_.pages().at(page->number).version);
+    commitInFlight_->pages.push_back(page->number);
+    for (const auto& [job, facts] : page->record.jobs) {
+      for (const auto& entry : facts.placed)
+        commitInFlight_->placements.push_back({entry.machine, TaskId{job, entry.index}, entry.attempt});
+      for (auto index : facts.done) commitInFlight_->completions.push_back({job, index});
     }
   }
 }
 
+// Deletes a page that nothing stands on any more, if other writes need a transaction anyway.
+void ShardScheduler::addPageDrop(TransactionBuilder& transaction) {
+  auto& pages = state_.pages();
+  auto spare = pages.spare({commitInFlight_->pages.begin(), commitInFlight_->pages.end()});
+  if (!spare || transaction.empty()) return;
+  if (transaction.add({keys::page(takeover_.shard, *spare), std::nullopt, {}}, pages.at(*spare).version))
+    commitInFlight_->droppedPages.push_back(*spare);
+}
+
+// Leaves nothing in flight if there is nothing to write.
+void ShardScheduler::composeCommit() {
+  lastCommit_ = runtime_.now();
+  placementsUnwritten_ = false;
+  commitInFlight_.emplace();
+  TransactionBuilder transaction(settings_.txnOps);
+  transaction.require(keys::shard(takeover_.shard), takeover_.version);
+  addFinishedJobs(transaction);
+  addMigrations(transaction);
+  addCleanups(transaction);
+  addDelegations(transaction);
+  addReturns(transaction);
+  // A shard that is to be handed back waits for nothing else: in a large one something is done at every
+  // moment. The next owner learns from heartbeats what is done, as nothing is forgotten before it is written
+  // (invariant 8), and placements that were not written were not sent.
+  if (!transferringTo_) addPages(transaction);
+  addPageDrop(transaction);
+  if (transaction.empty())
+    commitInFlight_.reset();
+  else
+    commitInFlight_->transaction = transaction.take();
+}
+
+// --- sending it ---
+
+// While changes are short, what comes within a moment shares a transaction; completions can wait longer.
+// Nothing if the next transaction may be composed now.
+std::optional<Time> ShardScheduler::commitDelayedUntil() const {
+  if (unwrittenTasks_.empty() && ending_.empty()) return std::nullopt;
+  bool urgent = placementsUnwritten_ || !ending_.empty();
+  auto due = lastCommit_ + (urgent ? 1 : 3) * store_.commitInterval();
+  if (!store_.writesSaturated() || runtime_.now() >= due) return std::nullopt;
+  return due;
+}
+
 void ShardScheduler::commit() {
   if (committing_ || !owns() || runtime_.now() < commitNotBefore_) return;
   if (!commitInFlight_) {
-    // While changes are short, what comes within a moment shards a transaction; completions can wait longer.
-    auto now = runtime_.now();
-    bool urgent = placementsUnwritten_ || !ending_.empty();
-    auto due = lastCommit_ + (urgent ? 1 : 3) * store_.commitInterval();
-    if (store_.writesSaturated() && now < due && !(unwrittenTasks_.empty() && ending_.empty()))
-      return commitAt(due);
-    lastCommit_ = now;
-    placementsUnwritten_ = false;
-    commitInFlight_.emplace();
-    TransactionBuilder transaction(settings_.txnOps);
-    transaction.require(keys::shard(takeover_.shard), takeover_.version);
-    addFinishedJobs(transaction);
-    addMigrations(transaction);
-    addCleanups(transaction);
-    addDelegations(transaction);
-    addReturns(transaction);
-    // A shard that is to be handed back waits for nothing else: in a large one something is done at every
-    // moment. The next owner learns from reports what is done, as nothing is forgotten before it is written
-    // (invariant 8), and placements that were not written were not sent.
-    if (!transferringTo_) addPages(transaction);
-    auto& pages = state_.pages();
-    auto spare = pages.spare({commitInFlight_->pages.begin(), commitInFlight_->pages.end()});
-    bool drops =
-        spare && !transaction.empty() &&
-        transaction.add({keys::page(takeover_.shard, *spare), std::nullopt, {}}, pages.at(*spare).version);
-    if (drops) commitInFlight_->dropped.push_back(*spare);
-    bool nothing = transaction.empty();
-    commitInFlight_->txn = transaction.take();
-    if (nothing) {
-      commitInFlight_.reset();
-      if (transferringTo_ && !ownershipTransferSent_) {
-        // Nothing is on its way: let go. From here on this actor decides nothing.
-        ownershipTransferSent_ = true;
-        callbacks_.transferOwnership(takeover_.version, *transferringTo_, guarded([this](bool given) {
-                                       ownershipTransferSent_ = false;
-                                       transferringTo_.reset();
-                                       if (given)
-                                         callbacks_.dropOwnership();
-                                       else
-                                         requestRound(true);
-                                     }));
-      }
+    if (auto due = commitDelayedUntil()) {
+      commitAt(*due);
       return;
     }
+    composeCommit();
+  }
+  if (!commitInFlight_) {
+    transferOwnershipIfAsked();
+    return;
   }
   committing_ = true;
-  store_.txn(RequestPriority::Work, commitInFlight_->txn, Duration{2'000},
-             guarded([this](TxnResult r) { committed(r); }));
+  store_.txn(RequestPriority::Work, commitInFlight_->transaction, kCommitDeadline,
+             guarded([this](TxnResult result) { committed(result); }));
+}
+
+// Nothing is in flight: lets go of a shard that is to be handed back. From here on this actor decides
+// nothing, unless the transfer fails.
+void ShardScheduler::transferOwnershipIfAsked() {
+  if (!transferringTo_ || ownershipTransferSent_) return;
+  ownershipTransferSent_ = true;
+  callbacks_.transferOwnership(takeover_.version, *transferringTo_,
+                               guarded([this](bool transferred) { ownershipTransferEnded(transferred); }));
+}
+
+void ShardScheduler::ownershipTransferEnded(bool transferred) {
+  ownershipTransferSent_ = false;
+  transferringTo_.reset();
+  if (transferred)
+    callbacks_.dropOwnership();
+  else
+    requestRound(true);
 }
 
 void ShardScheduler::commitAt(Time due) {
-  if (commitSet_) return;
-  commitSet_ = true;
+  if (commitScheduled_) return;
+  commitScheduled_ = true;
   runtime_.after(due - runtime_.now(), guarded([this] {
-                   commitSet_ = false;
+                   commitScheduled_ = false;
                    commit();
                  }));
 }
 
-void ShardScheduler::committed(const TxnResult& r) {
+// --- its result ---
+
+void ShardScheduler::committed(const TxnResult& result) {
   committing_ = false;
-  using O = TxnResult::Outcome;
-  switch (r.outcome) {
-    case O::Ok:
-      return takeEffect(r);
-    case O::Refused:
-    case O::Unknown:
+  using Outcome = TxnResult::Outcome;
+  switch (result.outcome) {
+    case Outcome::Ok:
+      takeEffect(result.revision);
+      return;
+    case Outcome::Refused:
+    case Outcome::Unknown:
       // The same again under the same conditions: either it is done now, or the conflict tells that it was
       // done before, or that the shard is another's.
-      commitNotBefore_ = runtime_.now() + Duration{60 + rng_() % 120};
-      runtime_.after(Duration{190}, guarded([this] { commit(); }));
+      commitNotBefore_ = runtime_.now() + kRetryPause + Duration{rng_() % kRetryJitterMs};
+      runtime_.after(kRetryAfter, guarded([this] { commit(); }));
+      return;
+    case Outcome::Rejected:
+      log_->error("transaction too large for the state service: shard={}", takeover_.shard.value);
+      callbacks_.dropOwnership();
+      return;
+    case Outcome::Conflict:
+    case Outcome::LeaseExpired:
+      log_->info("commit conflict: shard={} key={}", takeover_.shard.value,
+                 result.failed.empty() ? "?" : result.failed.front());
+      callbacks_.dropOwnership();
       return;
-    case O::Rejected:
-      log_->error("share {}: the state service takes no transaction of that size", takeover_.shard.value);
-      return callbacks_.dropOwnership();
-    case O::Conflict:
-    case O::LeaseExpired:
-      log_->info("share {}: conflict on {}", takeover_.shard.value,
-                 r.failed.empty() ? "?" : r.failed.front());
-      return callbacks_.dropOwnership();
   }
 }
 
-void ShardScheduler::takeEffect(const TxnResult& r) {
-  auto f = std::move(*commitInFlight_);
+void ShardScheduler::takeEffect(Version revision) {
+  auto commit = std::move(*commitInFlight_);
   commitInFlight_.reset();
-  for (auto n : f.pages) state_.pages().at(n).version = r.revision;
-  for (auto n : f.dropped) state_.pages().drop(n);
-  for (const auto& id : f.done)
-    if (Job* j = state_.job(id.job)) {
-      j->tasks[id.index].doneCommitted = true;
-      j->tasks[id.index].writeInFlight = false;
-    }
-  for (const auto& id : f.migrated) migrated(id);
-  for (const auto& written : f.delegated) delegationsCommitted(written, r.revision);
-  for (const auto& written : f.returned) returnCommitted(written, r.revision);
+  for (auto page : commit.pages) state_.pages().at(page).version = revision;
+  for (auto page : commit.droppedPages) state_.pages().drop(page);
+  for (const auto& task : commit.completions) completionCommitted(task);
+  for (const auto& job : commit.migrations) migrationCommitted(job);
+  for (const auto& written : commit.delegations) delegationsCommitted(written, revision);
+  for (const auto& written : commit.delegationReturns) returnCommitted(written, revision);
   std::set<MachineId> machines;
-  for (const auto& [machineId, task, attempt] : f.placed) {
-    if (Job* j = state_.job(task.job)) j->tasks[task.index].writeInFlight = false;
-    Machine* h = state_.machine(machineId);
-    if (!h) continue;
-    auto it = h->placements.find(task);
-    if (it == h->placements.end() || it->second.attempt != attempt || it->second.committed) continue;
-    ShardState::commit(it->second);
-    latencies_.toCommitted.add(runtime_.now() - it->second.placedAt);
-    if (!it->second.wanted || !h->open()) {
-      // Never sent, so it is nowhere.
-      taskLost(*h, task);
-      requestRound(true);
-      continue;
-    }
-    machines.insert(machineId);
-    if (const Job* job = state_.job(task.job); job && job->isGang() && job->allCommitted())
-      for (const auto& member : job->tasks)
-        if (member.machine) machines.insert(member.machine->id);
-  }
-  for (const auto& [id, status] : f.endedJobs) {
-    Job* j = state_.job(id);
-    j->status = status;
-    j->version = r.revision;
-    log_->info("job {} {}", id.value, status == JobStatus::Done ? "done" : "aborted");
-    callbacks_.jobEnded(id, status, r.revision);
-    answerCancelWaiters(*j, status);
-    if (status == JobStatus::Cancelled) {
-      lastCancelled_ = std::max(lastCancelled_, r.revision);
-      j->waiting.clear();
-      stopTasks(*j, machines);
-    }
-    if (Job* left = state_.job(id)) cleanUp(*left);
-  }
+  for (const auto& written : commit.placements) placementCommitted(written, machines);
+  for (const auto& end : commit.jobEnds) jobEndCommitted(end, revision, machines);
   // Only now: a start must not go out beside the end of its own job.
   sendCommandsToAll(machines);
   requestRound(false);
 }
 
-void ShardScheduler::answerCancelWaiters(Job& job, JobStatus s) {
-  auto waiting = std::move(job.cancelWaiters);
-  job.cancelWaiters.clear();
-  for (auto& w : waiting) w(s);
+void ShardScheduler::completionCommitted(const TaskId& id) {
+  Job* job = state_.job(id.job);
+  if (!job) return;
+  auto& task = job->tasks[id.index];
+  task.doneCommitted = true;
+  task.writeInFlight = false;
+}
+
+// Adds the machines that have commands to be sent from now on.
+void ShardScheduler::placementCommitted(const PlacementWrite& written, std::set<MachineId>& machines) {
+  Job* job = state_.job(written.task.job);
+  if (job) job->tasks[written.task.index].writeInFlight = false;
+  Machine* machine = state_.machine(written.machine);
+  if (!machine) return;
+  auto found = machine->placements.find(written.task);
+  if (found == machine->placements.end()) return;
+  auto& placement = found->second;
+  if (placement.attempt != written.attempt || placement.committed) return;
+  ShardState::commit(placement);
+  latencies_.toCommitted.add(runtime_.now() - placement.placedAt);
+  if (!placement.wanted || !machine->open()) {
+    // Never sent, so it is nowhere.
+    taskLost(*machine, written.task);
+    requestRound(true);
+    return;
+  }
+  machines.insert(written.machine);
+  bool gangComplete = job && job->isGang() && job->allCommitted();
+  if (!gangComplete) return;
+  for (const auto& member : job->tasks)
+    if (member.machine) machines.insert(member.machine->id);
+}
+
+// Adds the machines that have tasks of the job to stop.
+void ShardScheduler::jobEndCommitted(const JobEnd& end, Version revision, std::set<MachineId>& machines) {
+  Job* job = state_.job(end.job);
+  job->status = end.status;
+  job->version = revision;
+  log_->info("job ended: job={} status={}", end.job.value,
+             end.status == JobStatus::Done ? "done" : "aborted");
+  callbacks_.jobEnded(end.job, end.status, revision);
+  answerCancelWaiters(*job, end.status);
+  if (end.status == JobStatus::Cancelled) {
+    lastCancelled_ = std::max(lastCancelled_, revision);
+    job->waiting.clear();
+    stopTasks(*job, machines);
+  }
+  // Stopping its last task may have removed it.
+  if (Job* remaining = state_.job(end.job)) cleanUp(*remaining);
+}
+
+void ShardScheduler::answerCancelWaiters(Job& job, JobStatus status) {
+  auto waiters = std::exchange(job.cancelWaiters, {});
+  for (auto& answer : waiters) answer(status);
 }
 
 // Orders the end of all that is placed of a job, and names the machines. A job that is over leaves the shard
 // state with the last task that was never sent.
 void ShardScheduler::stopTasks(const Job& job, std::set<MachineId>& machines) {
-  std::vector<std::pair<Machine*, TaskId>> placed;
-  for (std::uint32_t i = 0; i < job.tasks.size(); ++i)
-    if (Machine* h = job.tasks[i].machine) placed.emplace_back(h, TaskId{job.id, i});
-  for (const auto& [h, task] : placed) {
-    machines.insert(h->id);
-    if (auto it = h->placements.find(task); it != h->placements.end()) stop(*h, task, it->second);
+  struct PlacedTask {
+    Machine* machine;
+    TaskId task;
+  };
+  // A copy, as stopping changes the job, and may remove it.
+  std::vector<PlacedTask> placed;
+  for (std::uint32_t index = 0; index < job.tasks.size(); ++index)
+    if (Machine* machine = job.tasks[index].machine) placed.push_back({machine, TaskId{job.id, index}});
+  for (const auto& [machine, task] : placed) {
+    machines.insert(machine->id);
+    auto placement = machine->placements.find(task);
+    if (placement != machine->placements.end()) stop(*machine, task, placement->second);
   }
 }
 
-// A job that is over leaves the shard state once none of its tasks can be anywhere. What pages say of it is
-// of no more use then, and goes when they are written anew.
+// A job that is over leaves the shard state once none of its tasks can be on a machine of this shard. What
+// pages say of it is of no more use then, and goes when they are written anew.
 void ShardScheduler::cleanUp(Job& job) {
   if (job.status == JobStatus::Open || job.placed > 0) return;
   auto id = job.id;
-  bool remains = !job.delegation && job.remote > 0;  // with other shards
-  if (job.status == JobStatus::Cancelled && job.maxConcurrent && !remains)
+  bool withOtherShards = !job.delegation && job.remote > 0;
+  if (job.status == JobStatus::Cancelled && job.maxConcurrent && !withOtherShards)
     migrationCleanups_.push_back(cleanupOf(job));
-  if (remains) {
-    auto sum = job.spec->each * static_cast<double>(job.remote);
-    remoteUsage_[id] = {job.spec->team, sum, true, std::nullopt};  // the shard state count it already
-  }
+  if (withOtherShards) remoteUsage_.takeOver(id, *job.spec, job.remote);
   delegatedHere_.erase(id);
   failures_.forget(id);
   state_.removeJob(id);
--- a/src/scheduler/shard_scheduler.cpp
+++ b/src/scheduler/shard_scheduler.cpp
@@ -35,7 +35,8 @@
       rng_(seed),
       callbacks_(std::move(out)),
       state_(settings),
-      failures_(seconds(settings.reportS)) {}
+      failures_(seconds(settings.reportS)),
+      remoteUsage_(state_, seconds(settings.cancelS)) {}
 
 void ShardScheduler::start() {
   loadStarted_ = runtime_.now();
@@ -243,12 +244,7 @@
   // Its end is on its way or in doubt, or the shard is: a sibling may have seen it, and told the user, before
   // us.
   if (ownershipTransferSent_) return std::nullopt;
-  if (commitInFlight_ && std::any_of(commitInFlight_->endedJobs.begin(), commitInFlight_->endedJobs.end(),
-                                     [&](const auto& e) { return e.first == id; }))
-    return std::nullopt;
-  if (commitInFlight_ &&
-      std::count(commitInFlight_->migrated.begin(), commitInFlight_->migrated.end(), id) > 0)
-    return std::nullopt;
+  if (commitInFlight_ && (commitInFlight_->ends(id) || commitInFlight_->migrates(id))) return std::nullopt;
   const auto& j = it->second;
   return wire::JobView{JobStatus::Open, static_cast<std::uint32_t>(j.tasks.size()), j.done, j.running};
 }
--- a/src/scheduler/shard_scheduler.h
+++ b/src/scheduler/shard_scheduler.h
@@ -13,7 +13,10 @@
 #include "policy/gang.h"
 #include "policy/order.h"
 #include "policy/preempt.h"
+#include "scheduler/capacity_offers.h"
+#include "scheduler/commit_in_flight.h"
 #include "scheduler/failure_attribution.h"
+#include "scheduler/remote_usage.h"
 #include "scheduler/shard_state.h"
 #include "scheduler/start_latencies.h"
 #include "wire/users.h"
@@ -56,11 +59,11 @@
   HeartbeatAnswer handleHeartbeat(const wire::WorkerHeartbeat& r);
   void handleDirective(const mesh::MachineDirective& w);
   void returnToPreferredOwner(const ControllerId& to);
-  // Another shard's owner looks for room for its jobs, or offers room for ours (scheduler_transfers.cpp).
-  void handleCapacityRequest(const mesh::CapacityRequest& wanted);
+  // Another shard's owner looks for capacity for its jobs, or offers some for ours (job_migration.cpp).
+  void handleCapacityRequest(const mesh::CapacityRequest& request);
   void handleCapacityOffer(const mesh::CapacityOffer& offer);
-  // The same for some tasks of a job (scheduler_delegation.cpp).
-  void handleTaskCapacityRequest(const mesh::TaskCapacityRequest& wanted);
+  // The same for some tasks of a job (task_delegation_delegate.cpp, task_delegation_owner.cpp).
+  void handleTaskCapacityRequest(const mesh::TaskCapacityRequest& request);
   void handleTaskCapacityOffer(const mesh::TaskCapacityOffer& offer);
   // Nothing if this actor may not answer now.
   std::optional<wire::JobView> poll(const JobId& id) const;
@@ -235,65 +238,75 @@
   void preempt(const std::vector<Ranked>& blocked);
   void preemptFor(const Ranked& blocked, CapacityForecast& room, unsigned& asked,
                   std::set<MachineId>& changed);
-  // Transfers of jobs to other shards (invariant 17).
+  // Migration of jobs to other shards (invariant 17).
+  // What capacity of other shards is looked for: to migrate whole jobs, or to delegate tasks.
+  enum class RemotePlacement : std::uint8_t { Migration, Delegation };
   void reviewMigrations(Time now);
+  bool planMigration(const Job& job);
   bool migrationPlanned(const JobId& id) const;
   bool waitsLong(const Job& job, Time now) const;
   bool unplaceable(const Job& job) const;
-  std::vector<Job*> oldestUnplaceable(bool untouched, Time now);
+  std::vector<Job*> oldestUnplaceable(RemotePlacement purpose, Time now);
+  bool mayOfferCapacity(Time lastOffer) const;
+  const JobEntry* openJobOf(ShardId shard, const JobId& id) const;
   // How many tasks of a job with this description find room in each zone.
   std::map<Zone, std::uint32_t> capacityByZone(const Job& job) const;
   std::uint32_t capacityFor(const Job& job) const;
   std::optional<std::uint32_t> maxRemoteTasks(const Job& job) const;
   std::uint32_t tasksWithinLimit(const Job& job) const;
-  void countRemoteUsage(const JobId& id, const JobSpec& spec, std::uint32_t tasks, bool committed);
   void countAllRemoteUsage();
-  void countDelegated(const JobId& id, const JobEntry& known);
-  void releaseRemoteUsage(Time now);
+  void countDelegated(const JobId& id, const JobEntry& entry);
   void addMigrations(TransactionBuilder& transaction);
-  void migrated(const JobId& id);
-  struct MigrationCleanup;
+  bool addMigration(TransactionBuilder& transaction, const PlannedMigration& migration);
+  void migrationCommitted(const JobId& id);
   MigrationCleanup cleanupOf(const Job& job) const;
   void addCleanups(TransactionBuilder& transaction);
-  // Delegations of tasks to other shards (invariant 18): of this shard's jobs, ...
-  struct ReceivedTaskOffer;
+  // Delegation of tasks to other shards (invariant 18): of this shard's jobs, ...
   void reviewDelegations(Time now);
   mesh::TaskCapacityNeed taskCapacityNeed(const Job& job) const;
   bool planDelegations(Job& job, Time now);
-  void delegate(Job& job, const ReceivedTaskOffer& offer, std::uint32_t most);
+  void delegate(Job& job, const ReceivedTaskOffer& offer, std::uint32_t maxTasks);
   void planRecall(Job& job);
   void resumeDelegations(Job& job);
   void undoPlan(Job& job, const std::vector<Delegation>& planned);
   void addDelegations(TransactionBuilder& transaction);
-  struct DelegationWrite;
+  bool addDelegation(TransactionBuilder& transaction, const Job& job, const DelegationWrite& change) const;
   bool staysWithinValue(const wire::JobRecord& record) const;
   std::optional<wire::JobRecord> recordWith(const Job& job, const DelegationWrite& change) const;
   void delegationsCommitted(const DelegationWrite& written, Version version);
-  void ownedJobChanged(Job& job, const JobEntry& known);
+  void ownedJobChanged(Job& job, const JobEntry& entry);
   // ... and of other shards' jobs.
-  void delegatedJobChanged(const JobId& id, const JobEntry& known);
-  Job& acceptDelegation(const JobId& id, const JobEntry& known, const Delegation& delegation);
+  void delegatedJobChanged(const JobId& id, const JobEntry& entry);
+  Job& acceptDelegation(const JobId& id, const JobEntry& entry, const Delegation& delegation);
   void recallDelegated(Job& job);
   void cancelDelegated(Job& job);
   std::vector<std::uint32_t> returnable(const Job& job, Time now) const;
   bool anyReturnable(Time now) const;
   void addReturns(TransactionBuilder& transaction);
-  struct DelegationReturn;
   void returnCommitted(const DelegationReturn& written, Version version);
-  void stopTasks(const Job& job, std::set<MachineId>& machines);
   bool mayNotKnowCancellations(Time now) const;
+  // Commits.
   void commit();
+  std::optional<Time> commitDelayedUntil() const;
   void commitAt(Time due);
-  void committed(const TxnResult& r);
+  void composeCommit();
+  void transferOwnershipIfAsked();
+  void ownershipTransferEnded(bool transferred);
+  void committed(const TxnResult& result);
   wire::JobRecord doneRecord(const Job& job) const;
   wire::JobRecord cancelledRecord(const Job& job) const;
   void endIfFinished(const Job& job);
   void addFinishedJobs(TransactionBuilder& transaction);
   void addPages(TransactionBuilder& transaction);
-  void takeEffect(const TxnResult& r);
+  void addPageDrop(TransactionBuilder& transaction);
+  void takeEffect(Version revision);
+  void completionCommitted(const TaskId& id);
+  void placementCommitted(const PlacementWrite& written, std::set<MachineId>& machines);
+  void jobEndCommitted(const JobEnd& end, Version revision, std::set<MachineId>& machines);
   std::size_t roundWidth() const;
+  void stopTasks(const Job& job, std::set<MachineId>& machines);
   void cleanUp(Job& job);
-  void answerCancelWaiters(Job& job, JobStatus s);
+  void answerCancelWaiters(Job& job, JobStatus status);
 
   const Settings& settings_;
   Runtime& runtime_;
@@ -328,31 +341,8 @@
   std::set<JobId> ending_;             // jobs to write as done or cancelled
   bool committing_ = false;
   Time commitNotBefore_{}, lastCommit_{};
-  bool commitSet_ = false;
-  bool placementsUnwritten_ = false;  // some of fresh_ are placements
-  // What a commit changes in the delegations of one of this shard's jobs.
-  struct DelegationWrite {
-    JobId job;
-    std::vector<Delegation> planned;  // tasks that go to other shards
-    bool recall = false;              // all that is with other shards is asked back
-  };
-  // What a commit gives back of another shard's job.
-  struct DelegationReturn {
-    JobId job;
-    std::vector<std::uint32_t> tasks;
-    Delegation kept;
-  };
-  struct CommitInFlight {
-    wire::Transaction txn;
-    std::vector<PageNumber> pages;
-    std::vector<std::tuple<MachineId, TaskId, Attempt>> placed;
-    std::vector<TaskId> done;
-    std::vector<std::pair<JobId, JobStatus>> endedJobs;
-    std::vector<JobId> migrated;
-    std::vector<DelegationWrite> delegated;
-    std::vector<DelegationReturn> returned;
-    std::vector<PageNumber> dropped;
-  };
+  bool commitScheduled_ = false;
+  bool placementsUnwritten_ = false;  // some of unwrittenTasks_ are placements
   std::optional<CommitInFlight> commitInFlight_;
 
   bool recordsBusy_ = false;   // a write of host/ keys is on its way
@@ -368,44 +358,14 @@
   Time ticked_{};
   Time resumed_{};  // the end of our own last standstill
 
-  // Room that another shard offers for a job of ours.
-  struct ReceivedCapacityOffer {
-    ShardId shard;
-    std::uint32_t tasks = 0;
-    Time at;
-  };
-  std::map<JobId, ReceivedCapacityOffer> offers_;
-  // A job of our teams that another shard runs, or is to run.
-  struct RemoteUsage {
-    TeamId team;
-    Resources sum;           // of the tasks that may be somewhere at once
-    bool committed = false;  // its record names the other shard
-    std::optional<Time> cancelledSince;
-  };
-  std::map<JobId, RemoteUsage> remoteUsage_;
-  struct PlannedMigration {
-    JobId job;
-    ShardId to;
-    std::uint32_t maxConcurrent = 0;
-  };
+  JobCapacityOffers jobOffers_;
+  RemoteUsage remoteUsage_;
   std::vector<PlannedMigration> plannedMigrations_;  // to be written with the next commit
-  // A cancelled job of another shard's team of which nothing is on any machine; its record is to say so.
-  struct MigrationCleanup {
-    JobId job;
-    Version version;
-    std::string value;
-  };
-  std::vector<MigrationCleanup> migrationCleanups_;
+  std::vector<MigrationCleanup> migrationCleanups_;  // likewise
   Time migrationsReviewed_{};
   Time capacityOfferedAt_{};
 
-  struct ReceivedTaskOffer {
-    ShardId shard;
-    std::optional<Zone> zone;  // nothing: the job may use any of its zones
-    std::uint32_t tasks = 0;
-    Time at;
-  };
-  std::map<JobId, std::vector<ReceivedTaskOffer>> taskOffers_;
+  TaskCapacityOffers taskOffers_;
   std::map<JobId, DelegationWrite> delegationWrites_;  // to be written with the next commit
   std::set<JobId> delegatedHere_;                      // jobs of other shards in the shard state
   // Delegations that were given back in full; the cluster view may show them until it shows that version.
