--- a/src/scheduler/commits.cpp
+++ b/src/scheduler/commits.cpp
@@ -5,6 +5,7 @@
 #include <algorithm>
 #include <utility>
 
+#include "scheduler/job_records.h"
 #include "scheduler/shard_scheduler.h"
 
 namespace cherryloft {
@@ -27,16 +28,6 @@
 
 }  // namespace
 
-wire::JobRecord ShardScheduler::doneRecord(const Job& job) const {
-  return {JobStatus::Done, takeover_.shard, static_cast<std::uint32_t>(job.tasks.size()), job.submitted, {}};
-}
-
-wire::JobRecord ShardScheduler::cancelledRecord(const Job& job) const {
-  auto tasks = static_cast<std::uint32_t>(job.tasks.size());
-  return {JobStatus::Cancelled, takeover_.shard, tasks, job.submitted, *job.spec,
-          job.maxConcurrent,    job.delegations};
-}
-
 // The end of another shard's job is for its owner to write.
 void ShardScheduler::endIfFinished(const Job& job) {
   if (job.status == JobStatus::Open && !job.delegation && job.finished()) ending_.insert(job.id);
@@ -50,8 +41,8 @@
     const Job* job = state_.job(id);
     if (job && job->status == JobStatus::Open) {
       bool done = job->finished();
-      auto value = done ? wire::encodeJobRecord(doneRecord(*job))
-                        : wire::encodeWithin(cancelledRecord(*job), settings_.valueBytes);
+      auto value = done ? wire::encodeJobRecord(doneRecord(*job, takeover_.shard))
+                        : wire::encodeWithin(cancelledRecord(*job, takeover_.shard), settings_.valueBytes);
       if (!transaction.add({keys::job(id), std::move(value), {}}, job->version)) return;
       commitInFlight_->jobEnds.push_back({id, done ? JobStatus::Done : JobStatus::Cancelled});
     }
@@ -98,10 +89,10 @@
   TransactionBuilder transaction(settings_.txnOps);
   transaction.require(keys::shard(takeover_.shard), takeover_.version);
   addFinishedJobs(transaction);
-  addMigrations(transaction);
-  addCleanups(transaction);
-  addDelegations(transaction);
-  addReturns(transaction);
+  commitInFlight_->migrations = jobMigration_.addPlanned(transaction);
+  jobMigration_.addCleanups(transaction);
+  commitInFlight_->delegations = taskDelegation_.addPlanned(transaction);
+  commitInFlight_->delegationReturns = delegatedTasks_.addReturns(transaction, runtime_.now());
   // A shard that is to be handed back waits for nothing else: in a large one something is done at every
   // moment. The next owner learns from heartbeats what is done, as nothing is forgotten before it is written
   // (invariant 8), and placements that were not written were not sent.
@@ -206,7 +197,7 @@
   for (auto page : commit.droppedPages) state_.pages().drop(page);
   for (const auto& task : commit.completions) completionCommitted(task);
   for (const auto& job : commit.migrations) migrationCommitted(job);
-  for (const auto& written : commit.delegations) delegationsCommitted(written, revision);
+  for (const auto& written : commit.delegations) taskDelegation_.committed(written, revision);
   for (const auto& written : commit.delegationReturns) returnCommitted(written, revision);
   std::set<MachineId> machines;
   for (const auto& written : commit.placements) placementCommitted(written, machines);
@@ -216,6 +207,15 @@
   requestRound(false);
 }
 
+void ShardScheduler::migrationCommitted(const JobId& id) {
+  jobMigration_.committed(id);
+  Job* job = state_.job(id);
+  if (!job) return;
+  answerCancelWaiters(*job, JobStatus::Open);  // they ask again, and the other owner is told
+  failures_.forget(id);
+  state_.removeJob(id);
+}
+
 void ShardScheduler::completionCommitted(const TaskId& id) {
   Job* job = state_.job(id.job);
   if (!job) return;
@@ -295,11 +295,8 @@
 void ShardScheduler::cleanUp(Job& job) {
   if (job.status == JobStatus::Open || job.placed > 0) return;
   auto id = job.id;
-  bool withOtherShards = !job.delegation && job.remote > 0;
-  if (job.status == JobStatus::Cancelled && job.maxConcurrent && !withOtherShards)
-    migrationCleanups_.push_back(cleanupOf(job));
-  if (withOtherShards) remoteUsage_.takeOver(id, *job.spec, job.remote);
-  delegatedHere_.erase(id);
+  jobMigration_.jobOver(job);
+  delegatedTasks_.remove(id);
   failures_.forget(id);
   state_.removeJob(id);
 }
--- a/src/scheduler/job_migration.cpp
+++ b/src/scheduler/job_migration.cpp
@@ -1,263 +1,89 @@
-// Migration of jobs that wait while only another shard's machines have free capacity for them (invariant 17).
-//
-// The owner asks the owners of all other shards for capacity, takes the best offer, and writes the job's
-// record anew with the other shard. Nothing of the job is on any machine then. The team's own shard goes on
-// to enforce the team's quota: it counts as in use what the job may take at a time, from before that write
-// until the job is over and nothing of it can be left (RemoteUsage).
+#include "scheduler/job_migration.h"
+
 #include <algorithm>
-#include <cmath>
-#include <tuple>
 #include <utility>
 
-#include "scheduler/shard_scheduler.h"
+#include "scheduler/job_records.h"
+#include "scheduler/shard_state.h"
 
 namespace cherryloft {
-namespace {
-
-// A job asks other shards after so long without a start: long enough for a machine of its own to boot.
-constexpr Duration kRequestAfter{30'000};
-// Jobs that capacity is asked for at a time; each is looked up by all other owners.
-constexpr std::size_t kMaxRequested = 8;
-// Jobs that are examined for it: under overload all wait.
-constexpr std::size_t kMaxExamined = 64;
-
-}  // namespace
-
-// --- which jobs need capacity elsewhere ---
-
-// It has been open, with tasks to place, for kRequestAfter without a start.
-bool ShardScheduler::waitsLong(const Job& job, Time now) const {
-  return job.open() && !job.waiting.empty() && !job.delegation && !job.recalling && now >= job.notBefore &&
-         now - std::max(job.since, job.placedLast) >= kRequestAfter;
-}
-
-// Its team is within its quota, and no machine of ours could take a task of it, or all of a gang.
-bool ShardScheduler::unplaceable(const Job& job) const {
-  if (!state_.withinLimit(job)) return false;
-  if (job.isGang()) return job.placed == 0 && capacityFor(job) < job.waiting.size();
-  return !hasCapacity(job);
-}
 
-// The oldest jobs that have waited long in vain, at most kMaxRequested. Those to migrate have nothing begun;
-// those to delegate tasks of have some tasks begun, or must be placed whole.
-std::vector<Job*> ShardScheduler::oldestUnplaceable(RemotePlacement purpose, Time now) {
-  std::vector<Job*> waiting;
-  for (auto& [_, job] : state_.jobs()) {
-    if (!waitsLong(job, now)) continue;
-    bool begun = job.placed > 0 || job.done > 0 || job.remote > 0;
-    bool suits = purpose == RemotePlacement::Migration ? !begun : begun || job.isGang();
-    if (suits) waiting.push_back(&job);
-  }
-  auto examined = std::min(waiting.size(), kMaxExamined);
-  std::partial_sort(waiting.begin(), waiting.begin() + static_cast<std::ptrdiff_t>(examined), waiting.end(),
-                    [](const Job* first, const Job* second) {
-                      return std::tie(first->submitted, first->id) < std::tie(second->submitted, second->id);
-                    });
-  waiting.resize(examined);
-  std::vector<Job*> oldest;
-  for (Job* job : waiting)
-    if (oldest.size() < kMaxRequested && unplaceable(*job)) oldest.push_back(job);
-  return oldest;
-}
+JobMigration::JobMigration(const Settings& settings, const ClusterView& view, ShardState& state,
+                           ShardId ownShard, Log log)
+    : settings_(settings),
+      view_(view),
+      state_(state),
+      ownShard_(ownShard),
+      log_(std::move(log)),
+      remoteUsage_(state, seconds(settings.cancelS)) {}
 
-// Its migration is about to be written, or on its way: no transaction writes a job's record twice.
-bool ShardScheduler::migrationPlanned(const JobId& id) const {
-  bool planned = std::any_of(plannedMigrations_.begin(), plannedMigrations_.end(),
-                             [&](const PlannedMigration& migration) { return migration.job == id; });
-  return planned || (commitInFlight_ && commitInFlight_->migrates(id)) || remoteUsage_.counts(id);
-}
-
-// Plans the migration of jobs that offers came for, and asks for capacity for the others.
-void ShardScheduler::reviewMigrations(Time now) {
-  if (now - migrationsReviewed_ < kCapacityReviewInterval) return;
-  migrationsReviewed_ = now;
-  if (remoteUsage_.releaseEnded(view_, takeover_.shard, now) > 0) requestRound(true);
-  jobOffers_.dropExpired(now);
-  if (transferringTo_ || ownershipTransferSent_) return;
-  mesh::CapacityRequest request;
-  request.shard = takeover_.shard.value;
-  for (const Job* job : oldestUnplaceable(RemotePlacement::Migration, now)) {
-    if (migrationPlanned(job->id)) continue;
-    if (!planMigration(*job)) request.jobs.push_back(job->id.value);
+void JobMigration::countAfterTakeover() {
+  for (const auto& [id, entry] : view_.jobs) {
+    if (entry.shard == ownShard_ && entry.status == JobStatus::Cancelled) countDelegated(id, entry);
+    bool elsewhere = entry.shard != ownShard_ && entry.spec && entry.status != JobStatus::Done;
+    if (!elsewhere || settings_.shardOfTeam(entry.spec->team) != ownShard_) continue;
+    remoteUsage_.countCommitted(id, *entry.spec, entry.maxConcurrent.value_or(entry.tasks));
   }
-  if (!request.jobs.empty()) callbacks_.requestCapacity(request);
-}
-
-// False if no shard offers capacity for it, or its team's quota allows for none of it.
-bool ShardScheduler::planMigration(const Job& job) {
-  auto offer = jobOffers_.best(job.id);
-  if (!offer) return false;
-  auto maxConcurrent = maxRemoteTasks(job);
-  if (!maxConcurrent) return false;
-  bool ownTeam = settings_.shardOfTeam(job.spec->team) == takeover_.shard;
-  if (ownTeam) remoteUsage_.reserve(job.id, *job.spec, *maxConcurrent);
-  plannedMigrations_.push_back({job.id, offer->shard, *maxConcurrent});
-  jobOffers_.remove(job.id);
-  requestRound(false);
-  return true;
-}
-
-// How many more of its tasks its team's quota allows for.
-std::uint32_t ShardScheduler::tasksWithinLimit(const Job& job) const {
-  const auto& spec = *job.spec;
-  if (job.maxConcurrent) return *job.maxConcurrent - std::min(*job.maxConcurrent, job.placed + job.remote);
-  if (!job.team) return 0;
-  auto use = state_.teamUse(spec.team);
-  auto tasksIn = [&](double unused, double each) {
-    return each > 0 ? std::floor((unused + kResourceSlack) / each) : static_cast<double>(spec.tasks);
-  };
-  double tasks = std::min(tasksIn(job.team->coreQuota - use.cores, spec.each.cores),
-                          tasksIn(job.team->gpuQuota - use.gpus, spec.each.gpus));
-  return static_cast<std::uint32_t>(std::clamp(tasks, 0.0, static_cast<double>(spec.tasks)));
-}
-
-// How many of its tasks may be elsewhere at a time, if the team's quota allows for any: all that it allows
-// for, as more capacity may come free there. Replicas and members of a gang are all to run together.
-std::optional<std::uint32_t> ShardScheduler::maxRemoteTasks(const Job& job) const {
-  if (job.maxConcurrent) return job.maxConcurrent;
-  auto tasks = tasksWithinLimit(job);
-  if (tasks == 0 || (tasks < job.spec->tasks && job.spec->kind != JobKind::Array)) return std::nullopt;
-  return tasks;
-}
-
-void ShardScheduler::handleCapacityOffer(const mesh::CapacityOffer& offer) {
-  JobId id{offer.job};
-  if (!loaded_ || !owns() || !state_.job(id)) return;
-  jobOffers_.add(id, {ShardId{offer.shard}, offer.tasks, runtime_.now()});
-}
-
-// --- the shard that has free capacity ---
-
-bool ShardScheduler::mayOfferCapacity(Time lastOffer) const {
-  return loaded_ && owns() && !transferringTo_ && !ownershipTransferSent_ &&
-         runtime_.now() - lastOffer >= kCapacityOfferInterval;
-}
-
-// The job's entry if it is open and that shard owns it, as far as the cluster view shows; else null.
-const JobEntry* ShardScheduler::openJobOf(ShardId shard, const JobId& id) const {
-  auto found = view_.jobs.find(id);
-  if (found == view_.jobs.end()) return nullptr;
-  const auto& job = found->second;
-  return job.shard == shard && job.spec && job.status == JobStatus::Open ? &job : nullptr;
 }
 
-// Offers capacity for the first of the jobs that there is some for.
-void ShardScheduler::handleCapacityRequest(const mesh::CapacityRequest& request) {
-  if (!mayOfferCapacity(capacityOfferedAt_)) return;
-  for (const auto& name : request.jobs) {
-    const auto* entry = openJobOf(ShardId{request.shard}, JobId{name});
-    if (!entry) continue;
-    Job probe;
-    probe.id = JobId{name};
-    probe.spec = entry->spec;
-    auto tasks = capacityFor(probe);
-    if (tasks == 0 || (probe.isGang() && tasks < probe.spec->tasks)) continue;
-    capacityOfferedAt_ = runtime_.now();
-    callbacks_.offerCapacity({takeover_.shard.value, request.shard, name, tasks});
-    return;
-  }
+// What other shards had of a job of ours when it was cancelled may still be there for a while.
+void JobMigration::countDelegated(const JobId& id, const JobEntry& entry) {
+  std::size_t tasks = 0;
+  for (const auto& delegation : entry.delegations) tasks += delegation.tasks.size();
+  bool counted = state_.job(id) || remoteUsage_.counts(id);
+  if (tasks == 0 || !entry.spec || counted) return;
+  remoteUsage_.countCommitted(id, *entry.spec, static_cast<std::uint32_t>(tasks));
 }
 
-// How many of the job's tasks our machines have free capacity for now, by zone, with up to sampleSize
-// machines looked at in each pool.
-std::map<Zone, std::uint32_t> ShardScheduler::capacityByZone(const Job& job) const {
-  const auto& spec = *job.spec;
-  std::map<Zone, std::uint32_t> capacity;
-  for (const auto& pool : state_.pools()) {
-    if (!allowedIn(job, pool)) continue;
-    auto& inZone = capacity[pool.zone];
-    auto candidate = pool.withFreeCores(spec.each.cores);
-    for (unsigned looked = 0; candidate != pool.byFreeCores.end() && looked < settings_.tuning.sampleSize;
-         ++candidate, ++looked) {
-      const Machine& machine = *candidate->second;
-      if (!allowed(job, machine)) continue;
-      auto free = machine.free();
-      for (; spec.each.fitsIn(free) && inZone < spec.tasks && zoneAllows(job, pool.zone, inZone); ++inZone)
-        free -= spec.each;
-    }
-  }
-  return capacity;
+void JobMigration::plan(const Job& job, ShardId toShard, std::uint32_t maxConcurrent) {
+  bool ownTeam = settings_.shardOfTeam(job.spec->team) == ownShard_;
+  if (ownTeam) remoteUsage_.reserve(job.id, *job.spec, maxConcurrent);
+  planned_.push_back({job.id, toShard, maxConcurrent});
 }
 
-// The same in all zones together, or in the best one for a job that must be in one.
-std::uint32_t ShardScheduler::capacityFor(const Job& job) const {
-  std::uint32_t inAll = 0;
-  std::uint32_t inBest = 0;
-  for (const auto& [_, tasks] : capacityByZone(job)) {
-    inAll += tasks;
-    inBest = std::max(inBest, tasks);
-  }
-  return std::min(job.spec->oneZone ? inBest : inAll, job.spec->tasks);
+bool JobMigration::plannedOrCounted(const JobId& job) const {
+  bool planned = std::any_of(planned_.begin(), planned_.end(),
+                             [&](const PlannedMigration& migration) { return migration.job == job; });
+  return planned || remoteUsage_.counts(job);
 }
 
-// --- the write, and what it means for the team's quota ---
-
-// Adds the planned migrations of jobs of which still nothing was anywhere. What is not added is no longer
-// planned: the job asks again with the next review.
-void ShardScheduler::addMigrations(TransactionBuilder& transaction) {
-  for (const auto& migration : std::exchange(plannedMigrations_, {})) {
-    if (addMigration(transaction, migration)) {
-      commitInFlight_->migrations.push_back(migration.job);
-      log_->info("migrating job: job={} to_shard={} max_concurrent={}", migration.job.value,
-                 migration.toShard.value, migration.maxConcurrent);
-    } else {
+std::vector<JobId> JobMigration::addPlanned(TransactionBuilder& transaction) {
+  std::vector<JobId> added;
+  for (const auto& migration : std::exchange(planned_, {})) {
+    if (!add(transaction, migration)) {
       remoteUsage_.dropReservation(migration.job);
+      continue;
     }
+    added.push_back(migration.job);
+    log_->info("migrating job: job={} to_shard={} max_concurrent={}", migration.job.value,
+               migration.toShard.value, migration.maxConcurrent);
   }
+  return added;
 }
 
-bool ShardScheduler::addMigration(TransactionBuilder& transaction, const PlannedMigration& migration) {
+bool JobMigration::add(TransactionBuilder& transaction, const PlannedMigration& migration) const {
   const Job* job = state_.job(migration.job);
   bool untouched = job && job->open() && job->placed == 0 && job->done == 0 && job->cancelWaiters.empty();
   if (!untouched) return false;
-  wire::JobRecord record{JobStatus::Open, migration.toShard, job->spec->tasks,
-                         job->submitted,  *job->spec,        {}};
-  bool toTeamsShard = settings_.shardOfTeam(job->spec->team) == migration.toShard;
-  if (!toTeamsShard) record.maxConcurrent = migration.maxConcurrent;
+  auto record = migratedRecord(*job, migration, settings_.shardOfTeam(job->spec->team));
   wire::Write write{keys::job(job->id), wire::encodeJobRecord(record), {}};
   if (write.value->size() > settings_.valueBytes) return false;
   return transaction.add(std::move(write), job->version);
 }
 
-MigrationCleanup ShardScheduler::cleanupOf(const Job& job) const {
-  auto record = cancelledRecord(job);
-  record.maxConcurrent = 0;
-  record.delegations.clear();
-  return {job.id, job.version, wire::encodeWithin(std::move(record), settings_.valueBytes)};
-}
-
-// A record that does not get its turn now is left as it is: the team's own shard then waits for cancel_s.
-void ShardScheduler::addCleanups(TransactionBuilder& transaction) {
-  for (auto& cleanup : std::exchange(migrationCleanups_, {}))
-    transaction.add({keys::job(cleanup.job), std::move(cleanup.value), {}}, cleanup.version);
-}
-
-void ShardScheduler::migrationCommitted(const JobId& id) {
-  remoteUsage_.commit(id);
-  Job* job = state_.job(id);
-  if (!job) return;
-  answerCancelWaiters(*job, JobStatus::Open);  // they ask again, and the other owner is told
-  failures_.forget(id);
-  state_.removeJob(id);
-}
-
-// After a takeover: what former owners of the shard migrated is in the cluster view by then.
-void ShardScheduler::countAllRemoteUsage() {
-  for (const auto& [id, entry] : view_.jobs) {
-    if (entry.shard == takeover_.shard && entry.status == JobStatus::Cancelled) countDelegated(id, entry);
-    bool elsewhere = entry.shard != takeover_.shard && entry.spec && entry.status != JobStatus::Done;
-    if (!elsewhere || settings_.shardOfTeam(entry.spec->team) != takeover_.shard) continue;
-    remoteUsage_.countCommitted(id, *entry.spec, entry.maxConcurrent.value_or(entry.tasks));
+void JobMigration::jobOver(const Job& job) {
+  bool withOtherShards = !job.delegation && job.remote > 0;
+  if (withOtherShards) {
+    remoteUsage_.takeOver(job.id, *job.spec, job.remote);
+  } else if (job.status == JobStatus::Cancelled && job.maxConcurrent) {
+    auto record = cleanedUpRecord(job, ownShard_);
+    cleanups_.push_back({job.id, job.version, wire::encodeWithin(std::move(record), settings_.valueBytes)});
   }
 }
 
-// What other shards had of a job of ours when it was cancelled may still be there for a while.
-void ShardScheduler::countDelegated(const JobId& id, const JobEntry& entry) {
-  std::size_t tasks = 0;
-  for (const auto& delegation : entry.delegations) tasks += delegation.tasks.size();
-  bool counted = state_.job(id) || remoteUsage_.counts(id);
-  if (tasks == 0 || !entry.spec || counted) return;
-  remoteUsage_.countCommitted(id, *entry.spec, static_cast<std::uint32_t>(tasks));
+void JobMigration::addCleanups(TransactionBuilder& transaction) {
+  for (auto& cleanup : std::exchange(cleanups_, {}))
+    transaction.add({keys::job(cleanup.job), std::move(cleanup.value), {}}, cleanup.version);
 }
 
 }  // namespace cherryloft
--- a/src/scheduler/shard_scheduler.cpp
+++ b/src/scheduler/shard_scheduler.cpp
@@ -36,7 +36,11 @@
       callbacks_(std::move(out)),
       state_(settings),
       failures_(seconds(settings.reportS)),
-      remoteUsage_(state_, seconds(settings.cancelS)) {}
+      jobMigration_(settings, view, state_, takeover.shard, log_),
+      taskDelegation_(
+          settings, view, state_, takeover.shard,
+          [this](const Job& job, const Zone& zone) { return zoneAllows(job, zone); }, log_),
+      delegatedTasks_(settings, view, state_, takeover.shard, log_) {}
 
 void ShardScheduler::start() {
   loadStarted_ = runtime_.now();
@@ -104,7 +108,7 @@
   for (auto& [id, job] : state_.jobs())
     if (job.status == JobStatus::Cancelled && job.placed == 0) over.push_back(id);
   for (const auto& id : over) cleanUp(*state_.job(id));
-  countAllRemoteUsage();
+  jobMigration_.countAfterTakeover();
   loaded_ = true;
   log_->info("share {} loaded: {} jobs, {} machines, {} ms", takeover_.shard.value, state_.jobs().size(),
              state_.machines().size(), (now - loadStarted_).count());
@@ -297,9 +301,9 @@
     return !j.second.waiting.empty() && j.second.notBefore > now - 2 * kTick && j.second.notBefore <= now;
   });
   if (due) requestRound(true);
-  bool toWrite = !unwrittenTasks_.empty() || !ending_.empty() || !migrationCleanups_.empty() ||
-                 !delegationWrites_.empty();
-  if (toWrite || anyReturnable(now)) requestRound(false);
+  bool toWrite = !unwrittenTasks_.empty() || !ending_.empty() || jobMigration_.cleanupsPlanned() ||
+                 taskDelegation_.anyPlanned();
+  if (toWrite || delegatedTasks_.anyReturnable(now)) requestRound(false);
 }
 
 // Whoever stood still hears first what has been waiting, and judges nobody before. What went unanswered
--- a/src/scheduler/shard_scheduler.h
+++ b/src/scheduler/shard_scheduler.h
@@ -15,10 +15,12 @@
 #include "policy/preempt.h"
 #include "scheduler/capacity_offers.h"
 #include "scheduler/commit_in_flight.h"
+#include "scheduler/delegated_tasks.h"
 #include "scheduler/failure_attribution.h"
-#include "scheduler/remote_usage.h"
+#include "scheduler/job_migration.h"
 #include "scheduler/shard_state.h"
 #include "scheduler/start_latencies.h"
+#include "scheduler/task_delegation.h"
 #include "wire/users.h"
 
 namespace cherryloft {
@@ -59,7 +61,7 @@
   HeartbeatAnswer handleHeartbeat(const wire::WorkerHeartbeat& r);
   void handleDirective(const mesh::MachineDirective& w);
   void returnToPreferredOwner(const ControllerId& to);
-  // Another shard's owner looks for capacity for its jobs, or offers some for ours (job_migration.cpp).
+  // Another shard's owner looks for capacity for its jobs, or offers some for ours (remote_capacity.cpp).
   void handleCapacityRequest(const mesh::CapacityRequest& request);
   void handleCapacityOffer(const mesh::CapacityOffer& offer);
   // The same for some tasks of a job (task_delegation_delegate.cpp, task_delegation_owner.cpp).
@@ -72,7 +74,7 @@
   bool loaded() const { return loaded_; }
   // Every cancellation that touches the shard's machines is committed by this actor, and known: not before it
   // has loaded, nor while it places tasks of another shard's job.
-  bool knowsCancellations() const { return loaded_ && delegatedHere_.empty(); }
+  bool knowsCancellations() const { return loaded_ && delegatedTasks_.none(); }
   ShardId shard() const { return takeover_.shard; }
   // The revision of the shard's latest cancellation.
   Version lastCancelled() const { return lastCancelled_; }
@@ -238,7 +240,7 @@
   void preempt(const std::vector<Ranked>& blocked);
   void preemptFor(const Ranked& blocked, CapacityForecast& room, unsigned& asked,
                   std::set<MachineId>& changed);
-  // Migration of jobs to other shards (invariant 17).
+  // Capacity of other shards, and for them (invariant 17).
   // What capacity of other shards is looked for: to migrate whole jobs, or to delegate tasks.
   enum class RemotePlacement : std::uint8_t { Migration, Delegation };
   void reviewMigrations(Time now);
@@ -254,35 +256,18 @@
   std::uint32_t capacityFor(const Job& job) const;
   std::optional<std::uint32_t> maxRemoteTasks(const Job& job) const;
   std::uint32_t tasksWithinLimit(const Job& job) const;
-  void countAllRemoteUsage();
-  void countDelegated(const JobId& id, const JobEntry& entry);
-  void addMigrations(TransactionBuilder& transaction);
-  bool addMigration(TransactionBuilder& transaction, const PlannedMigration& migration);
-  void migrationCommitted(const JobId& id);
-  MigrationCleanup cleanupOf(const Job& job) const;
-  void addCleanups(TransactionBuilder& transaction);
   // Delegation of tasks to other shards (invariant 18): of this shard's jobs, ...
   void reviewDelegations(Time now);
   mesh::TaskCapacityNeed taskCapacityNeed(const Job& job) const;
   bool planDelegations(Job& job, Time now);
-  void delegate(Job& job, const ReceivedTaskOffer& offer, std::uint32_t maxTasks);
-  void planRecall(Job& job);
+  void planRecall(Job& job) { taskDelegation_.planRecall(job); }
   void resumeDelegations(Job& job);
-  void undoPlan(Job& job, const std::vector<Delegation>& planned);
-  void addDelegations(TransactionBuilder& transaction);
-  bool addDelegation(TransactionBuilder& transaction, const Job& job, const DelegationWrite& change) const;
-  bool staysWithinValue(const wire::JobRecord& record) const;
-  std::optional<wire::JobRecord> recordWith(const Job& job, const DelegationWrite& change) const;
-  void delegationsCommitted(const DelegationWrite& written, Version version);
   void ownedJobChanged(Job& job, const JobEntry& entry);
   // ... and of other shards' jobs.
   void delegatedJobChanged(const JobId& id, const JobEntry& entry);
   Job& acceptDelegation(const JobId& id, const JobEntry& entry, const Delegation& delegation);
   void recallDelegated(Job& job);
   void cancelDelegated(Job& job);
-  std::vector<std::uint32_t> returnable(const Job& job, Time now) const;
-  bool anyReturnable(Time now) const;
-  void addReturns(TransactionBuilder& transaction);
   void returnCommitted(const DelegationReturn& written, Version version);
   bool mayNotKnowCancellations(Time now) const;
   // Commits.
@@ -293,13 +278,12 @@
   void transferOwnershipIfAsked();
   void ownershipTransferEnded(bool transferred);
   void committed(const TxnResult& result);
-  wire::JobRecord doneRecord(const Job& job) const;
-  wire::JobRecord cancelledRecord(const Job& job) const;
   void endIfFinished(const Job& job);
   void addFinishedJobs(TransactionBuilder& transaction);
   void addPages(TransactionBuilder& transaction);
   void addPageDrop(TransactionBuilder& transaction);
   void takeEffect(Version revision);
+  void migrationCommitted(const JobId& id);
   void completionCommitted(const TaskId& id);
   void placementCommitted(const PlacementWrite& written, std::set<MachineId>& machines);
   void jobEndCommitted(const JobEnd& end, Version revision, std::set<MachineId>& machines);
@@ -359,17 +343,13 @@
   Time resumed_{};  // the end of our own last standstill
 
   JobCapacityOffers jobOffers_;
-  RemoteUsage remoteUsage_;
-  std::vector<PlannedMigration> plannedMigrations_;  // to be written with the next commit
-  std::vector<MigrationCleanup> migrationCleanups_;  // likewise
+  JobMigration jobMigration_;
   Time migrationsReviewed_{};
   Time capacityOfferedAt_{};
 
   TaskCapacityOffers taskOffers_;
-  std::map<JobId, DelegationWrite> delegationWrites_;  // to be written with the next commit
-  std::set<JobId> delegatedHere_;                      // jobs of other shards in the shard state
-  // Delegations that were given back in full; the cluster view may show them until it shows that version.
-  std::map<JobId, Version> returnedAt_;
+  TaskDelegation taskDelegation_;
+  DelegatedTasks delegatedTasks_;
   Time delegationsReviewed_{};
   Time taskCapacityOfferedAt_{};
 
--- /dev/null
+++ b/src/scheduler/task_delegation.cpp
@@ -0,0 +1,141 @@
+#include "scheduler/task_delegation.h"
+
+#include <algorithm>
+#include <utility>
+
+#include "scheduler/job_records.h"
+#include "scheduler/shard_state.h"
+
+namespace cherryloft {
+
+TaskDelegation::TaskDelegation(const Settings& settings, const ClusterView& view, ShardState& state,
+                               ShardId ownShard, ZoneAllows zoneAllows, Log log)
+    : settings_(settings),
+      view_(view),
+      state_(state),
+      ownShard_(ownShard),
+      zoneAllows_(std::move(zoneAllows)),
+      log_(std::move(log)) {}
+
+// --- plans ---
+
+std::uint32_t TaskDelegation::plan(Job& job, const ReceivedTaskOffer& offer, std::uint32_t maxTasks) {
+  Delegation delegation{offer.shard, offer.zone, {}, job.gangAttempt};
+  auto most = std::min({maxTasks, offer.tasks, kMaxDelegatedTasks});
+  while (delegation.tasks.size() < most && (!offer.zone || zoneAllows_(job, *offer.zone))) {
+    auto index = job.waiting.front();
+    job.waiting.pop_front();
+    state_.makeRemote(job, index, offer.zone);
+    delegation.tasks.push_back(index);
+  }
+  if (delegation.tasks.empty()) return 0;
+  auto count = static_cast<std::uint32_t>(delegation.tasks.size());
+  std::sort(delegation.tasks.begin(), delegation.tasks.end());
+  log_->info("delegating tasks: job={} tasks={} to_shard={}", job.id.value, count, offer.shard.value);
+  auto& plan = plans_[job.id];
+  plan.job = job.id;
+  plan.planned.push_back(std::move(delegation));
+  return count;
+}
+
+void TaskDelegation::planRecall(Job& job) {
+  if (job.recalling) return;
+  job.recalling = true;
+  auto& plan = plans_[job.id];
+  plan.job = job.id;
+  plan.recall = true;
+}
+
+void TaskDelegation::dropPlan(Job& job) {
+  auto found = plans_.find(job.id);
+  if (found == plans_.end()) return;
+  letWaitAgain(job, found->second);
+  plans_.erase(found);
+}
+
+void TaskDelegation::letWaitAgain(Job& job, const DelegationWrite& plan) {
+  for (const auto& delegation : plan.planned)
+    for (auto index : delegation.tasks) state_.remoteBack(job, index, delegation.zone, false);
+  std::sort(job.waiting.begin(), job.waiting.end());
+}
+
+// --- the write ---
+
+// The job's record as it is known, with the change; nothing if the job is ending, and while the cluster view
+// lags behind our own writes.
+std::optional<wire::JobRecord> TaskDelegation::recordWith(const Job& job,
+                                                          const DelegationWrite& change) const {
+  auto found = view_.jobs.find(job.id);
+  if (found == view_.jobs.end()) return std::nullopt;
+  const auto& entry = found->second;
+  bool current = entry.version == job.version && entry.status == JobStatus::Open;
+  if (!current || !job.open() || !job.cancelWaiters.empty()) return std::nullopt;
+  return recordAfterDelegation(job, entry, ownShard_, change);
+}
+
+std::vector<DelegationWrite> TaskDelegation::addPlanned(TransactionBuilder& transaction) {
+  std::vector<DelegationWrite> added;
+  for (auto position = plans_.begin(); position != plans_.end();) {
+    auto& plan = position->second;
+    Job* job = state_.job(position->first);
+    bool open = job && job->open();
+    bool fits = open && add(transaction, *job, plan);
+    if (fits) {
+      added.push_back(std::move(plan));
+    } else if (open && plan.recall) {
+      ++position;
+      continue;
+    } else if (job) {
+      letWaitAgain(*job, plan);
+      if (open) job->gangAttempt.reset();
+    }
+    position = plans_.erase(position);
+  }
+  return added;
+}
+
+bool TaskDelegation::add(TransactionBuilder& transaction, const Job& job,
+                         const DelegationWrite& change) const {
+  auto record = recordWith(job, change);
+  if (!record) return false;
+  wire::Write write{keys::job(job.id), wire::encodeJobRecord(*record), {}};
+  // Whatever the delegates give back, done or not, the record must stay within a value.
+  auto size = change.recall ? write.value->size() : maxSizeAfterReturns(*record);
+  if (size > settings_.valueBytes) return false;
+  return transaction.add(std::move(write), job.version);
+}
+
+// --- what the record says ---
+
+// The cluster view may have shown it before the answer came, and what the delegates wrote since.
+void TaskDelegation::committed(const DelegationWrite& written, Version version) {
+  Job* job = state_.job(written.job);
+  if (!job || job->version >= version) return;
+  job->version = version;
+  job->delegations.insert(job->delegations.end(), written.planned.begin(), written.planned.end());
+}
+
+std::optional<ReturnedTasks> TaskDelegation::takeReturned(Job& job, const JobEntry& entry) {
+  bool bothOpen = entry.status == JobStatus::Open && job.status == JobStatus::Open;
+  if (!bothOpen || job.version >= entry.version) return std::nullopt;
+  job.version = entry.version;
+  ReturnedTasks returned;
+  auto former = std::exchange(job.delegations, entry.delegations);
+  for (const auto& before : former) {
+    const auto* now = findDelegation(entry.delegations, before.shard);
+    for (auto index : before.tasks) {
+      bool stillDelegated = now && now->covers(index);
+      if (stillDelegated || job.tasks[index].state != TaskState::Remote) continue;
+      bool done = std::binary_search(entry.doneRemotely.begin(), entry.doneRemotely.end(), index);
+      state_.remoteBack(job, index, before.zone, done);
+      (done ? returned.done : returned.unfinished).push_back(index);
+    }
+  }
+  if (job.remote == 0) {
+    job.recalling = false;
+    job.gangAttempt.reset();
+  }
+  return returned;
+}
+
+}  // namespace cherryloft
--- a/src/scheduler/task_delegation_delegate.cpp
+++ b/src/scheduler/task_delegation_delegate.cpp
@@ -5,31 +5,10 @@
 // it, and gives back what is done, and what it finds no capacity for. What it gives back is done or known
 // gone from its machines. The owner's part is in task_delegation_owner.cpp.
 #include <algorithm>
-#include <utility>
 
 #include "scheduler/shard_scheduler.h"
 
 namespace cherryloft {
-namespace {
-
-// What found no capacity for so long goes back to the owner, which may find some elsewhere.
-constexpr Duration kReturnsAfter{30'000};
-
-// The job's record as the cluster view shows it, after the return.
-wire::JobRecord recordAfterReturn(const Job& job, const JobEntry& entry, const DelegationReturn& change) {
-  wire::JobRecord record{JobStatus::Open, entry.shard,         entry.tasks,       entry.submitted,
-                         *job.spec,       entry.maxConcurrent, entry.delegations, entry.doneRemotely};
-  std::erase_if(record.delegations,
-                [&](const Delegation& delegation) { return delegation.shard == change.kept.shard; });
-  if (!change.kept.tasks.empty()) record.delegations.push_back(change.kept);
-  for (auto index : change.tasks)
-    if (job.tasks[index].state == TaskState::Done) record.doneRemotely.push_back(index);
-  std::sort(record.doneRemotely.begin(), record.doneRemotely.end());
-  return record;
-}
-
-}  // namespace
-
 // Offers capacity for the first of the jobs that there is some for: of the zones that its tasks may go to,
 // the one that has most.
 void ShardScheduler::handleTaskCapacityRequest(const mesh::TaskCapacityRequest& request) {
@@ -59,7 +38,7 @@
 Job& ShardScheduler::acceptDelegation(const JobId& id, const JobEntry& entry, const Delegation& delegation) {
   auto& job = state_.addJob(id, entry, &delegation);
   job.since = runtime_.now();
-  delegatedHere_.insert(id);
+  delegatedTasks_.add(id);
   // A gang's attempt is tried once; whether a former owner of this shard did is not known.
   if (!loaded_ && delegation.attempt) job.begun = true;
   if (loaded_ && delegation.recalled) recallDelegated(job);  // else once what is placed is restored
@@ -72,10 +51,7 @@
   const auto* delegation = findDelegation(entry.delegations, takeover_.shard);
   Job* job = state_.job(id);
   if (!job) {
-    auto returned = returnedAt_.find(id);
-    bool viewLags = returned != returnedAt_.end() && entry.version < returned->second;
-    if (viewLags) return;
-    if (returned != returnedAt_.end()) returnedAt_.erase(returned);
+    if (delegatedTasks_.returnedSince(id, entry.version)) return;
     if (!delegation || entry.status != JobStatus::Open || !entry.spec) return;
     acceptDelegation(id, entry, *delegation);
     requestRound(true);
@@ -113,67 +89,10 @@
   requestRound(true);
 }
 
-// --- what goes back to the owner ---
-
-// Tasks that go back to the owner: all that are not placed, once nothing is left to do, or once what waits
-// found no capacity for long or is asked back. Of a gang, as soon as none is placed.
-std::vector<std::uint32_t> ShardScheduler::returnable(const Job& job, Time now) const {
-  bool over = job.placed == 0 && job.waiting.empty();
-  bool inVain = now - std::max(job.since, job.placedLast) >= kReturnsAfter;
-  bool gangEnded = job.delegation->attempt && job.begun && job.placed == 0;
-  bool givesUpWaiting = !job.waiting.empty() && (inVain || job.recalling || gangEnded);
-  std::vector<std::uint32_t> tasks;
-  if (!over && !givesUpWaiting) return tasks;
-  for (auto index : job.delegation->tasks)
-    if (!job.tasks[index].machine) tasks.push_back(index);
-  return tasks;
-}
-
-bool ShardScheduler::anyReturnable(Time now) const {
-  return std::any_of(delegatedHere_.begin(), delegatedHere_.end(), [&](const JobId& id) {
-    auto job = state_.jobs().find(id);
-    return job != state_.jobs().end() && job->second.status == JobStatus::Open &&
-           !returnable(job->second, now).empty();
-  });
-}
-
-void ShardScheduler::addReturns(TransactionBuilder& transaction) {
-  for (const auto& id : delegatedHere_) {
-    Job* job = state_.job(id);
-    auto found = view_.jobs.find(id);
-    if (!job || found == view_.jobs.end()) continue;
-    const auto& entry = found->second;
-    bool current = entry.version == job->version;
-    if (!current || job->status != JobStatus::Open || entry.status != JobStatus::Open) continue;
-    auto tasks = returnable(*job, runtime_.now());
-    if (tasks.empty()) continue;
-    DelegationReturn change{id, tasks, *job->delegation};
-    std::erase_if(change.kept.tasks,
-                  [&](auto index) { return std::binary_search(tasks.begin(), tasks.end(), index); });
-    wire::Write write{keys::job(id), wire::encodeJobRecord(recordAfterReturn(*job, entry, change)), {}};
-    // One that was written under a larger limit waits until it has shrunk, or its job is over.
-    if (write.value->size() > settings_.valueBytes) continue;
-    if (!transaction.add(std::move(write), job->version)) return;
-    commitInFlight_->delegationReturns.push_back(std::move(change));
-  }
-}
+// --- what went back to the owner ---
 
 void ShardScheduler::returnCommitted(const DelegationReturn& written, Version version) {
-  Job* job = state_.job(written.job);
-  if (!job || job->status != JobStatus::Open) return;
-  job->version = version;
-  for (auto index : written.tasks) {
-    auto& task = job->tasks[index];
-    std::erase(job->waiting, index);
-    if (task.state != TaskState::Waiting) continue;
-    task.state = TaskState::Remote;
-    ++job->remote;
-  }
-  job->delegation->tasks = written.kept.tasks;
-  log_->info("delegated tasks returned: job={} tasks={}", written.job.value, written.tasks.size());
-  if (!written.kept.tasks.empty()) return;
-  returnedAt_[written.job] = version;
-  delegatedHere_.erase(written.job);
+  if (!delegatedTasks_.committed(written, version)) return;
   failures_.forget(written.job);
   state_.removeJob(written.job);
 }
@@ -181,7 +100,7 @@
 // A cancellation of a delegated job is confirmed by its owner, and we see it in the watch cache (invariant
 // 16).
 bool ShardScheduler::mayNotKnowCancellations(Time now) const {
-  return !delegatedHere_.empty() && now >= store_.currentAsOf(keys::kJobs) + settings_.blindFor();
+  return !delegatedTasks_.none() && now >= store_.currentAsOf(keys::kJobs) + settings_.blindFor();
 }
 
 }  // namespace cherryloft
