--- a/src/cluster/cluster_view.cpp
+++ b/src/cluster/cluster_view.cpp
@@ -8,157 +8,193 @@
 namespace cherryloft {
 namespace {
 
-constexpr std::size_t kMostEnds = 400;  // keeps an answer's line under 64 KiB; the next answer names the rest
+// Keeps the line of an answer under 64 KiB; the next answer names the rest.
+constexpr std::size_t kMaxStopCommands = 400;
 
-bool under(const std::string& key, const std::string& prefix) {
-  return key.compare(0, prefix.size(), prefix) == 0;
+std::optional<wire::OwnerRecord> ownerIn(const wire::KeyChange& change) {
+  return change.value ? wire::parseOwnerRecord(*change.value) : std::nullopt;
 }
 
-void applyShard(ClusterView& d, const wire::KeyChange& c, const std::string& name) {
-  if (c.key == keys::kEpoch) {
-    if (auto e = c.value ? wire::parseCounter(*c.value) : std::nullopt)
-      d.epoch = *e, d.epochVersion = c.version;
-    return;
-  }
-  if (c.key == keys::kCatalog) {
-    auto catalog = c.value ? wire::parseCatalog(*c.value) : std::nullopt;
-    if (catalog) d.catalog = std::move(*catalog), d.catalogVersion = c.version;
-    return;
-  }
-  if (c.key == keys::kGroups) {
-    d.groupsVersion = c.version;
-    return;
-  }
-  auto owner = c.value ? wire::parseOwnerRecord(*c.value) : std::nullopt;
-  if (c.key == keys::kLeader) {
-    d.leader.reset();
-    if (owner) d.leader = OwnerEntry{*owner, c.version};
-    return;
-  }
-  ShardId k;
-  auto [p, ec] = std::from_chars(name.data(), name.data() + name.size(), k.value);
-  if (ec != std::errc{} || p != name.data() + name.size()) return;
-  d.shards.erase(k);
-  if (owner) d.shards[k] = OwnerEntry{*owner, c.version};
+// Nothing unless the whole name is a number.
+std::optional<ShardId> parseShardId(const std::string& name) {
+  ShardId shard;
+  const char* end = name.data() + name.size();
+  auto [parsedTo, error] = std::from_chars(name.data(), end, shard.value);
+  if (error != std::errc{} || parsedTo != end) return std::nullopt;
+  return shard;
 }
 
 }  // namespace
 
-// Machines come, change and go with their group; one that moved shows in its new group from the same
-// revision on, whichever of the two is seen first.
-std::vector<MachineId> ClusterView::applyGroup(const wire::KeyChange& c, const Log& log) {
-  auto r = c.value ? wire::parseGroup(*c.value) : wire::GroupRecord{};
-  if (!r) {
+std::vector<MachineId> ClusterView::apply(const wire::KeyChange& change, const Log& log) {
+  if (keys::isUnder(change.key, keys::kMachines)) return applyGroup(change, log);
+  if (keys::isUnder(change.key, keys::kJobs))
+    applyJob(change, log);
+  else if (keys::isUnder(change.key, keys::kControllers))
+    applyController(change);
+  else if (keys::isUnder(change.key, keys::kShards))
+    applyShardKey(change);
+  return {};
+}
+
+void ClusterView::applyJob(const wire::KeyChange& change, const Log& log) {
+  JobId id{change.key.substr(keys::kJobs.size())};
+  auto record = change.value ? wire::parseJobRecord(id, *change.value) : std::nullopt;
+  if (!record) {
+    log->error("unreadable job record job={}", id.value);
+    return;
+  }
+  auto& job = jobs[id];
+  if (job.version > change.version) return;
+  job.version = change.version;
+  job.maxConcurrent = record->maxConcurrent;
+  // Terminal is final; the end may have been heard of before its record came.
+  if (job.status != JobStatus::Open) return;
+  job.status = record->status;
+  job.shard = record->shard;
+  job.tasks = record->tasks;
+  job.submitted = record->submitted;
+  job.delegations = std::move(record->delegations);
+  job.doneRemotely = std::move(record->doneRemotely);
+  job.spec = record->spec ? std::make_shared<const JobSpec>(std::move(*record->spec)) : nullptr;
+}
+
+// Machines come, change and go with their group. One that moved shows in its new group from the same revision
+// on, whichever of the two changes is seen first.
+std::vector<MachineId> ClusterView::applyGroup(const wire::KeyChange& change, const Log& log) {
+  auto group = change.value ? wire::parseGroup(*change.value) : wire::GroupRecord{};
+  if (!group) {
     // Its machines may hold tasks: what was known of them stands.
-    log->error("unreadable machine group {}, perhaps of another layout", c.key);
+    log->error("unreadable machine group, perhaps of another layout key={}", change.key);
     return {};
   }
   std::vector<MachineId> touched;
   std::set<MachineId> present;
-  for (const auto& m : r->members) {
-    auto it = machines.find(m.id);
-    if (it != machines.end() && it->second.version > c.version) continue;
-    present.insert(m.id);
-    machines[m.id] = {
-        {r->shard, r->token, m.phase, r->type, r->zone, r->spot, m.address, r->since}, c.version, c.key};
-    touched.push_back(m.id);
+  for (const auto& member : group->members) {
+    auto known = machines.find(member.id);
+    if (known != machines.end() && known->second.version > change.version) continue;
+    present.insert(member.id);
+    machines[member.id] = {{group->shard, group->token, member.phase, group->type, group->zone, group->spot,
+                            member.address, group->since},
+                           change.version,
+                           change.key};
+    touched.push_back(member.id);
   }
-  for (const auto& id : groups[c.key]) {
-    auto it = machines.find(id);
-    if (present.count(id) > 0 || it == machines.end() || it->second.group != c.key) continue;
-    machines.erase(it);
+  for (const auto& id : groups[change.key]) {
+    auto known = machines.find(id);
+    if (present.count(id) > 0 || known == machines.end() || known->second.group != change.key) continue;
+    machines.erase(known);
     touched.push_back(id);
   }
   if (present.empty())
-    groups.erase(c.key);
+    groups.erase(change.key);
   else
-    groups[c.key].assign(present.begin(), present.end());
+    groups[change.key].assign(present.begin(), present.end());
   return touched;
 }
 
+void ClusterView::applyController(const wire::KeyChange& change) {
+  ControllerId controller{change.key.substr(keys::kControllers.size())};
+  if (change.value)
+    controllers[controller] = change.version;
+  else
+    controllers.erase(controller);
+}
+
+void ClusterView::applyShardKey(const wire::KeyChange& change) {
+  if (change.key == keys::kEpoch)
+    applyEpoch(change);
+  else if (change.key == keys::kCatalog)
+    applyCatalog(change);
+  else if (change.key == keys::kGroups)
+    groupsVersion = change.version;
+  else if (change.key == keys::kLeader)
+    applyLeader(change);
+  else
+    applyShardOwner(change);
+}
+
+void ClusterView::applyEpoch(const wire::KeyChange& change) {
+  auto counter = change.value ? wire::parseCounter(*change.value) : std::nullopt;
+  if (!counter) return;
+  epoch = *counter;
+  epochVersion = change.version;
+}
+
+void ClusterView::applyCatalog(const wire::KeyChange& change) {
+  auto parsed = change.value ? wire::parseCatalog(*change.value) : std::nullopt;
+  if (!parsed) return;
+  catalog = std::move(*parsed);
+  catalogVersion = change.version;
+}
+
+void ClusterView::applyLeader(const wire::KeyChange& change) {
+  leader.reset();
+  if (auto owner = ownerIn(change)) leader = OwnerEntry{*owner, change.version};
+}
+
+void ClusterView::applyShardOwner(const wire::KeyChange& change) {
+  auto shard = parseShardId(change.key.substr(keys::kShards.size()));
+  if (!shard) return;
+  shards.erase(*shard);
+  if (auto owner = ownerIn(change)) shards[*shard] = OwnerEntry{*owner, change.version};
+}
+
 wire::GroupRecord ClusterView::group(const std::string& key) const {
-  wire::GroupRecord r;
-  auto it = groups.find(key);
-  if (it == groups.end()) return r;
-  for (const auto& id : it->second) {
-    auto h = machines.find(id);
-    if (h == machines.end() || h->second.group != key) continue;
-    const auto& x = h->second.record;
-    r.shard = x.shard, r.token = x.token, r.type = x.type, r.zone = x.zone, r.spot = x.spot,
-    r.since = x.since;
-    r.members.push_back({id, x.phase, x.address});
+  wire::GroupRecord group;
+  auto members = groups.find(key);
+  if (members == groups.end()) return group;
+  for (const auto& id : members->second) {
+    auto machine = machines.find(id);
+    if (machine == machines.end() || machine->second.group != key) continue;
+    const auto& record = machine->second.record;
+    group.shard = record.shard;
+    group.token = record.token;
+    group.type = record.type;
+    group.zone = record.zone;
+    group.spot = record.spot;
+    group.since = record.since;
+    group.members.push_back({id, record.phase, record.address});
   }
-  return r;
+  return group;
 }
 
 Version ClusterView::groupVersion(const std::string& key) const {
   auto members = groups.find(key);
   if (members == groups.end()) return {};
-  for (const auto& id : members->second)
-    if (auto h = machines.find(id); h != machines.end() && h->second.group == key) return h->second.version;
+  for (const auto& id : members->second) {
+    auto machine = machines.find(id);
+    if (machine != machines.end() && machine->second.group == key) return machine->second.version;
+  }
   return {};
 }
 
-std::vector<wire::Command> ClusterView::stopCommandsForCancelled(const wire::WorkerHeartbeat& r) const {
-  std::vector<wire::Command> ends;
-  for (const auto& t : r.tasks) {
-    if (ends.size() >= kMostEnds) break;
-    auto job = jobs.find(t.task.job);
-    if (job != jobs.end() && job->second.status == JobStatus::Cancelled && t.phase != wire::TaskPhase::Exited)
-      ends.push_back({wire::Command::Verb::Stop, t.task, t.attempt, 0});
+std::vector<wire::Command> ClusterView::stopCommandsForCancelled(
+    const wire::WorkerHeartbeat& heartbeat) const {
+  std::vector<wire::Command> stops;
+  for (const auto& reported : heartbeat.tasks) {
+    if (stops.size() >= kMaxStopCommands) break;
+    auto job = jobs.find(reported.task.job);
+    bool cancelled = job != jobs.end() && job->second.status == JobStatus::Cancelled;
+    if (cancelled && reported.phase != wire::TaskPhase::Exited)
+      stops.push_back({wire::Command::Verb::Stop, reported.task, reported.attempt, 0});
   }
-  return ends;
+  return stops;
 }
 
 void ClusterView::jobEnded(const JobId& id, JobStatus status, Version version) {
-  auto it = jobs.find(id);
-  if (it == jobs.end() || it->second.status != JobStatus::Open || it->second.version > version) return;
-  it->second.status = status;
-  it->second.version = version;
-  if (status == JobStatus::Done) it->second.spec.reset();
+  auto entry = jobs.find(id);
+  if (entry == jobs.end()) return;
+  auto& job = entry->second;
+  if (job.status != JobStatus::Open || job.version > version) return;
+  job.status = status;
+  job.version = version;
+  // What is left of a cancelled job is still stopped by its description.
+  if (status == JobStatus::Done) job.spec.reset();
 }
 
 void ClusterView::jobEnded(const JobId& id, JobStatus status) {
-  if (auto it = jobs.find(id); it != jobs.end()) jobEnded(id, status, it->second.version);
-}
-
-std::vector<MachineId> ClusterView::apply(const wire::KeyChange& c, const Log& log) {
-  if (under(c.key, keys::kJobs)) {
-    JobId id{c.key.substr(keys::kJobs.size())};
-    auto r = c.value ? wire::parseJobRecord(id, *c.value) : std::nullopt;
-    if (!r) {
-      log->error("unreadable job record {}", id.value);
-      return {};
-    }
-    auto& j = jobs[id];
-    if (j.version > c.version) return {};
-    if (j.status !=
-        JobStatus::Open) {  // terminal is final; the end may have been heard of before its record came
-      j.version = c.version;
-      j.maxConcurrent = r->maxConcurrent;
-      return {};
-    }
-    j.status = r->status;
-    j.shard = r->shard;
-    j.tasks = r->tasks;
-    j.submitted = r->submitted;
-    j.version = c.version;
-    j.maxConcurrent = r->maxConcurrent;
-    j.delegations = std::move(r->delegations);
-    j.doneRemotely = std::move(r->doneRemotely);
-    j.spec = r->spec ? std::make_shared<const JobSpec>(std::move(*r->spec)) : nullptr;
-  } else if (under(c.key, keys::kMachines)) {
-    return applyGroup(c, log);
-  } else if (under(c.key, keys::kControllers)) {
-    ControllerId n{c.key.substr(keys::kControllers.size())};
-    if (c.value)
-      controllers[n] = c.version;
-    else
-      controllers.erase(n);
-  } else if (under(c.key, keys::kShards)) {
-    applyShard(*this, c, c.key.substr(keys::kShards.size()));
-  }
-  return {};
+  if (auto entry = jobs.find(id); entry != jobs.end()) jobEnded(id, status, entry->second.version);
 }
 
 }  // namespace cherryloft
--- a/src/cluster/cluster_view.h
+++ b/src/cluster/cluster_view.h
@@ -1,12 +1,15 @@
-// What this controller knows of the shared records: a read model that follows the state service.
-// Terminal states in it are final; all else may lag.
+// The cluster view: this controller's read model of the shared records, fed by the watch caches of the state
+// service. It may lag behind the service, except that a terminal job status, once seen, is final.
 #pragma once
 
 #include <map>
 #include <memory>
 #include <optional>
+#include <string>
 #include <unordered_map>
+#include <vector>
 
+#include "cluster/keys.h"
 #include "config/settings.h"
 #include "log/log.h"
 #include "wire/kvstore.h"
@@ -19,12 +22,12 @@
   ShardId shard;
   std::uint32_t tasks = 0;
   WallTime submitted;
-  Version version;
-  std::shared_ptr<const JobSpec> spec;  // while open
-  std::optional<std::uint32_t>
-      maxConcurrent{};  // of a job in another shard than its team's (wire::JobRecord)
-  std::vector<Delegation> delegations{};
-  std::vector<std::uint32_t> doneRemotely{};
+  Version version;                      // of its record, or of the committed end that was heard of before it
+  std::shared_ptr<const JobSpec> spec;  // null once the job is done
+  // Of a job that runs in another shard than its team's (invariant 17, wire::JobRecord).
+  std::optional<std::uint32_t> maxConcurrent{};
+  std::vector<Delegation> delegations{};      // tasks that other shards place (invariant 18)
+  std::vector<std::uint32_t> doneRemotely{};  // ascending; those of them that are done
 };
 
 struct MachineEntry {
@@ -38,56 +41,57 @@
   Version version;
 };
 
+// A plain value without I/O; the Controller owns the only one, changes it, and lends it to its parts for
+// reading. Entries stay valid until the next change only.
 struct ClusterView {
   std::unordered_map<JobId, JobEntry> jobs;
   std::unordered_map<MachineId, MachineEntry> machines;
-  std::map<std::string, std::vector<MachineId>> groups;  // host/ keys and the machines in each
+  std::map<std::string, std::vector<MachineId>> groups;  // keys of machine groups and the machines in each
   std::unordered_map<ShardId, OwnerEntry> shards;
   std::unordered_map<ControllerId, Version> controllers;  // controllers whose lease lives
   std::optional<OwnerEntry> leader;
-  Epoch epoch;  // the last one drawn
+  Epoch epoch;  // the last one allocated
   Version epochVersion;
   Catalog catalog;
   Version catalogVersion;
   Version groupsVersion;  // of the latest creation of machine groups
 
-  bool alive(const ControllerId& n) const { return controllers.count(n) > 0; }
-  const ControllerId* ownerOf(ShardId k) const {
-    auto it = shards.find(k);
-    return it == shards.end() ? nullptr : &it->second.record.owner;
+  // Whether the controller's lease lives, as far as the view shows.
+  [[nodiscard]] bool alive(const ControllerId& controller) const { return controllers.count(controller) > 0; }
+  // The recorded owner of the shard, alive or not; null if there is none.
+  [[nodiscard]] const ControllerId* ownerOf(ShardId shard) const {
+    auto entry = shards.find(shard);
+    return entry == shards.end() ? nullptr : &entry->second.record.owner;
   }
 
-  // Takes in one change; unreadable records are logged and left out. Names the machines it touched.
-  std::vector<MachineId> apply(const wire::KeyChange& c, const Log& log);
-  // What ends the tasks that a report shows of jobs that are called off. Any answer that prolongs a worker's
-  // lease carries it, whoever gives that answer and in whatever role (invariant 16).
-  std::vector<wire::Command> stopCommandsForCancelled(const wire::WorkerHeartbeat& r) const;
-  // The word that the owner gives to users: the job is over. Its record comes later.
+  // Takes in one changed key. Unreadable records are logged and leave the view as it is. Returns the machines
+  // whose entry came, changed or went.
+  std::vector<MachineId> apply(const wire::KeyChange& change, const Log& log);
+
+  // Stop commands for all tasks in the heartbeat whose job is cancelled. Every answer that extends a worker's
+  // lease carries them, whoever gives it and in whatever role (invariant 16).
+  [[nodiscard]] std::vector<wire::Command> stopCommandsForCancelled(
+      const wire::WorkerHeartbeat& heartbeat) const;
+
+  // Takes in that a job is over, as its owner answered to a user, before the record shows it.
   void jobEnded(const JobId& id, JobStatus status);
-  // The word of the owner of the job's shard that it is over: committed under that version, and final.
+  // The same from a message of the shard's owner that names the version of the commit.
   void jobEnded(const JobId& id, JobStatus status, Version version);
-  // A machine group as it is known, to be written anew with a change.
-  wire::GroupRecord group(const std::string& key) const;
-  // The version of its record; 0 if there is none.
-  Version groupVersion(const std::string& key) const;
+
+  // The machine group as the view shows it, to be rewritten with a change; without members if unknown.
+  [[nodiscard]] wire::GroupRecord group(const std::string& key) const;
+  // The version of the group's record; 0 if there is none.
+  [[nodiscard]] Version groupVersion(const std::string& key) const;
 
  private:
-  std::vector<MachineId> applyGroup(const wire::KeyChange& c, const Log& log);
+  void applyJob(const wire::KeyChange& change, const Log& log);
+  std::vector<MachineId> applyGroup(const wire::KeyChange& change, const Log& log);
+  void applyController(const wire::KeyChange& change);
+  void applyShardKey(const wire::KeyChange& change);
+  void applyEpoch(const wire::KeyChange& change);
+  void applyCatalog(const wire::KeyChange& change);
+  void applyLeader(const wire::KeyChange& change);
+  void applyShardOwner(const wire::KeyChange& change);
 };
 
-namespace keys {
-inline const std::string kJobs = "job/", kMachines = "host/", kShards = "share/", kControllers = "node/";
-inline const std::string kLeader = "share/leader", kEpoch = "share/epoch", kCatalog = "share/catalog";
-inline const std::string kGroups = "share/groups";  // written with every creation of machine groups
-inline std::string job(const JobId& id) { return kJobs + id.value; }
-// A group is named after its first machine and the epoch under which it was formed, and so once for ever.
-inline std::string group(const MachineId& first, Epoch e) {
-  return kMachines + first.value + "." + std::to_string(e.value);
-}
-inline std::string shard(ShardId k) { return kShards + std::to_string(k.value); }
-inline std::string controller(const ControllerId& n) { return kControllers + n.value; }
-inline std::string placementPages(ShardId k) { return "run/" + std::to_string(k.value) + "/"; }
-inline std::string page(ShardId k, std::uint32_t n) { return placementPages(k) + std::to_string(n); }
-}  // namespace keys
-
 }  // namespace cherryloft
--- a/src/cluster/keep_alive_proxy.cpp
+++ b/src/cluster/keep_alive_proxy.cpp
@@ -4,54 +4,64 @@
 
 namespace cherryloft {
 namespace {
-// Between the last word that it answers nobody and a keep-alive proxy's first answer: long enough for the
-// owner to notice that heartbeats are missing before any lease could end a moment too early in its shard
-// state.
-constexpr Duration kQuiet{5'000};
+
+// Between a proxy's last statement that it answers nobody and its first answer: long enough for the owner to
+// notice that heartbeats are missing before any lease could end a moment too early in its shard state.
+constexpr Duration kDisclaimerValidity{5'000};
+// What the two clocks may drift apart within that time.
 constexpr Duration kDrift{100};
 
-std::int64_t ms(Time t) { return t.time_since_epoch().count(); }
-Time time(std::int64_t ms) { return Time{Duration{ms}}; }
+std::int64_t toMs(Time time) { return time.time_since_epoch().count(); }
+Time fromMs(std::int64_t ms) { return Time{Duration{ms}}; }
+
 }  // namespace
 
-void KeepAliveProxyLink::fill(mesh::PeerHeartbeat& p, bool hears, Time now) {
-  p.at = ms(now);
-  p.echo = seenAt_;
-  p.proxy = !hears;
-  p.answeredAgoMs = lastAnswer_ ? (now - *lastAnswer_).count() : -1;
-  if (hears) lastQuiet_ = now;
+void KeepAliveProxyLink::fillHeartbeat(mesh::PeerHeartbeat& heartbeat, PeerContact contact, Time now) {
+  heartbeat.at = toMs(now);
+  heartbeat.echo = peerSentAtMs_;
+  heartbeat.proxy = contact == PeerContact::NotHeard;
+  heartbeat.answeredAgoMs = lastAnswerAt_ ? (now - *lastAnswerAt_).count() : -1;
+  if (contact == PeerContact::Heard) lastDisclaimedAt_ = now;
 }
 
-bool KeepAliveProxyLink::came(const mesh::PeerHeartbeat& p, Time now) {
-  if (p.life < life_ || (p.life == life_ && p.at <= seenAt_)) return false;
+bool KeepAliveProxyLink::acceptHeartbeat(const mesh::PeerHeartbeat& heartbeat, Time now) {
+  bool outdated =
+      heartbeat.life < peerLife_ || (heartbeat.life == peerLife_ && heartbeat.at <= peerSentAtMs_);
+  if (outdated) return false;
   // A process that ended did not tell of its last answers.
-  if (p.life > life_ && life_ > 0) told_ = std::max(told_, std::min(now, allowance_));
-  life_ = p.life;
-  seenAt_ = p.at;
-  // What it echoes is a word of ours, and the heartbeat younger than that word, however late it comes. A word
-  // from before our start may be by another clock.
-  bool echoes = p.echo >= ms(started_) && p.echo <= ms(now);
-  if (echoes && !p.proxy) quietAt_ = std::max(quietAt_, time(p.echo));
-  if (p.answeredAgoMs >= 0) told_ = std::max(told_, now - Duration{p.answeredAgoMs});
-  allowance_ = now + most_;
-  shards_.clear();
+  if (heartbeat.life > peerLife_ && peerLife_ > 0)
+    answeredUntil_ = std::max(answeredUntil_, std::min(now, mayAnswerUntil_));
+  peerLife_ = heartbeat.life;
+  peerSentAtMs_ = heartbeat.at;
+  // It echoes a heartbeat of ours, and is younger than that one, however late it comes. One from before our
+  // start may be by another clock.
+  bool echoesOurs = heartbeat.echo >= toMs(started_) && heartbeat.echo <= toMs(now);
+  if (echoesOurs && !heartbeat.proxy) disclaimedAt_ = std::max(disclaimedAt_, fromMs(heartbeat.echo));
+  if (heartbeat.answeredAgoMs >= 0)
+    answeredUntil_ = std::max(answeredUntil_, now - Duration{heartbeat.answeredAgoMs});
+  mayAnswerUntil_ = now + maxProxyTime_;
+  peerShards_.clear();
   allowedUntil_ = Time{};
-  if (echoes && p.ownsForMs > 0) {
-    allowedUntil_ = time(p.echo) + std::min(Duration{p.ownsForMs} + grace_, most_);
-    for (const auto& s : p.owns) shards_[ShardId{s.shard}] = {Epoch{s.epoch}, Version{s.cancelled}};
+  if (echoesOurs && heartbeat.ownsForMs > 0) {
+    allowedUntil_ = fromMs(heartbeat.echo) + std::min(Duration{heartbeat.ownsForMs} + grace_, maxProxyTime_);
+    for (const auto& owned : heartbeat.owns)
+      peerShards_[ShardId{owned.shard}] = {Epoch{owned.epoch}, Version{owned.cancelled}};
   }
   return true;
 }
 
-bool KeepAliveProxyLink::mayAnswer(ShardId shard, Epoch epoch, Version seen, bool hears, Time now) const {
-  if (hears || now >= allowedUntil_ || now - lastQuiet_ < kQuiet + kDrift) return false;
-  auto it = shards_.find(shard);
-  return it != shards_.end() && it->second.epoch == epoch && it->second.cancelled <= seen;
+bool KeepAliveProxyLink::mayAnswer(ShardId shard, Epoch epoch, Version knownUpTo, PeerContact contact,
+                                   Time now) const {
+  if (contact == PeerContact::Heard || now >= allowedUntil_) return false;
+  if (now - lastDisclaimedAt_ < kDisclaimerValidity + kDrift) return false;
+  auto statement = peerShards_.find(shard);
+  if (statement == peerShards_.end()) return false;
+  return statement->second.epoch == epoch && statement->second.lastCancellation <= knownUpTo;
 }
 
-Time KeepAliveProxyLink::mayHaveAnswered(Time now) const {
-  if (now - quietAt_ < kQuiet) return told_;
-  return std::max(told_, std::min(now, allowance_));
+Time KeepAliveProxyLink::mayHaveAnsweredUntil(Time now) const {
+  if (now - disclaimedAt_ < kDisclaimerValidity) return answeredUntil_;
+  return std::max(answeredUntil_, std::min(now, mayAnswerUntil_));
 }
 
 }  // namespace cherryloft
--- a/src/cluster/keep_alive_proxy.h
+++ b/src/cluster/keep_alive_proxy.h
@@ -1,11 +1,11 @@
-// Answering for a sibling that is out of reach (invariant 15). A controller that is cut off together with
-// workers of another's shards may answer their heartbeats, without commands, for as long as that other itself
-// might after losing its lease; and the other, or whoever owns the shard after it, counts those workers'
-// leases from the last moment at which that may have happened. It must have seen every cancellation that the
-// other had committed when it said its last word (invariant 16). One link holds both sides' knowledge of one
-// sibling. No I/O and no clock of its own.
+// Keep-alive proxying between two controllers (invariant 15). A controller that is cut off from a shard's
+// owner together with workers of that shard may answer their heartbeats in the owner's name, so that their
+// leases live on. It sends no commands but stops of cancelled tasks (invariant 16), and only for as long as
+// the owner itself might answer after losing its own lease. The owner, or whoever owns the shard next, counts
+// the leases of those workers from the last moment at which the proxy may have answered.
 #pragma once
 
+#include <cstdint>
 #include <map>
 #include <optional>
 
@@ -14,47 +14,59 @@
 
 namespace cherryloft {
 
+// Whether the peer was heard directly of late, by Peers::hears.
+enum class PeerContact : std::uint8_t { Heard, NotHeard };
+
+// What one controller knows of one peer, in both roles: as a proxy for shards that the peer owns, and as an
+// owner for whose workers the peer may answer. No I/O and no clock of its own; times are of this controller's
+// steady clock unless said otherwise.
 class KeepAliveProxyLink {
  public:
-  // most: how long it may answer after a word of the owner (Settings::blindFor).
-  KeepAliveProxyLink(Time started, Duration grace, Duration most)
-      : started_(started), grace_(grace), most_(most) {
-    lastQuiet_ = started;
-  }
+  // grace: how long an owner goes on answering after its lease ended (Settings::grace).
+  // maxProxyTime: how long a proxy may answer after a heartbeat of the owner (Settings::blindFor).
+  KeepAliveProxyLink(Time started, Duration grace, Duration maxProxyTime)
+      : started_(started), grace_(grace), maxProxyTime_(maxProxyTime), lastDisclaimedAt_(started) {}
 
-  // Completes a heartbeat to the sibling; hears: we have heard it of late.
-  void fill(mesh::PeerHeartbeat& p, bool hears, Time now);
-  // False if the heartbeat is older than one that came before.
-  bool came(const mesh::PeerHeartbeat& p, Time now);
+  // Fills in the fields of a heartbeat to the peer that proxying needs. Call it for every one that is sent:
+  // with Heard it is a statement that we answer nobody in the peer's name.
+  void fillHeartbeat(mesh::PeerHeartbeat& heartbeat, PeerContact contact, Time now);
+  // Takes in a heartbeat from the peer. False if it is older than one that came before: it says nothing then.
+  bool acceptHeartbeat(const mesh::PeerHeartbeat& heartbeat, Time now);
 
-  // As its keep-alive proxy: whether we may answer a worker of that shard that holds a token of that epoch,
-  // when we know of all jobs what was committed up to `seen`.
-  bool mayAnswer(ShardId shard, Epoch epoch, Version seen, bool hears, Time now) const;
-  void answered(Time now) { lastAnswer_ = now; }
+  // As a proxy: whether we may answer a worker of that shard that holds a token of that epoch. knownUpTo: the
+  // revision up to which we know every change of jobs; we must know of each cancellation that the owner had
+  // committed by its latest heartbeat.
+  [[nodiscard]] bool mayAnswer(ShardId shard, Epoch epoch, Version knownUpTo, PeerContact contact,
+                               Time now) const;
+  // As a proxy: we answered a worker in the peer's name.
+  void recordAnswer(Time now) { lastAnswerAt_ = now; }
 
-  // As an owner: the latest moment until now at which the sibling may have answered a worker of ours.
-  Time mayHaveAnswered(Time now) const;
+  // As an owner: the latest moment until now at which the peer may have answered a worker of ours.
+  [[nodiscard]] Time mayHaveAnsweredUntil(Time now) const;
 
  private:
-  Time started_;
-  Duration grace_, most_;
-  std::uint64_t life_ = 0;   // of the sibling's process
-  std::int64_t seenAt_ = 0;  // by its clock, when it sent the latest heartbeat that came
-
-  // As its keep-alive proxy.
-  Time lastQuiet_{};  // our last word to it that we answer nobody in its name
-  struct Word {
+  // What the peer said of a shard that it owns.
+  struct OwnershipStatement {
     Epoch epoch;
-    Version cancelled;
+    Version lastCancellation;
   };
-  std::map<ShardId, Word> shards_;
-  Time allowedUntil_{};
-  std::optional<Time> lastAnswer_;
+
+  Time started_;
+  Duration grace_;
+  Duration maxProxyTime_;
+  std::uint64_t peerLife_ = 0;     // of the peer's process, later ones higher
+  std::int64_t peerSentAtMs_ = 0;  // by its clock, when it sent the latest heartbeat that was accepted
+
+  // As a proxy.
+  Time lastDisclaimedAt_{};  // our last statement to the peer that we answer nobody in its name
+  std::map<ShardId, OwnershipStatement> peerShards_;
+  Time allowedUntil_{};  // in its name
+  std::optional<Time> lastAnswerAt_;
 
   // As an owner.
-  Time quietAt_{};    // at some moment since then it answered nobody in our name
-  Time told_{};       // it did so until then, by its own word or at the latest
-  Time allowance_{};  // beyond this it may not, having heard from us
+  Time disclaimedAt_{};    // at some moment since then the peer answered nobody in our name
+  Time answeredUntil_{};   // it did so until then, by its own statement or at the latest
+  Time mayAnswerUntil_{};  // beyond this it may not, having heard from us
 };
 
 }  // namespace cherryloft
--- a/src/cluster/peers.cpp
+++ b/src/cluster/peers.cpp
@@ -4,128 +4,153 @@
 
 namespace cherryloft {
 namespace {
+
 constexpr Duration kHeartbeatInterval{400};
-constexpr Duration kHeard{1'700};
-constexpr Duration kRemesh{2'500};
+// A peer counts as heard for so long: four intervals, and a little for the way.
+constexpr Duration kHeardFor{1'700};
+// An unheard peer's connection is given up no more often than this.
+constexpr Duration kReconnectInterval{2'500};
+// Ids of requests begin at the start time of the process shifted by so many bits, so that late answers to an
+// earlier process match none of ours.
+constexpr unsigned kRequestCountBits = 20;
+
 }  // namespace
 
-Peers::Peers(const Settings& settings, Runtime& runtime, Callbacks out)
+Peers::Peers(const Settings& settings, Runtime& runtime, Callbacks callbacks)
     : settings_(settings),
       runtime_(runtime),
-      callbacks_(std::move(out)),
+      callbacks_(std::move(callbacks)),
       self_(settings.preferredShard(settings.controller).value),
-      life_(static_cast<std::uint64_t>(runtime.wall().value)) {
+      life_(static_cast<std::uint64_t>(runtime.wall().value)),
+      lastRequestId_(life_ << kRequestCountBits) {
   KeepAliveProxyLink link(runtime.now(), settings.grace(), settings.blindFor());
-  neighbours_.assign(settings.size(), Neighbour{{}, {}, {}, link});
-  // Answers to asks of an earlier process must not match ours.
-  askCount_ = life_ << 20;
+  peers_.assign(settings.size(), Peer{{}, {}, {}, link});
 }
 
 void Peers::start() { sendHeartbeats(); }
 
-bool Peers::hears(std::uint32_t n) const {
-  const auto& x = neighbours_[n];
-  return x.heard != Time{} && runtime_.now() - x.heard < kHeard;
+// --- who hears whom ---
+
+bool Peers::hears(PeerNumber peer) const {
+  auto heardAt = peers_[peer].lastHeardAt;
+  return heardAt != Time{} && runtime_.now() - heardAt < kHeardFor;
 }
 
 bool Peers::hearsAny() const {
-  for (std::uint32_t n = 0; n < neighbours_.size(); ++n)
-    if (n != self_ && hears(n)) return true;
+  for (PeerNumber peer = 0; peer < peers_.size(); ++peer)
+    if (peer != self_ && hears(peer)) return true;
   return false;
 }
 
-bool Peers::someoneHasStore() const {
-  for (std::uint32_t n = 0; n < neighbours_.size(); ++n)
-    if (n != self_ && hears(n) && neighbours_[n].heartbeat.ownsForMs > 0) return true;
+bool Peers::anyPeerHoldsLease() const {
+  for (PeerNumber peer = 0; peer < peers_.size(); ++peer)
+    if (peer != self_ && hears(peer) && peers_[peer].heartbeat.ownsForMs > 0) return true;
   return false;
 }
 
+bool Peers::reaches(PeerNumber peer) const { return hears(peer) || hopTo(peer); }
+
+std::optional<PeerNumber> Peers::hopTo(PeerNumber to) const {
+  for (PeerNumber peer = 0; peer < peers_.size(); ++peer) {
+    if (peer == self_ || peer == to || !hears(peer)) continue;
+    if (peers_[peer].heartbeat.hears >> to & 1U) return peer;
+  }
+  return std::nullopt;
+}
+
+PeerContact Peers::contactWith(PeerNumber peer) const {
+  return hears(peer) ? PeerContact::Heard : PeerContact::NotHeard;
+}
+
+// --- keep-alive proxying ---
+
+bool Peers::mayAnswerFor(PeerNumber owner, ShardId shard, Epoch epoch, Version knownUpTo) const {
+  return peers_[owner].proxyLink.mayAnswer(shard, epoch, knownUpTo, contactWith(owner), runtime_.now());
+}
+
+Time Peers::mayHaveBeenAnsweredForUntil() const {
+  Time latest{};
+  for (PeerNumber peer = 0; peer < peers_.size(); ++peer)
+    if (peer != self_) latest = std::max(latest, peers_[peer].proxyLink.mayHaveAnsweredUntil(runtime_.now()));
+  return latest;
+}
+
+// --- sending ---
+
 void Peers::sendHeartbeats() {
   runtime_.after(kHeartbeatInterval, [this] { sendHeartbeats(); });
   auto now = runtime_.now();
   auto heartbeat = callbacks_.heartbeat();
   heartbeat.life = life_;
   heartbeat.hears = 0;
-  for (std::uint32_t n = 0; n < neighbours_.size(); ++n)
-    if (n != self_ && hears(n)) heartbeat.hears |= 1U << n;
-  for (std::uint32_t n = 0; n < neighbours_.size(); ++n) {
-    if (n == self_) continue;
-    // What lies in a held connection would arrive late and in the way of what is new.
-    if (!hears(n) && now - neighbours_[n].remeshed > kRemesh) {
-      neighbours_[n].remeshed = now;
-      runtime_.remesh(n);
-    }
-    neighbours_[n].link.fill(heartbeat, hears(n), now);
-    runtime_.mesh(n, {self_, n, heartbeat});
+  for (PeerNumber peer = 0; peer < peers_.size(); ++peer)
+    if (peer != self_ && hears(peer)) heartbeat.hears |= 1U << peer;
+  for (PeerNumber peer = 0; peer < peers_.size(); ++peer) {
+    if (peer == self_) continue;
+    reconnectIfUnheard(peer, now);
+    peers_[peer].proxyLink.fillHeartbeat(heartbeat, contactWith(peer), now);
+    runtime_.mesh(peer, {self_, peer, heartbeat});
   }
 }
 
-std::optional<std::uint32_t> Peers::via(std::uint32_t to) const {
-  for (std::uint32_t n = 0; n < neighbours_.size(); ++n)
-    if (n != self_ && n != to && hears(n) && (neighbours_[n].heartbeat.hears >> to & 1U)) return n;
-  return std::nullopt;
+// What lies in a stuck connection would arrive late and in the way of what is new.
+void Peers::reconnectIfUnheard(PeerNumber peer, Time now) {
+  if (hears(peer) || now - peers_[peer].reconnectedAt <= kReconnectInterval) return;
+  peers_[peer].reconnectedAt = now;
+  runtime_.remesh(peer);
 }
 
-bool Peers::reaches(std::uint32_t n) const { return hears(n) || via(n); }
-
-bool Peers::mayAnswerFor(std::uint32_t n, ShardId shard, Epoch epoch, Version seen) const {
-  return neighbours_[n].link.mayAnswer(shard, epoch, seen, hears(n), runtime_.now());
+void Peers::send(PeerNumber to, mesh::Payload payload) {
+  mesh::Frame frame{self_, to, std::move(payload)};
+  auto hop = hears(to) ? std::nullopt : hopTo(to);
+  runtime_.mesh(hop.value_or(to), frame);
 }
 
-Time Peers::answeredElsewhere() const {
-  Time latest{};
-  for (std::uint32_t n = 0; n < neighbours_.size(); ++n)
-    if (n != self_) latest = std::max(latest, neighbours_[n].link.mayHaveAnswered(runtime_.now()));
-  return latest;
+void Peers::send(const ControllerId& to, mesh::Payload payload) {
+  auto peer = numberOf(to);
+  if (peer < peers_.size() && peer != self_) send(peer, std::move(payload));
 }
 
-void Peers::send(std::uint32_t to, mesh::Payload p) {
-  mesh::Frame f{self_, to, std::move(p)};
-  if (!hears(to))
-    if (auto n = via(to)) return runtime_.mesh(*n, f);
-  runtime_.mesh(to, f);
+void Peers::sendAll(const mesh::Payload& payload) {
+  for (PeerNumber peer = 0; peer < peers_.size(); ++peer)
+    if (peer != self_) send(peer, payload);
 }
 
-void Peers::send(const ControllerId& to, mesh::Payload p) {
-  auto n = numberOf(to);
-  if (n < neighbours_.size() && n != self_) send(n, std::move(p));
+std::uint64_t Peers::expectAnswer(Duration deadline, AnswerHandler done) {
+  auto id = ++lastRequestId_;
+  pendingRequests_[id] = std::move(done);
+  runtime_.after(deadline, [this, id] { finishRequest(id, nullptr); });
+  return id;
 }
 
-void Peers::sendAll(const mesh::Payload& p) {
-  for (std::uint32_t n = 0; n < neighbours_.size(); ++n)
-    if (n != self_) send(n, p);
+// --- receiving ---
+
+void Peers::handleFrame(const mesh::Frame& frame) {
+  if (frame.from >= peers_.size() || frame.to >= peers_.size() || frame.from == self_) return;
+  if (frame.to != self_)
+    return runtime_.mesh(frame.to, frame);  // we are the one hop: it is not passed on again
+  if (const auto* heartbeat = std::get_if<mesh::PeerHeartbeat>(&frame.payload))
+    handleHeartbeat(frame.from, *heartbeat);
+  else if (const auto* answer = std::get_if<mesh::Answer>(&frame.payload))
+    finishRequest(answer->id, answer);
+  else
+    callbacks_.received(frame.from, frame.payload);
 }
 
-std::uint64_t Peers::expect(Duration deadline, Answered done) {
-  auto id = ++askCount_;
-  asks_[id] = std::move(done);
-  runtime_.after(deadline, [this, id] {
-    auto it = asks_.find(id);
-    if (it == asks_.end()) return;
-    auto f = std::move(it->second);
-    asks_.erase(it);
-    f(nullptr);
-  });
-  return id;
+void Peers::handleHeartbeat(PeerNumber from, const mesh::PeerHeartbeat& heartbeat) {
+  auto& peer = peers_[from];
+  bool newest = peer.proxyLink.acceptHeartbeat(heartbeat, runtime_.now());
+  if (!newest) return;  // held back on its way, and passed by a later one
+  peer.lastHeardAt = runtime_.now();
+  peer.heartbeat = heartbeat;
 }
 
-void Peers::frame(const mesh::Frame& f) {
-  if (f.from >= neighbours_.size() || f.to >= neighbours_.size() || f.from == self_) return;
-  if (f.to != self_) return runtime_.mesh(f.to, f);  // the one hop; the next stop is the last
-  if (const auto* heartbeat = std::get_if<mesh::PeerHeartbeat>(&f.payload)) {
-    auto& n = neighbours_[f.from];
-    if (!n.link.came(*heartbeat, runtime_.now())) return;  // held back, and passed by a later one
-    n.heard = runtime_.now();
-    n.heartbeat = *heartbeat;
-  } else if (const auto* answer = std::get_if<mesh::Answer>(&f.payload)) {
-    auto it = asks_.find(answer->id);
-    if (it == asks_.end()) return;
-    auto done = std::move(it->second);
-    asks_.erase(it);
-    done(answer);
-  } else {
-    callbacks_.received(f.from, f.payload);
-  }
+void Peers::finishRequest(std::uint64_t id, const mesh::Answer* answer) {
+  auto pending = pendingRequests_.find(id);
+  if (pending == pendingRequests_.end()) return;
+  auto done = std::move(pending->second);
+  pendingRequests_.erase(pending);
+  done(answer);
 }
 
 }  // namespace cherryloft
--- a/src/cluster/peers.h
+++ b/src/cluster/peers.h
@@ -1,7 +1,12 @@
-// Peers: heartbeats between controllers, asks with deadlines, and one hop around a cut link.
+// Peers: what this controller says to and hears from the others. Heartbeats between controllers, requests
+// with a deadline, one hop through a third controller around a cut link, and the keep-alive proxying that
+// follows from who hears whom (invariant 15).
 #pragma once
 
+#include <cstdint>
+#include <functional>
 #include <map>
+#include <optional>
 #include <vector>
 
 #include "cluster/keep_alive_proxy.h"
@@ -10,63 +15,90 @@
 
 namespace cherryloft {
 
+// The place of a controller in the settings, the same at all of them.
+using PeerNumber = std::uint32_t;
+
+// One per controller, on the controller's thread. Settings and runtime must outlive it. Numbers of peers must
+// be below Settings::size().
 class Peers {
  public:
   struct Callbacks {
-    // Something that is neither a heartbeat nor an answer came, from that controller.
-    std::function<void(std::uint32_t from, const mesh::Payload&)> received;
-    std::function<mesh::PeerHeartbeat()> heartbeat;  // what to say of ourselves; the rest is filled in here
+    // A message came, from that controller, that is neither a heartbeat nor an answer.
+    std::function<void(PeerNumber from, const mesh::Payload&)> received;
+    // What to say of ourselves in a heartbeat; the fields that Peers knows are filled in here.
+    std::function<mesh::PeerHeartbeat()> heartbeat;
   };
-  using Answered = std::function<void(const mesh::Answer*)>;  // null: none in time
+  // Told the answer, or null if none came within the deadline. Called exactly once.
+  using AnswerHandler = std::function<void(const mesh::Answer*)>;
+
+  Peers(const Settings& settings, Runtime& runtime, Callbacks callbacks);
 
-  Peers(const Settings& settings, Runtime& runtime, Callbacks out);
+  // Sends the first heartbeats; they go on until the end.
   void start();
-  void frame(const mesh::Frame& f);
-  void send(std::uint32_t to, mesh::Payload p);
-  void send(const ControllerId& to, mesh::Payload p);
-  void sendAll(const mesh::Payload& p);
-  // The payload's id is set here.
-  template <class Ask>
-  void ask(const ControllerId& to, Ask a, Duration deadline, Answered done) {
-    a.id = expect(deadline, std::move(done));
-    send(to, std::move(a));
+  // Takes in a frame from the mesh. One for another controller is passed on.
+  void handleFrame(const mesh::Frame& frame);
+
+  // Messages may be lost without notice. A peer that is not heard is sent to through one that hears it.
+  void send(PeerNumber to, mesh::Payload payload);
+  // Does nothing if that controller is this one or is not in the settings.
+  void send(const ControllerId& to, mesh::Payload payload);
+  void sendAll(const mesh::Payload& payload);
+  // Sends a request that is answered with mesh::Answer; its id is set here.
+  template <class Request>
+  void ask(const ControllerId& to, Request request, Duration deadline, AnswerHandler done) {
+    request.id = expectAnswer(deadline, std::move(done));
+    send(to, std::move(request));
+  }
+
+  // Whether heartbeats of that peer come to us directly.
+  [[nodiscard]] bool hears(PeerNumber peer) const;
+  [[nodiscard]] bool hearsAny() const;
+  // When its latest heartbeat came; Time{} if none ever did.
+  [[nodiscard]] Time lastHeardAt(PeerNumber peer) const { return peers_[peer].lastHeardAt; }
+  // Some peer that is heard holds its lease: the state service is there for others.
+  [[nodiscard]] bool anyPeerHoldsLease() const;
+  // It is heard, or a peer that is heard hears it.
+  [[nodiscard]] bool reaches(PeerNumber peer) const;
+  [[nodiscard]] bool reaches(const ControllerId& peer) const { return reaches(numberOf(peer)); }
+
+  // Whether a worker of a shard of that owner's, with a token of that epoch, may be answered in its name,
+  // when we know every change of jobs up to that revision (invariant 15).
+  [[nodiscard]] bool mayAnswerFor(PeerNumber owner, ShardId shard, Epoch epoch, Version knownUpTo) const;
+  // A worker's heartbeat was answered in that owner's name.
+  void recordAnswerInNameOf(PeerNumber owner) { peers_[owner].proxyLink.recordAnswer(runtime_.now()); }
+  // The latest moment at which any peer may have answered a worker in our name (invariant 15).
+  [[nodiscard]] Time mayHaveBeenAnsweredForUntil() const;
+
+  [[nodiscard]] PeerNumber self() const { return self_; }
+  [[nodiscard]] PeerNumber numberOf(const ControllerId& controller) const {
+    return settings_.preferredShard(controller).value;
   }
-  bool hears(std::uint32_t n) const;
-  bool hearsAny() const;
-  Time heardAt(std::uint32_t n) const { return neighbours_[n].heard; }
-  // Some sibling, heard of late, holds its lease.
-  bool someoneHasStore() const;
-  // It is heard, or a sibling that is hears it.
-  bool reaches(std::uint32_t n) const;
-  bool reaches(const ControllerId& n) const { return reaches(numberOf(n)); }
-  // Whether a worker of a shard of that sibling's, with a token of that epoch, may be answered in its name,
-  // when we know of all jobs what was committed up to `seen`.
-  bool mayAnswerFor(std::uint32_t n, ShardId shard, Epoch epoch, Version seen) const;
-  void answeredFor(std::uint32_t n) { neighbours_[n].link.answered(runtime_.now()); }
-  // The latest moment at which any sibling may have answered a worker in our name.
-  Time answeredElsewhere() const;
-  std::uint32_t self() const { return self_; }
-  std::uint32_t numberOf(const ControllerId& n) const { return settings_.preferredShard(n).value; }
 
  private:
-  struct Neighbour {
-    Time heard{};
-    mesh::PeerHeartbeat heartbeat;
-    Time remeshed{};
-    KeepAliveProxyLink link;
+  struct Peer {
+    Time lastHeardAt{};
+    mesh::PeerHeartbeat heartbeat;  // the latest
+    Time reconnectedAt{};           // when our connection to it was last given up
+    KeepAliveProxyLink proxyLink;
   };
-  std::optional<std::uint32_t> via(std::uint32_t to) const;
-  std::uint64_t expect(Duration deadline, Answered done);
+  [[nodiscard]] PeerContact contactWith(PeerNumber peer) const;
+  // A peer that is heard and hears that one.
+  [[nodiscard]] std::optional<PeerNumber> hopTo(PeerNumber to) const;
+  std::uint64_t expectAnswer(Duration deadline, AnswerHandler done);
+  // Ends the wait for that answer; an answer nobody waits for any more is dropped.
+  void finishRequest(std::uint64_t id, const mesh::Answer* answer);
   void sendHeartbeats();
+  void reconnectIfUnheard(PeerNumber peer, Time now);
+  void handleHeartbeat(PeerNumber from, const mesh::PeerHeartbeat& heartbeat);
 
   const Settings& settings_;
   Runtime& runtime_;
   Callbacks callbacks_;
-  std::uint32_t self_;
-  std::uint64_t life_;
-  std::vector<Neighbour> neighbours_;
-  std::map<std::uint64_t, Answered> asks_;
-  std::uint64_t askCount_ = 0;
+  PeerNumber self_;
+  std::uint64_t life_;       // of this process, later ones higher
+  std::vector<Peer> peers_;  // by number; the one of ourselves stays unused
+  std::map<std::uint64_t, AnswerHandler> pendingRequests_;
+  std::uint64_t lastRequestId_ = 0;
 };
 
 }  // namespace cherryloft
--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -137,7 +137,7 @@
       [this, k = t.shard](Version version, const ControllerId& to, std::function<void(bool)> done) {
         membership_.transferOwnership(k, version, to, std::move(done));
       },
-      [this] { return peers_.answeredElsewhere(); },
+      [this] { return peers_.mayHaveBeenAnsweredForUntil(); },
       [this, k = t.shard](const mesh::CapacityRequest& w) {
         peers_.sendAll(w);
         toOthersHere(k, w, &ShardScheduler::handleCapacityRequest);
@@ -255,7 +255,7 @@
   // Out of service only if the store is lost to us alone: were it lost to all, taking all out would help
   // nobody. One that hears no sibling either can't know, and can't take requests whichever it is.
   bool cutOff = !settings_.siblings.empty() && !peers_.hearsAny();
-  bool alone = !owns() && (cutOff || peers_.someoneHasStore());
+  bool alone = !owns() && (cutOff || peers_.anyPeerHoldsLease());
   bool ok = serving() && !alone;
   done({ok ? 200 : 503, ok ? "{}" : R"({"error":"not serving"})", false, 0});
 }
@@ -329,7 +329,7 @@
   bool reached = peers_.reaches(n);
   // One that has been here since before we lost sight of its owner may well find it by itself.
   bool steer = (reached ? now - foreignWorker.since > kRelayFirst && peers_.hears(n)
-                        : foreignWorker.since <= peers_.heardAt(n)) &&
+                        : foreignWorker.since <= peers_.lastHeardAt(n)) &&
                (foreignWorker.steered == Time{} || now - foreignWorker.steered > kSteerAgain);
   if (steer) {
     foreignWorker.steered = now;
@@ -360,7 +360,7 @@
 // final.
 HttpResponse Controller::answerFor(const ControllerId& owner, const wire::WorkerHeartbeat& r) {
   if (!mayAnswerFor(owner, r)) return wire::userError(503, "the owner does not answer");
-  peers_.answeredFor(peers_.numberOf(owner));
+  peers_.recordAnswerInNameOf(peers_.numberOf(owner));
   return {200, wire::encodeHeartbeatAnswer(r.token, view_.stopCommandsForCancelled(r)), false, 0};
 }
 
--- a/src/controller/controller.h
+++ b/src/controller/controller.h
@@ -17,7 +17,7 @@
   Controller(const Settings& settings, Runtime& runtime, Log log, std::uint64_t seed);
   void start();
   void request(HttpRequest r, Responder done);
-  void frame(const mesh::Frame& f) { peers_.frame(f); }
+  void frame(const mesh::Frame& f) { peers_.handleFrame(f); }
   ShardCounters counts() const;
   static bool fromWorker(const HttpRequest& r) { return r.target == "/checkin"; }
 
