--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -1,14 +1,37 @@
 #include "controller/controller.h"
 
+#include <algorithm>
+#include <map>
+
 #include "wire/users.h"
 
 namespace cherryloft {
 namespace {
-constexpr Duration kAccount{60'000};
-constexpr Duration kShow{2'000};
-constexpr Duration kRelay{2'500};        // workers wait 4 s
-constexpr Duration kRelayFirst{8'000};   // a worker that comes here may have found its owner out of reach
-constexpr Duration kSteerAgain{60'000};  // one sent on to its owner that comes back sooner has
+
+constexpr Duration kSummaryInterval{60'000};
+
+const std::string kHealthPath = "/up";
+const std::string kHeartbeatPath = "/checkin";
+const std::string kJobsPath = "/v1/jobs";
+const std::string kJobPrefix = "/v1/jobs/";
+const std::string kCancelSuffix = "/withdraw";
+
+UserResponder asHttp(Responder done) {
+  return [done = std::move(done)](const UserAnswer& answer) { done(toHttp(answer)); };
+}
+
+void rejectMethod(const Responder& done) { done(wire::userError(405, "method not allowed")); }
+
+// " what.name=count" for each, to end a log line.
+std::string countsByName(const std::string& what, const std::map<std::string, std::uint64_t>& counts) {
+  std::string text;
+  for (const auto& [name, count] : counts) {
+    text.append(" ").append(what).append(".").append(name);
+    text.append("=").append(std::to_string(count));
+  }
+  return text;
+}
+
 }  // namespace
 
 Controller::Controller(const Settings& settings, Runtime& runtime, Log log, std::uint64_t seed)
@@ -17,351 +40,293 @@
       log_(log),
       rng_(seed),
       store_(settings, runtime, log, rng_()),
-      peers_(settings, runtime,
-             {[this](std::uint32_t from, const mesh::Payload& p) { received(from, p); },
-              [this] { return heartbeat(); }}),
-      membership_(settings, runtime, log, store_, view_,
-                  {[this](const LeaseValidity& s) {
-                     for (auto& [_, x] : schedulers_) x->leaseValidity(s);
-                   },
-                   [this](const ShardTakeover& t) { takenOver(t); }, [this](ShardId k) { lost(k); },
-                   [this](bool leads) { autoscaler_.leading(leads); },
-                   [this](ShardId k, ControllerId to) {
-                     if (auto* s = scheduler(k)) s->returnToPreferredOwner(to);
-                   }}),
-      autoscaler_(settings, runtime, log, store_, view_, rng_(),
-                  {[this](const mesh::MachineDirective& w) {
-                     toShard(ShardId{w.shard}, w, &ShardScheduler::handleDirective);
-                   },
-                   [this] { return owns(); }}),
-      userApi_(settings, runtime, log, store_, view_, peers_,
-               {[this](ShardId k) { return scheduler(k); }, [this] { return owns(); },
-                [this](const wire::KeyChange& c) { changed(c); },
-                [this](const JobId& id, JobStatus s) { view_.jobEnded(id, s); }}) {}
+      peers_(settings, runtime, peersCallbacks()),
+      machineProbes_(settings, runtime, peers_),
+      membership_(settings, runtime, log, store_, view_, membershipCallbacks()),
+      autoscaler_(settings, runtime, log, store_, view_, rng_(), autoscalerCallbacks()),
+      userApi_(settings, runtime, store_, view_, peers_, userApiCallbacks()),
+      workerEndpoint_(settings, runtime, view_, peers_, workerEndpointCallbacks()),
+      peerMessages_({view_, peers_, autoscaler_, userApi_, workerEndpoint_, machineProbes_, schedulers_}) {}
 
 void Controller::start() {
   for (const auto& prefix : {keys::kJobs, keys::kMachines, keys::kShards, keys::kControllers})
-    store_.watch(prefix, [this](const wire::KeyChange& c) { changed(c); });
+    store_.watch(prefix, [this](const wire::KeyChange& change) { handleKeyChange(change); });
+  // Work ends where the state service is away for longer than lease_s.
   if (settings_.grace() == Duration{0})
     log_->error(
-        "cancel_s leaves {} s after lease_s: no check-ins are answered without a hold, so that work ends "
-        "where the state service is away for longer than lease_s",
-        settings_.cancelS - settings_.leaseS);
+        "no heartbeats are answered without a lease, cancel_s is too close to lease_s cancel_s={} "
+        "lease_s={}",
+        settings_.cancelS, settings_.leaseS);
   membership_.start();
   peers_.start();
   autoscaler_.start();
-  summarizeLastMinute();
+  logLastMinute();
 }
 
-mesh::PeerHeartbeat Controller::heartbeat() const {
-  mesh::PeerHeartbeat p;
-  p.serving = serving();
-  p.ownsForMs = std::max((membership_.leaseValidity().ownsUntil - runtime_.now()).count(), std::int64_t{0});
-  for (const auto& [k, epoch] : membership_.owned())
-    if (auto s = schedulers_.find(k); s != schedulers_.end() && s->second->knowsCancellations())
-      p.owns.push_back({k.value, epoch.value, s->second->lastCancelled().value});
-  return p;
+// --- wiring ---
+
+Peers::Callbacks Controller::peersCallbacks() {
+  Peers::Callbacks callbacks;
+  callbacks.received = [this](PeerNumber from, const mesh::Payload& payload) {
+    peerMessages_.dispatch(from, payload);
+  };
+  callbacks.heartbeat = [this] { return composeHeartbeat(); };
+  return callbacks;
 }
 
-// What the controller did in the last minute, for operators (OPERATING.md).
-void Controller::summarizeLastMinute() {
-  runtime_.after(kAccount, [this] { summarizeLastMinute(); });
-  auto t = store_.takeTally();
-  std::string line;
-  for (const auto& [what, n] : t.requests) line += " " + what + "=" + std::to_string(n);
-  line += "; changes";
-  for (const auto& [what, n] : t.changes) line += " " + what + "=" + std::to_string(n);
-  for (auto& [_, s] : schedulers_) log_->info("last minute: {}", s->summarizeLastMinute());
-  log_->info("last minute: store requests{}; refused {}, out of time {}", line, t.refused, t.outOfTime);
+Membership::Callbacks Controller::membershipCallbacks() {
+  Membership::Callbacks callbacks;
+  callbacks.leaseValidity = [this](const LeaseValidity& validity) {
+    schedulers_.forEach([&validity](ShardScheduler& scheduler) { scheduler.leaseValidity(validity); });
+  };
+  callbacks.takenOver = [this](const ShardTakeover& takeover) { handleTakeover(takeover); };
+  callbacks.lost = [this](ShardId shard) { schedulers_.remove(shard); };
+  callbacks.leading = [this](bool leads) { autoscaler_.leading(leads); };
+  callbacks.returnToPreferredOwner = [this](ShardId shard, const ControllerId& to) {
+    if (auto* scheduler = schedulers_.find(shard)) scheduler->returnToPreferredOwner(to);
+  };
+  return callbacks;
+}
+
+Autoscaler::Callbacks Controller::autoscalerCallbacks() {
+  Autoscaler::Callbacks callbacks;
+  callbacks.sendDirective = [this](const mesh::MachineDirective& directive) {
+    sendToShard(ShardId{directive.shard}, directive, &ShardScheduler::handleDirective);
+  };
+  callbacks.mayAct = [this] { return holdsLease(); };
+  return callbacks;
+}
+
+UserApi::Callbacks Controller::userApiCallbacks() {
+  UserApi::Callbacks callbacks;
+  callbacks.scheduler = [this](ShardId shard) { return schedulers_.find(shard); };
+  callbacks.holdsLease = [this] { return holdsLease(); };
+  callbacks.recordSeen = [this](const wire::KeyChange& change) { handleKeyChange(change); };
+  callbacks.jobEnded = [this](const JobId& id, JobStatus status) { view_.jobEnded(id, status); };
+  return callbacks;
+}
+
+WorkerEndpoint::Callbacks Controller::workerEndpointCallbacks() {
+  WorkerEndpoint::Callbacks callbacks;
+  callbacks.scheduler = [this](ShardId shard) { return schedulers_.find(shard); };
+  callbacks.unrecordedMachineSeen = [this](const wire::WorkerHeartbeat& heartbeat, const std::string& body) {
+    reportUnrecordedMachine(heartbeat, body);
+  };
+  callbacks.leaseValidity = [this] { return membership_.leaseValidity(); };
+  callbacks.jobsKnownUpTo = [this] { return store_.revisionOf(keys::kJobs); };
+  return callbacks;
+}
+
+ShardScheduler::Callbacks Controller::schedulerCallbacks(ShardId shard) {
+  ShardScheduler::Callbacks callbacks;
+  callbacks.jobEnded = [this](const JobId& id, JobStatus status, Version version) {
+    handleJobEnded(id, status, version);
+  };
+  callbacks.load = [this](const mesh::ShardLoad& load) { sendLoad(load); };
+  // From a timer of its own, as the scheduler asks for its own end.
+  callbacks.dropOwnership = [this, shard] {
+    runtime_.after(Duration{0}, [this, shard] { dropOwnership(shard); });
+  };
+  callbacks.probe = [this](const std::string& address, std::function<void(const std::string&)> done) {
+    machineProbes_.probeThroughPeers(address, done);
+  };
+  callbacks.transferOwnership = [this, shard](Version version, const ControllerId& to,
+                                              std::function<void(bool)> done) {
+    membership_.transferOwnership(shard, version, to, std::move(done));
+  };
+  callbacks.answeredElsewhere = [this] { return peers_.mayHaveBeenAnsweredForUntil(); };
+  callbacks.requestCapacity = [this, shard](const mesh::CapacityRequest& request) {
+    sendToOtherShards(shard, request, &ShardScheduler::handleCapacityRequest);
+  };
+  callbacks.offerCapacity = [this](const mesh::CapacityOffer& offer) {
+    sendToShard(ShardId{offer.toShard}, offer, &ShardScheduler::handleCapacityOffer);
+  };
+  callbacks.requestTaskCapacity = [this, shard](const mesh::TaskCapacityRequest& request) {
+    sendToOtherShards(shard, request, &ShardScheduler::handleTaskCapacityRequest);
+  };
+  callbacks.offerTaskCapacity = [this](const mesh::TaskCapacityOffer& offer) {
+    sendToShard(ShardId{offer.toShard}, offer, &ShardScheduler::handleTaskCapacityOffer);
+  };
+  return callbacks;
+}
+
+// --- ownership of shards ---
+
+void Controller::handleTakeover(const ShardTakeover& takeover) {
+  auto scheduler = std::make_unique<ShardScheduler>(settings_, runtime_, log_, store_, view_, takeover,
+                                                    membership_.leaseValidity(), rng_(),
+                                                    schedulerCallbacks(takeover.shard));
+  schedulers_.replace(takeover.shard, std::move(scheduler)).start();
 }
 
-ShardScheduler* Controller::scheduler(ShardId k) {
-  auto it = schedulers_.find(k);
-  return it == schedulers_.end() ? nullptr : it->second.get();
+void Controller::dropOwnership(ShardId shard) {
+  membership_.dropOwnership(shard);
+  schedulers_.remove(shard);
 }
 
-void Controller::changed(const wire::KeyChange& c) {
-  auto machines = view_.apply(c, log_);
-  auto under = [&](const std::string& prefix) { return c.key.compare(0, prefix.size(), prefix) == 0; };
-  if (under(keys::kJobs)) {
-    JobId id{c.key.substr(keys::kJobs.size())};
-    for (auto& [_, s] : schedulers_) s->jobChanged(id);
-  } else if (under(keys::kMachines)) {
-    for (const auto& id : machines)
-      for (auto& [_, s] : schedulers_) s->machineChanged(id);
+// --- shared records and jobs ---
+
+void Controller::handleKeyChange(const wire::KeyChange& change) {
+  auto machines = view_.apply(change, log_);
+  if (keys::isUnder(change.key, keys::kJobs)) {
+    schedulers_.jobChanged(JobId{change.key.substr(keys::kJobs.size())});
+  } else if (keys::isUnder(change.key, keys::kMachines)) {
+    for (const auto& machine : machines) schedulers_.machineChanged(machine);
   } else if (store_.cachesLoaded()) {
     membership_.changed();
     store_.setFractionOfLimits(fractionOfLimits());
   }
 }
 
-ShardCounters Controller::counts() const {
-  ShardCounters sum;
-  for (const auto& [_, s] : schedulers_) {
-    sum.starts += s->counts().starts;
-    sum.machinesExamined += s->counts().machinesExamined;
-    sum.quarantined += s->counts().quarantined;
-  }
-  return sum;
+void Controller::handleJobEnded(const JobId& id, JobStatus status, Version version) {
+  view_.jobEnded(id, status, version);
+  schedulers_.jobChanged(id);
+  // Whoever answers workers or users should know before the user does; no bound depends on it.
+  peers_.sendAll(mesh::JobEnded{id.value, status == JobStatus::Done, version.value});
 }
 
-// Most of what is asked of the store is asked for a shard, by its owner, and for machines, by the leader; the
-// rest by every living controller.
+// Most of what is asked of the state service is asked for a shard, by its owner, and for machines, by the
+// leader; the rest by every living controller. So each gets a part of the limits by its duties.
 double Controller::fractionOfLimits() const {
-  constexpr double kEach = 0.5, kLeader = 0.75;
-  double mine = 0, all = 0;
-  for (const auto& n : settings_.controllers) {
-    double weight = view_.alive(n) || n == settings_.controller ? kEach : 0;
-    for (const auto& [_, o] : view_.shards) weight += o.record.owner == n;
-    if (view_.leader && view_.leader->record.owner == n) weight += kLeader;
-    all += weight;
-    if (n == settings_.controller) mine = weight;
+  constexpr double kControllerWeight = 0.5;
+  constexpr double kLeaderWeight = 0.75;
+  double ours = 0;
+  double total = 0;
+  for (const auto& controller : settings_.controllers) {
+    bool counts = view_.alive(controller) || controller == settings_.controller;
+    double weight = counts ? kControllerWeight : 0;
+    for (const auto& [_, owner] : view_.shards)
+      if (owner.record.owner == controller) weight += 1;
+    if (isLeader(controller)) weight += kLeaderWeight;
+    total += weight;
+    if (controller == settings_.controller) ours = weight;
   }
-  return mine / all;
+  return ours / total;
 }
 
-void Controller::takenOver(const ShardTakeover& t) {
-  ShardScheduler::Callbacks out{
-      [this](const JobId& id, JobStatus s, Version version) { jobEnded(id, s, version); },
-      [this](const mesh::ShardLoad& l) { sendLoad(l); },
-      // A turn of its own: the actor asks for its own end.
-      [this, k = t.shard] {
-        runtime_.after(Duration{0}, [this, k] {
-          membership_.dropOwnership(k);
-          lost(k);
-        });
-      },
-      [this](const std::string& address, std::function<void(const std::string&)> done) {
-        probe(address, std::move(done));
-      },
-      [this, k = t.shard](Version version, const ControllerId& to, std::function<void(bool)> done) {
-        membership_.transferOwnership(k, version, to, std::move(done));
-      },
-      [this] { return peers_.mayHaveBeenAnsweredForUntil(); },
-      [this, k = t.shard](const mesh::CapacityRequest& w) {
-        peers_.sendAll(w);
-        toOthersHere(k, w, &ShardScheduler::handleCapacityRequest);
-      },
-      [this](const mesh::CapacityOffer& o) {
-        toShard(ShardId{o.toShard}, o, &ShardScheduler::handleCapacityOffer);
-      },
-      [this, k = t.shard](const mesh::TaskCapacityRequest& w) {
-        peers_.sendAll(w);
-        toOthersHere(k, w, &ShardScheduler::handleTaskCapacityRequest);
-      },
-      [this](const mesh::TaskCapacityOffer& o) {
-        toShard(ShardId{o.toShard}, o, &ShardScheduler::handleTaskCapacityOffer);
-      }};
-  auto& s = schedulers_[t.shard];
-  s = std::make_unique<ShardScheduler>(settings_, runtime_, log_, store_, view_, t,
-                                       membership_.leaseValidity(), rng_(), out);
-  s->start();
-}
-
-// What a machine says of itself just now.
-void Controller::showOf(const std::string& address, HttpDone done) {
-  try {
-    runtime_.call(parseAddress(address), {"GET", "/show", "", false}, kShow, std::move(done));
-  } catch (const SettingsError&) {
-    done({});
-  }
-}
+// --- messages ---
 
-// Asks the siblings that we hear to ask the machine; the first to reach it answers.
-void Controller::probe(const std::string& address, std::function<void(const std::string& body)> done) {
-  for (const auto& s : settings_.siblings) {
-    if (!peers_.hears(peers_.numberOf(s.controller))) continue;
-    peers_.ask(s.controller, mesh::ProbeAsk{0, address}, kShow + Duration{500},
-               [done](const mesh::Answer* a) {
-                 if (a && a->status == 200) done(a->body);
-               });
+mesh::PeerHeartbeat Controller::composeHeartbeat() const {
+  mesh::PeerHeartbeat heartbeat;
+  heartbeat.serving = serving();
+  auto ownsFor = membership_.leaseValidity().ownsUntil - runtime_.now();
+  heartbeat.ownsForMs = std::max(ownsFor.count(), std::int64_t{0});
+  for (const auto& [shard, epoch] : membership_.owned()) {
+    const ShardScheduler* scheduler = schedulers_.find(shard);
+    if (scheduler && scheduler->knowsCancellations())
+      heartbeat.owns.push_back({shard.value, epoch.value, scheduler->lastCancelled().value});
   }
+  return heartbeat;
 }
 
-void Controller::lost(ShardId k) { schedulers_.erase(k); }
-
-void Controller::jobEnded(const JobId& id, JobStatus s, Version version) {
-  view_.jobEnded(id, s, version);
-  for (auto& [_, x] : schedulers_) x->jobChanged(id);
-  // Whoever answers workers or users should know before the user does; no bound hangs on it.
-  peers_.sendAll(mesh::JobEnded{id.value, s == JobStatus::Done, version.value});
+void Controller::sendLoad(const mesh::ShardLoad& load) {
+  if (!view_.leader) return;
+  if (isLeader(settings_.controller))
+    autoscaler_.load(load);
+  else
+    peers_.send(view_.leader->record.owner, load);
 }
 
-void Controller::sendLoad(const mesh::ShardLoad& l) {
+void Controller::reportUnrecordedMachine(const wire::WorkerHeartbeat& heartbeat, const std::string& body) {
   if (!view_.leader) return;
-  if (view_.leader->record.owner == settings_.controller)
-    autoscaler_.load(l);
+  if (isLeader(settings_.controller))
+    autoscaler_.unrecordedMachineSeen(heartbeat);
   else
-    peers_.send(view_.leader->record.owner, l);
+    peers_.send(view_.leader->record.owner, mesh::UnrecordedMachineSeen{body});
 }
 
 // To the scheduler of a shard, here or at the controller that owns it.
 template <class Message>
-void Controller::toShard(ShardId shard, const Message& message, Handler<Message> handler) {
-  if (auto* s = scheduler(shard))
-    (s->*handler)(message);
+void Controller::sendToShard(ShardId shard, const Message& message,
+                             ShardSchedulers::Handler<Message> handler) {
+  if (schedulers_.find(shard))
+    schedulers_.deliver(shard, message, handler);
   else if (const ControllerId* owner = view_.ownerOf(shard))
     peers_.send(*owner, message);
 }
 
-// To the schedulers here of all shards but the one that asks; another shard's owner may be this controller.
+// To the schedulers of all shards but the one that asks, here and at the other controllers.
 template <class Message>
-void Controller::toOthersHere(ShardId asking, const Message& message, Handler<Message> handler) {
-  for (auto& [shard, s] : schedulers_)
-    if (shard != asking) (s.get()->*handler)(message);
+void Controller::sendToOtherShards(ShardId asking, const Message& message,
+                                   ShardSchedulers::Handler<Message> handler) {
+  peers_.sendAll(message);
+  schedulers_.deliverToOthers(asking, message, handler);
 }
 
-void Controller::received(std::uint32_t from, const mesh::Payload& p) {
-  auto answer = [this, from](mesh::Answer a) { peers_.send(from, std::move(a)); };
-  if (const auto* ask = std::get_if<mesh::JobAsk>(&p)) {
-    userApi_.asked(*ask, answer);
-  } else if (const auto* relayed = std::get_if<mesh::RelayedHeartbeat>(&p)) {
-    auto heartbeat = wire::parseHeartbeat(relayed->body);
-    auto machine = heartbeat ? view_.machines.find(heartbeat->machine) : view_.machines.end();
-    ShardScheduler* s = machine == view_.machines.end() ? nullptr : scheduler(machine->second.record.shard);
-    if (!s) return answer({relayed->id, 503, ""});
-    auto a = s->handleHeartbeat(*heartbeat);
-    answer({relayed->id, a.status, std::move(a.body)});
-  } else if (const auto* probe = std::get_if<mesh::ProbeAsk>(&p)) {
-    showOf(probe->address, [id = probe->id, answer](const HttpResult& r) {
-      answer({id, r.response.status, r.response.body});
-    });
-  } else if (const auto* seen = std::get_if<mesh::UnrecordedMachineSeen>(&p)) {
-    if (auto heartbeat = wire::parseHeartbeat(seen->body)) autoscaler_.unrecordedMachineSeen(*heartbeat);
-  } else if (const auto* load = std::get_if<mesh::ShardLoad>(&p)) {
-    autoscaler_.load(*load);
-  } else if (const auto* over = std::get_if<mesh::JobEnded>(&p)) {
-    JobId id{over->job};
-    view_.jobEnded(id, over->done ? JobStatus::Done : JobStatus::Cancelled, Version{over->version});
-    for (auto& [_, s] : schedulers_) s->jobChanged(id);
-  } else if (const auto* w = std::get_if<mesh::MachineDirective>(&p)) {
-    if (auto* s = scheduler(ShardId{w->shard})) s->handleDirective(*w);
-  } else if (const auto* wanted = std::get_if<mesh::CapacityRequest>(&p)) {
-    toOthersHere(ShardId{wanted->shard}, *wanted, &ShardScheduler::handleCapacityRequest);
-  } else if (const auto* offer = std::get_if<mesh::CapacityOffer>(&p)) {
-    if (auto* s = scheduler(ShardId{offer->toShard})) s->handleCapacityOffer(*offer);
-  } else if (const auto* partial = std::get_if<mesh::TaskCapacityRequest>(&p)) {
-    toOthersHere(ShardId{partial->shard}, *partial, &ShardScheduler::handleTaskCapacityRequest);
-  } else if (const auto* some = std::get_if<mesh::TaskCapacityOffer>(&p)) {
-    if (auto* s = scheduler(ShardId{some->toShard})) s->handleTaskCapacityOffer(*some);
-  }
-}
+// --- HTTP ---
 
-// --- requests ---
-
-bool Controller::serving() const { return store_.cachesLoaded() && !view_.catalog.empty(); }
-
-void Controller::up(Responder done) {
-  // Out of service only if the store is lost to us alone: were it lost to all, taking all out would help
-  // nobody. One that hears no sibling either can't know, and can't take requests whichever it is.
-  bool cutOff = !settings_.siblings.empty() && !peers_.hearsAny();
-  bool alone = !owns() && (cutOff || peers_.anyPeerHoldsLease());
-  bool ok = serving() && !alone;
-  done({ok ? 200 : 503, ok ? "{}" : R"({"error":"not serving"})", false, 0});
-}
+bool Controller::isWorkerRequest(const HttpRequest& request) { return request.target == kHeartbeatPath; }
 
-void Controller::request(HttpRequest r, Responder done) {
-  auto only = [&](const char* method) {
-    if (r.method == method) return true;
-    done(wire::userError(405, "method not allowed"));
-    return false;
-  };
-  auto path = r.target.substr(0, r.target.find('?'));
-  if (path == "/up") {
-    if (only("GET")) up(std::move(done));
-  } else if (path == "/checkin") {
-    if (only("POST")) handleHeartbeat(r.body, std::move(done));
-  } else if (path == "/v1/jobs") {
-    if (!only("POST")) return;
-    if (!store_.cachesLoaded()) return done(wire::userUnavailable("starting"));
-    userApi_.submit(r.body, std::move(done));
-  } else if (path.compare(0, 9, "/v1/jobs/") == 0) {
-    jobs(r, std::move(done));
-  } else {
-    done(wire::userError(404, "no such path"));
+void Controller::handleRequest(HttpRequest request, Responder done) {
+  auto path = request.target.substr(0, request.target.find('?'));
+  if (path == kHealthPath) {
+    if (request.method != "GET") return rejectMethod(done);
+    return answerHealthCheck(done);
+  }
+  if (path == kHeartbeatPath) {
+    if (request.method != "POST") return rejectMethod(done);
+    return workerEndpoint_.handleHeartbeat(request.body, std::move(done));
   }
+  if (path == kJobsPath) {
+    if (request.method != "POST") return rejectMethod(done);
+    if (!store_.cachesLoaded()) return done(toHttp(Unavailable{"starting"}));
+    return userApi_.submit(request.body, asHttp(std::move(done)));
+  }
+  if (path.starts_with(kJobPrefix)) return handleJobRequest(request, path.substr(kJobPrefix.size()), done);
+  done(wire::userError(404, "no such path"));
 }
 
-void Controller::jobs(const HttpRequest& r, Responder done) {
-  static const std::string kCancelPath = "/withdraw";
-  auto id = r.target.substr(9, r.target.find('?') - 9);
-  bool cancel = id.size() > kCancelPath.size() && id.ends_with(kCancelPath);
-  if (cancel) id.resize(id.size() - kCancelPath.size());
-  if (r.method != (cancel ? "POST" : "GET")) return done(wire::userError(405, "method not allowed"));
-  if (!wire::isJobId(id)) return done(wire::userError(404, "no such job"));
-  if (!store_.cachesLoaded()) return done(wire::userUnavailable("starting"));
+// jobPath: the job's id, with the cancel suffix if it is to be cancelled.
+void Controller::handleJobRequest(const HttpRequest& request, const std::string& jobPath,
+                                  const Responder& done) {
+  bool cancel = jobPath.size() > kCancelSuffix.size() && jobPath.ends_with(kCancelSuffix);
+  JobId id{cancel ? jobPath.substr(0, jobPath.size() - kCancelSuffix.size()) : jobPath};
+  if (request.method != (cancel ? "POST" : "GET")) return rejectMethod(done);
+  if (!wire::isJobId(id.value)) return done(toHttp(NoSuchJob{}));
+  if (!store_.cachesLoaded()) return done(toHttp(Unavailable{"starting"}));
   if (cancel)
-    userApi_.cancel(JobId{id}, std::move(done));
+    userApi_.cancel(id, asHttp(done));
   else
-    userApi_.poll(JobId{id}, std::move(done));
+    userApi_.poll(id, asHttp(done));
 }
 
-void Controller::handleHeartbeat(const std::string& body, Responder done) {
-  auto unavailable = [&](const char* why) { done(wire::userError(503, why)); };
-  auto heartbeat = wire::parseHeartbeat(body);
-  if (!heartbeat) return done(wire::userError(400, "malformed report"));
-  auto machine = view_.machines.find(heartbeat->machine);
-  if (machine == view_.machines.end()) {
-    if (view_.leader && view_.leader->record.owner == settings_.controller)
-      autoscaler_.unrecordedMachineSeen(*heartbeat);
-    else if (view_.leader)
-      peers_.send(view_.leader->record.owner, mesh::UnrecordedMachineSeen{body});
-    return unavailable("unknown machine");
-  }
-  auto shard = machine->second.record.shard;
-  if (auto* s = scheduler(shard)) {
-    auto a = s->handleHeartbeat(*heartbeat);
-    return done({a.status, std::move(a.body), false, 0});
-  }
-  const ControllerId* owner = view_.ownerOf(shard);
-  if (!owner || *owner == settings_.controller || !view_.alive(*owner))
-    return unavailable("share is being taken over");
-  auto now = runtime_.now();
-  // Its lease and its commands come first: the heartbeat is relayed at once. Only a worker that stays is sent
-  // on to its owner, and one that comes back from there is relayed for long.
-  auto& foreignWorker = foreignWorkers_[heartbeat->machine];
-  if (foreignWorker.owner != *owner || now - foreignWorker.last > 2 * kRelayFirst) {
-    bool returned = foreignWorker.owner == *owner && now - foreignWorker.steered < kSteerAgain;
-    foreignWorker = {*owner, now, now, returned ? foreignWorker.steered : Time{}};
-  }
-  foreignWorker.last = now;
-  auto n = peers_.numberOf(*owner);
-  bool reached = peers_.reaches(n);
-  // One that has been here since before we lost sight of its owner may well find it by itself.
-  bool steer = (reached ? now - foreignWorker.since > kRelayFirst && peers_.hears(n)
-                        : foreignWorker.since <= peers_.lastHeardAt(n)) &&
-               (foreignWorker.steered == Time{} || now - foreignWorker.steered > kSteerAgain);
-  if (steer) {
-    foreignWorker.steered = now;
-    return done({421, wire::encodeOwner(*owner), true, 0});
-  }
-  if (!reached) return done(answerFor(*owner, *heartbeat));
-  peers_.ask(*owner, mesh::RelayedHeartbeat{0, body}, kRelay,
-             [this, owner = *owner, heartbeat = std::move(*heartbeat),
-              done = std::move(done)](const mesh::Answer* a) {
-               if (a && a->status == 200) return done({200, a->body, false, 0});
-               done(answerFor(owner, heartbeat));
-             });
+void Controller::answerHealthCheck(const Responder& done) const {
+  // Out of service only if the state service is lost to us alone: were it lost to all, taking all out would
+  // help nobody. One that hears no peer either can't know, and can't take requests whichever it is (invariant
+  // 13).
+  bool cutOff = !settings_.siblings.empty() && !peers_.hearsAny();
+  bool storeLostToUsAlone = !holdsLease() && (cutOff || peers_.anyPeerHoldsLease());
+  if (serving() && !storeLostToUsAlone) return done({200, "{}", false, 0});
+  done({503, R"({"error":"not serving"})", false, 0});
 }
 
-// The worker's token must be that owner's own: whoever came after it has not asked us to stand in.
-bool Controller::mayAnswerFor(const ControllerId& owner, const wire::WorkerHeartbeat& r) const {
-  auto machine = view_.machines.find(r.machine);
-  if (machine == view_.machines.end() || !membership_.leaseValidity().answers(runtime_.now())) return false;
-  auto shard = view_.shards.find(machine->second.record.shard);
-  if (shard == view_.shards.end() || shard->second.record.owner != owner) return false;
-  auto epoch = shard->second.record.epoch;
-  return epochOf(r.token) == std::max(machine->second.record.token, epoch) &&
-         peers_.mayAnswerFor(peers_.numberOf(owner), shard->first, epoch, store_.revisionOf(keys::kJobs));
+// --- state ---
+
+bool Controller::isLeader(const ControllerId& controller) const {
+  return view_.leader && view_.leader->record.owner == controller;
 }
 
-// The owner of the worker's shard is out of reach. Cut off together with the worker we keep its lease up for
-// a while (invariant 15): what it runs goes on. It gets no commands but to end what is cancelled, which is
-// final.
-HttpResponse Controller::answerFor(const ControllerId& owner, const wire::WorkerHeartbeat& r) {
-  if (!mayAnswerFor(owner, r)) return wire::userError(503, "the owner does not answer");
-  peers_.recordAnswerInNameOf(peers_.numberOf(owner));
-  return {200, wire::encodeHeartbeatAnswer(r.token, view_.stopCommandsForCancelled(r)), false, 0};
+bool Controller::serving() const { return store_.cachesLoaded() && !view_.catalog.empty(); }
+
+ShardCounters Controller::counts() const {
+  ShardCounters sum;
+  schedulers_.forEach([&sum](const ShardScheduler& scheduler) {
+    const auto& counts = scheduler.counts();
+    sum.starts += counts.starts;
+    sum.machinesExamined += counts.machinesExamined;
+    sum.quarantined += counts.quarantined;
+  });
+  return sum;
+}
+
+// What the controller did in the last minute, for operators (OPERATING.md).
+void Controller::logLastMinute() {
+  runtime_.after(kSummaryInterval, [this] { logLastMinute(); });
+  auto tally = store_.takeTally();
+  schedulers_.forEach(
+      [this](ShardScheduler& scheduler) { log_->info("last minute: {}", scheduler.summarizeLastMinute()); });
+  log_->info("last minute: state service refused={} timed_out={}{}{}", tally.refused, tally.outOfTime,
+             countsByName("requests", tally.requests), countsByName("changes", tally.changes));
 }
 
 }  // namespace cherryloft
--- a/src/controller/controller.h
+++ b/src/controller/controller.h
@@ -1,52 +1,75 @@
-// One controller: its actors, and who hears what.
+// One controller: the composition of its parts, who is told of what, and the paths of its HTTP interface.
 #pragma once
 
-#include <map>
 #include <memory>
+#include <random>
+#include <string>
 
 #include "autoscaler/autoscaler.h"
 #include "cluster/membership.h"
 #include "cluster/peers.h"
+#include "controller/machine_probes.h"
+#include "controller/peer_messages.h"
+#include "controller/shard_schedulers.h"
 #include "controller/user_api.h"
-#include "scheduler/shard_scheduler.h"
+#include "controller/worker_endpoint.h"
 
 namespace cherryloft {
 
+// Single-threaded: all calls come on the thread of the runtime. Settings and runtime must outlive it. Once it
+// is destroyed the runtime must make none of its callbacks any more.
 class Controller {
  public:
+  // seed: of all random draws; the same seed and the same inputs give the same decisions.
   Controller(const Settings& settings, Runtime& runtime, Log log, std::uint64_t seed);
+  Controller(const Controller&) = delete;
+  Controller& operator=(const Controller&) = delete;
+
   void start();
-  void request(HttpRequest r, Responder done);
-  void frame(const mesh::Frame& f) { peers_.handleFrame(f); }
-  ShardCounters counts() const;
-  static bool fromWorker(const HttpRequest& r) { return r.target == "/checkin"; }
+  // A request of a user, a worker or the load balancer; done is called once.
+  void handleRequest(HttpRequest request, Responder done);
+  // A frame from another controller.
+  void handleFrame(const mesh::Frame& frame) { peers_.handleFrame(frame); }
+  // Sums over the shards that are owned now, since each was taken over.
+  [[nodiscard]] ShardCounters counts() const;
+  // Whether the request is a worker's heartbeat, as the server treats their connections in a way of its own.
+  [[nodiscard]] static bool isWorkerRequest(const HttpRequest& request);
 
  private:
-  void summarizeLastMinute();
-  bool owns() const { return membership_.leaseValidity().owns(runtime_.now()); }
-  mesh::PeerHeartbeat heartbeat() const;
-  bool mayAnswerFor(const ControllerId& owner, const wire::WorkerHeartbeat& r) const;
-  HttpResponse answerFor(const ControllerId& owner, const wire::WorkerHeartbeat& r);
-  double fractionOfLimits() const;
-  void changed(const wire::KeyChange& c);
-  void received(std::uint32_t from, const mesh::Payload& p);
-  void takenOver(const ShardTakeover& t);
-  void lost(ShardId k);
-  void showOf(const std::string& address, HttpDone done);
-  void probe(const std::string& address, std::function<void(const std::string& body)> done);
-  void jobEnded(const JobId& id, JobStatus s, Version version);
-  void sendLoad(const mesh::ShardLoad& l);
-  template <class Message>
-  using Handler = void (ShardScheduler::*)(const Message&);
+  // Wiring: what each part calls back.
+  Peers::Callbacks peersCallbacks();
+  Membership::Callbacks membershipCallbacks();
+  Autoscaler::Callbacks autoscalerCallbacks();
+  UserApi::Callbacks userApiCallbacks();
+  WorkerEndpoint::Callbacks workerEndpointCallbacks();
+  ShardScheduler::Callbacks schedulerCallbacks(ShardId shard);
+
+  // Ownership of shards.
+  void handleTakeover(const ShardTakeover& takeover);
+  void dropOwnership(ShardId shard);
+
+  // Shared records and jobs.
+  void handleKeyChange(const wire::KeyChange& change);
+  void handleJobEnded(const JobId& id, JobStatus status, Version version);
+  [[nodiscard]] double fractionOfLimits() const;
+
+  // Messages to other controllers, or to ourselves.
+  [[nodiscard]] mesh::PeerHeartbeat composeHeartbeat() const;
+  void sendLoad(const mesh::ShardLoad& load);
+  void reportUnrecordedMachine(const wire::WorkerHeartbeat& heartbeat, const std::string& body);
   template <class Message>
-  void toShard(ShardId shard, const Message& message, Handler<Message> handler);
+  void sendToShard(ShardId shard, const Message& message, ShardSchedulers::Handler<Message> handler);
   template <class Message>
-  void toOthersHere(ShardId asking, const Message& message, Handler<Message> handler);
-  ShardScheduler* scheduler(ShardId k);
-  void jobs(const HttpRequest& r, Responder done);
-  void handleHeartbeat(const std::string& body, Responder done);
-  void up(Responder done);
-  bool serving() const;
+  void sendToOtherShards(ShardId asking, const Message& message, ShardSchedulers::Handler<Message> handler);
+
+  // HTTP.
+  void answerHealthCheck(const Responder& done) const;
+  void handleJobRequest(const HttpRequest& request, const std::string& jobPath, const Responder& done);
+
+  [[nodiscard]] bool holdsLease() const { return membership_.leaseValidity().owns(runtime_.now()); }
+  [[nodiscard]] bool isLeader(const ControllerId& controller) const;
+  [[nodiscard]] bool serving() const;
+  void logLastMinute();
 
   const Settings& settings_;
   Runtime& runtime_;
@@ -55,16 +78,13 @@
   ClusterView view_;
   KeyValueStore store_;
   Peers peers_;
+  MachineProbes machineProbes_;
+  ShardSchedulers schedulers_;
   Membership membership_;
   Autoscaler autoscaler_;
   UserApi userApi_;
-  std::map<ShardId, std::unique_ptr<ShardScheduler>> schedulers_;
-  // Workers of other controllers' shards that report here.
-  struct ForeignWorker {
-    ControllerId owner;
-    Time since{}, last{}, steered{};
-  };
-  std::map<MachineId, ForeignWorker> foreignWorkers_;
+  WorkerEndpoint workerEndpoint_;
+  PeerMessageDispatcher peerMessages_;
 };
 
 }  // namespace cherryloft
--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -57,12 +57,14 @@
   int front = listening(settings.front);
   mesh::Transport transport(loop, listening(settings.mesh), addresses,
                             settings.preferredShard(settings.controller).value,
-                            [&controller](const mesh::Frame& f) { controller.frame(f); });
+                            [&controller](const mesh::Frame& f) { controller.handleFrame(f); });
   runtime.attach(&transport);
   HttpServer server(
       loop, log, front, settings.fdLimit - kept,
-      [&controller](HttpRequest r, Responder done) { controller.request(std::move(r), std::move(done)); },
-      &Controller::fromWorker);
+      [&controller](HttpRequest r, Responder done) {
+        controller.handleRequest(std::move(r), std::move(done));
+      },
+      &Controller::isWorkerRequest);
   controller.start();
   log->info("serving on {}", settings.front.text());
   loop.run();
--- /dev/null
+++ b/tests/unit/user_answer_test.cpp
@@ -0,0 +1,52 @@
+// The translation of the user API's answers into HTTP.
+#include <gtest/gtest.h>
+
+#include "controller/user_answer.h"
+
+using namespace cherryloft;
+
+namespace {
+
+const JobId kJob{"wk-1"};
+
+struct Expected {
+  UserAnswer answer;
+  int status;
+  std::string body;
+  int retryAfterSeconds;
+};
+
+}  // namespace
+
+TEST(UserAnswer, EachKindHasItsStatusBodyAndRetryAfter) {
+  const wire::JobView view{JobStatus::Open, 4, 1, 2};
+  const std::vector<Expected> table{
+      {JobAccepted{kJob}, 201, wire::encodeJob(kJob, {}), 0},
+      {JobState{kJob, view}, 200, wire::encodeJob(kJob, view), 0},
+      {NoSuchJob{}, 404, R"({"error":"no such job"})", 0},
+      {JobRejected{Rejection::Malformed, "why"}, 400, R"({"error":"why"})", 0},
+      {JobRejected{Rejection::NeverRuns, "why"}, 422, R"({"error":"why"})", 0},
+      {Overloaded{7}, 503, R"({"error":"more jobs come than can be kept"})", 7},
+      {Unavailable{"why"}, 503, R"({"error":"why"})", 1},
+  };
+  for (const auto& expected : table) {
+    auto response = toHttp(expected.answer);
+    EXPECT_EQ(response.status, expected.status);
+    EXPECT_EQ(response.body, expected.body);
+    EXPECT_EQ(response.retryAfterS, expected.retryAfterSeconds);
+    EXPECT_FALSE(response.close);
+  }
+}
+
+TEST(UserAnswer, TheOwnersAnswerIsPassedOnAndItsRetryAfterRestored) {
+  EXPECT_EQ(toHttp(OwnersAnswer{200, "body"}).body, "body");
+  EXPECT_EQ(toHttp(OwnersAnswer{200, "body"}).retryAfterS, 0);
+  EXPECT_EQ(toHttp(OwnersAnswer{503, "body"}).retryAfterS, 1);
+}
+
+TEST(UserAnswer, AnOwnerThatCannotTellAnswersItsPeerWithStatusZero) {
+  auto answer = toPeerAnswer(5, NotTheOwner{});
+  EXPECT_EQ(answer.id, 5U);
+  EXPECT_EQ(answer.status, 0);
+  EXPECT_EQ(answer.body, "");
+}
--- a/tests/world/world.cpp
+++ b/tests/world/world.cpp
@@ -139,7 +139,7 @@
     enter(Source::Sockets, [this, life, r = std::move(r), reply = std::move(reply)] {
       if (!controller_ || life != lives_) return;
       auto answered = std::make_shared<bool>(false);
-      controller_->request(r, [answered, reply](HttpResponse h) {
+      controller_->handleRequest(r, [answered, reply](HttpResponse h) {
         if (!std::exchange(*answered, true)) reply(std::move(h));
       });
     });
@@ -187,7 +187,7 @@
   auto decoded = cherryloft::mesh::decode(cherryloft::mesh::encode(f));
   if (!decoded) return;
   enter(Source::Sockets, [this, decoded] {
-    if (controller_) controller_->frame(*decoded);
+    if (controller_) controller_->handleFrame(*decoded);
   });
 }
 
