--- a/src/scheduler/placement_pages.h
+++ b/src/scheduler/placement_pages.h
@@ -1,5 +1,6 @@
-// The run/ pages of a shard: which exist, and how much of each is still true. A page whose facts have mostly
-// become untrue is the next to be written, and so takes in new ones at the cost of one change.
+// PlacementPages: the stored pages (run/<shard>/<page>) that tell which tasks of a shard are placed or done,
+// and how many facts of each page still hold. A page whose facts have mostly become outdated is the next to
+// be written, and so takes in new ones at the cost of one change.
 #pragma once
 
 #include <algorithm>
@@ -22,26 +23,27 @@
     std::vector<TaskId> members;  // whose state it held when last written
     std::size_t live = 0;         // of those, whose latest state it still is
   };
-  explicit PlacementPages(std::size_t valueBytes) : enough_(valueBytes / kBytesPerLiveFact) {}
+  // valueBytes: how large a page's value may be.
+  explicit PlacementPages(std::size_t valueBytes) : mostLiveToRewrite_(valueBytes / kBytesPerLiveFact) {}
 
-  Page& at(PageNumber n) {
-    next_ = std::max(next_, n + 1);
-    return pages_[n];
-  }
-  // The emptiest page, or a new one while all are more than a quarter full.
+  // The page with that number, which is created if there is none.
+  Page& at(PageNumber number);
+  // The emptiest page that is not taken, or a new one while all are more than a quarter full.
   PageNumber next(const std::set<PageNumber>& taken);
-  // One that holds nothing any more, if so many are there that it is not worth keeping.
+  // One that holds nothing any more, if there are so many that it is not worth keeping.
   std::optional<PageNumber> spare(const std::set<PageNumber>& taken) const;
-  void drop(PageNumber n) { pages_.erase(n); }
+  // The page's key was deleted.
+  void drop(PageNumber number) { pages_.erase(number); }
   std::size_t count() const { return pages_.size(); }
 
  private:
-  // A new page is begun while all hold more than one true fact for so many bytes, about a quarter of what
+  // A new page is begun while all hold more than one live fact for so many bytes, about a quarter of what
   // fits. The emptier the page that is written anew, the more new facts one change tells.
   static constexpr std::size_t kBytesPerLiveFact = 160;
-  std::size_t enough_;
+  std::size_t mostLiveToRewrite_;
   std::map<PageNumber, Page> pages_;
-  PageNumber next_ = 0;  // never one that was dropped: its first write may be carried out again, late
+  // Never one that was dropped: its first write may be carried out again, late.
+  PageNumber nextNumber_ = 0;
 };
 
 }  // namespace cherryloft
--- a/src/scheduler/shard_state.cpp
+++ b/src/scheduler/shard_state.cpp
@@ -5,23 +5,6 @@
 
 namespace cherryloft {
 
-std::vector<ImageId> ImageCache::touch(const ImageId& image, double gb) {
-  recent_.remove_if([&](const auto& e) { return e.first == image; });
-  recent_.emplace_front(image, gb);
-  std::vector<ImageId> markGone;
-  double sum = 0;
-  for (auto it = recent_.begin(); it != recent_.end();) {
-    sum += it->second;
-    if (sum <= capacity_ || it == recent_.begin()) {
-      ++it;
-      continue;
-    }
-    markGone.push_back(it->first);
-    it = recent_.erase(it);
-  }
-  return markGone;
-}
-
 Resources Machine::capacityBeingFreed() const {
   Resources r;
   for (const auto& [_, p] : placements)
@@ -32,45 +15,45 @@
 // --- jobs ---
 
 Job& ShardState::addJob(const JobId& id, const JobEntry& known, const Delegation* delegation) {
-  auto& j = jobs_[id];
-  j.id = id;
-  j.spec = known.spec;
-  j.team = settings_.team(j.spec->team);
-  j.holders = &holders_[j.spec->image];
-  j.version = known.version;
-  j.submitted = known.submitted;
-  j.status = known.status;
-  j.tasks.assign(known.tasks, Task{});
-  byTeam_[j.spec->team][{j.submitted, id}] = &j;
+  auto& job = jobs_[id];
+  job.id = id;
+  job.spec = known.spec;
+  job.team = settings_.team(job.spec->team);
+  job.holders = &holders_[job.spec->image];
+  job.version = known.version;
+  job.submitted = known.submitted;
+  job.status = known.status;
+  job.tasks.assign(known.tasks, Task{});
+  byTeam_[job.spec->team][{job.submitted, id}] = &job;
   if (delegation)
-    takeDelegated(j, *delegation);
+    addDelegatedTasks(job, *delegation);
   else
-    takeOwn(j, known);
-  if (j.status == JobStatus::Open)
-    for (std::uint32_t i = 0; i < known.tasks; ++i)
-      if (j.tasks[i].state == TaskState::Waiting) j.waiting.push_back(i);
-  return j;
+    addOwnTasks(job, known);
+  if (job.status != JobStatus::Open) return job;
+  for (std::uint32_t index = 0; index < known.tasks; ++index)
+    if (job.tasks[index].state == TaskState::Waiting) job.waiting.push_back(index);
+  return job;
 }
 
-void ShardState::takeOwn(Job& job, const JobEntry& known) {
+void ShardState::addOwnTasks(Job& job, const JobEntry& known) {
   job.maxConcurrent = known.maxConcurrent;
   job.delegations = known.delegations;
-  for (const auto& d : known.delegations)
-    for (auto i : d.tasks)
-      if (i < job.tasks.size()) makeRemote(job, i, d.zone);
-  for (auto i : known.doneRemotely) {
-    if (i >= job.tasks.size() || job.tasks[i].state != TaskState::Waiting) continue;
-    job.tasks[i].state = TaskState::Done;
-    job.tasks[i].doneCommitted = true;
+  for (const auto& delegation : known.delegations)
+    for (auto index : delegation.tasks)
+      if (index < job.tasks.size()) makeRemote(job, index, delegation.zone);
+  for (auto index : known.doneRemotely) {
+    if (index >= job.tasks.size() || job.tasks[index].state != TaskState::Waiting) continue;
+    job.tasks[index].state = TaskState::Done;
+    job.tasks[index].doneCommitted = true;
     ++job.done;
   }
 }
 
-void ShardState::takeDelegated(Job& job, const Delegation& delegation) {
+void ShardState::addDelegatedTasks(Job& job, const Delegation& delegation) {
   job.delegation = delegation;
-  for (std::uint32_t i = 0; i < job.tasks.size(); ++i) {
-    if (delegation.covers(i)) continue;
-    job.tasks[i].state = TaskState::Remote;
+  for (std::uint32_t index = 0; index < job.tasks.size(); ++index) {
+    if (delegation.covers(index)) continue;
+    job.tasks[index].state = TaskState::Remote;
     ++job.remote;
   }
 }
@@ -79,7 +62,7 @@
   job.tasks[index].state = TaskState::Remote;
   ++job.remote;
   if (zone) ++job.zones[*zone];
-  use_[job.spec->team] += job.spec->each;
+  usageByTeam_[job.spec->team] += job.spec->each;
 }
 
 void ShardState::remoteBack(Job& job, std::uint32_t index, const std::optional<Zone>& zone, bool done) {
@@ -88,7 +71,7 @@
     auto count = job.zones.find(*zone);
     if (--count->second == 0) job.zones.erase(count);
   }
-  use_[job.spec->team] -= job.spec->each;
+  usageByTeam_[job.spec->team] -= job.spec->each;
   auto& task = job.tasks[index];
   task.state = done ? TaskState::Done : TaskState::Waiting;
   if (done)
@@ -98,129 +81,144 @@
 }
 
 void ShardState::removeJob(const JobId& id) {
-  auto it = jobs_.find(id);
-  if (it == jobs_.end()) return;
-  for (auto& t : it->second.tasks) forgetFact(t);
-  byTeam_[it->second.spec->team].erase({it->second.submitted, id});
-  jobs_.erase(it);
+  auto found = jobs_.find(id);
+  if (found == jobs_.end()) return;
+  auto& job = found->second;
+  for (auto& task : job.tasks) detachFromPage(task);
+  byTeam_[job.spec->team].erase({job.submitted, id});
+  jobs_.erase(found);
 }
 
 Job* ShardState::job(const JobId& id) {
-  auto it = jobs_.find(id);
-  return it == jobs_.end() ? nullptr : &it->second;
+  auto found = jobs_.find(id);
+  return found == jobs_.end() ? nullptr : &found->second;
 }
 
 // --- machines ---
 
 Machine& ShardState::addMachine(const MachineId& id, const MachineEntry& known, const MachineType* type,
                                 Time now) {
-  auto& h = machines_[id];
-  h.id = id;
-  h.no = ++machineCount_;
-  h.known = known;
-  h.address = known.record.address;
+  auto& machine = machines_[id];
+  machine.id = id;
+  machine.no = ++machineCount_;
+  machine.known = known;
+  machine.address = known.record.address;
   if (type) {
-    h.size = type->size;
-    h.fetchGbPerS = type->fetchGbPerS;
-    h.images = ImageCache(type->cacheGb);
+    machine.size = type->size;
+    machine.fetchGbPerS = type->fetchGbPerS;
+    machine.images = ImageCache(type->cacheGb);
   }
-  const auto& r = known.record;
-  auto pool = std::find_if(pools_.begin(), pools_.end(), [&](const Pool& p) {
-    return p.type == r.type && p.zone == r.zone && p.spot == r.spot;
+  machine.pool = &poolFor(machine);
+  ++machine.pool->machines;
+  machine.lastHeard = now;
+  machine.idleSince = now;
+  return machine;
+}
+
+Pool& ShardState::poolFor(const Machine& machine) {
+  const auto& record = machine.known.record;
+  auto found = std::find_if(pools_.begin(), pools_.end(), [&](const Pool& pool) {
+    return pool.type == record.type && pool.zone == record.zone && pool.spot == record.spot;
   });
-  if (pool == pools_.end())
-    pool = pools_.insert(pools_.end(), {r.type, r.zone, r.spot, h.size, h.fetchGbPerS, 0, 0, {}});
-  ++pool->machines;
-  h.pool = &*pool;
-  h.idleSince = h.lastHeard = now;
-  return h;
+  if (found != pools_.end()) return *found;
+  Pool pool;
+  pool.type = record.type;
+  pool.zone = record.zone;
+  pool.spot = record.spot;
+  pool.size = machine.size;
+  pool.fetchGbPerS = machine.fetchGbPerS;
+  return pools_.emplace_back(std::move(pool));
 }
 
-void ShardState::learnType(Machine& h, const MachineType& type) {
-  h.size = type.size;
-  h.fetchGbPerS = type.fetchGbPerS;
-  h.images = ImageCache(type.cacheGb);
-  h.pool->size = h.size;
-  h.pool->fetchGbPerS = h.fetchGbPerS;
-  reindex(h);
+void ShardState::learnType(Machine& machine, const MachineType& type) {
+  machine.size = type.size;
+  machine.fetchGbPerS = type.fetchGbPerS;
+  machine.images = ImageCache(type.cacheGb);
+  machine.pool->size = machine.size;
+  machine.pool->fetchGbPerS = machine.fetchGbPerS;
+  reindex(machine);
 }
 
 void ShardState::removeMachine(const MachineId& id) {
-  auto it = machines_.find(id);
-  if (it == machines_.end()) return;
-  auto& h = it->second;
-  h.decommissioning = true;
-  reindex(h);
-  --h.pool->machines;
-  for (auto& [_, set] : holders_) set.erase(h.no);
-  machines_.erase(it);
+  auto found = machines_.find(id);
+  if (found == machines_.end()) return;
+  auto& machine = found->second;
+  machine.decommissioning = true;
+  reindex(machine);
+  --machine.pool->machines;
+  for (auto& [_, holders] : holders_) holders.erase(machine.no);
+  machines_.erase(found);
 }
 
 Machine* ShardState::machine(const MachineId& id) {
-  auto it = machines_.find(id);
-  return it == machines_.end() ? nullptr : &it->second;
+  auto found = machines_.find(id);
+  return found == machines_.end() ? nullptr : &found->second;
 }
 
-void ShardState::reindex(Machine& h) {
-  std::optional<double> should;
-  if (h.open()) should = h.free().cores;
-  if (h.indexedFree == should) return;
-  if (h.indexedFree) h.pool->byFreeCores.erase({*h.indexedFree, h.no});
-  if (should) h.pool->byFreeCores[{*should, h.no}] = &h;
-  if (!h.indexedFree) {
-    h.openAt = open_.size();
-    open_.push_back(&h);
-  } else if (!should) {
-    open_[h.openAt] = open_.back();
-    open_[h.openAt]->openAt = h.openAt;
+void ShardState::reindex(Machine& machine) {
+  std::optional<double> freeCores;  // nothing: it is not to be in the index
+  if (machine.open()) freeCores = machine.free().cores;
+  if (machine.indexedFree == freeCores) return;
+  auto& index = machine.pool->byFreeCores;
+  if (machine.indexedFree) index.erase({*machine.indexedFree, machine.no});
+  if (freeCores) index[{*freeCores, machine.no}] = &machine;
+  if (!machine.indexedFree) {
+    machine.openAt = open_.size();
+    open_.push_back(&machine);
+  } else if (!freeCores) {
+    // The last one takes its place.
+    open_[machine.openAt] = open_.back();
+    open_[machine.openAt]->openAt = machine.openAt;
     open_.pop_back();
   }
-  h.indexedFree = should;
+  machine.indexedFree = freeCores;
 }
 
-void ShardState::cached(Machine& h, const ImageId& image, double gb) {
-  for (const auto& markGone : h.images.touch(image, gb)) holders_[markGone].erase(h.no);
-  holders_[image][h.no] = &h;
+void ShardState::cached(Machine& machine, const ImageId& image, double sizeGb) {
+  for (const auto& evicted : machine.images.touch(image, sizeGb)) holders_[evicted].erase(machine.no);
+  holders_[image][machine.no] = &machine;
 }
 
 // --- placements ---
 
 Placement& ShardState::place(Job& job, std::uint32_t index, Machine& machine, Attempt attempt, Time now) {
-  auto& p = machine.placements[TaskId{job.id, index}];
-  p.job = &job;
-  p.attempt = attempt;
-  p.placedAt = now;
-  const auto& s = *job.spec;
-  machine.used += s.each;
-  if (s.kind == JobKind::Service) machine.replicaCores += s.each.cores;
-  use_[s.team] += s.each;
-  usedByPriority_[static_cast<std::size_t>(s.priority)] += s.each.cores;
+  auto& placement = machine.placements[TaskId{job.id, index}];
+  placement.job = &job;
+  placement.attempt = attempt;
+  placement.placedAt = now;
+  const auto& spec = *job.spec;
+  machine.used += spec.each;
+  if (spec.kind == JobKind::Service) machine.replicaCores += spec.each.cores;
+  usageByTeam_[spec.team] += spec.each;
+  usedByPriority_[static_cast<std::size_t>(spec.priority)] += spec.each.cores;
   ++job.zones[machine.zone()];
-  auto& t = job.tasks[index];
-  t.state = TaskState::Placed;
-  t.machine = &machine;
+  auto& task = job.tasks[index];
+  task.state = TaskState::Placed;
+  task.machine = &machine;
   ++job.placed;
   job.begun = true;
   job.placedLast = now;
   reindex(machine);
-  return p;
+  return placement;
 }
 
-void ShardState::release(Machine& machine, std::map<TaskId, Placement>::iterator it, Time now) {
-  Job& job = *it->second.job;
-  const auto& s = *job.spec;
-  machine.used -= s.each;
-  if (s.kind == JobKind::Service) machine.replicaCores -= s.each.cores;
-  use_[s.team] -= s.each;
-  usedByPriority_[static_cast<std::size_t>(s.priority)] -= s.each.cores;
+void ShardState::release(Machine& machine, std::map<TaskId, Placement>::iterator placement, Time now) {
+  const auto& [id, released] = *placement;
+  Job& job = *released.job;
+  const auto& spec = *job.spec;
+  machine.used -= spec.each;
+  if (spec.kind == JobKind::Service) machine.replicaCores -= spec.each.cores;
+  usageByTeam_[spec.team] -= spec.each;
+  usedByPriority_[static_cast<std::size_t>(spec.priority)] -= spec.each.cores;
   auto zone = job.zones.find(machine.zone());
   if (--zone->second == 0) job.zones.erase(zone);
   --job.placed;
-  if (it->second.committed) --job.committed;
-  if (it->second.phase == wire::TaskPhase::Running && it->second.shown) --job.running;
-  job.tasks[it->first.index].machine = nullptr;
-  machine.placements.erase(it);
+  if (released.committed) --job.committed;
+  if (released.phase == wire::TaskPhase::Running && released.shown) --job.running;
+  job.tasks[id.index].machine = nullptr;
+  machine.placements.erase(placement);
   if (machine.placements.empty()) {
+    // Sums of what was taken and given back differ from nothing by rounding.
     machine.used = {};
     machine.replicaCores = 0;
     machine.idleSince = now;
@@ -229,30 +227,31 @@
 }
 
 void ShardState::markGone(Machine& machine, const TaskId& task, Time now) {
-  auto it = machine.placements.find(task);
-  if (it == machine.placements.end()) return;
-  Job& job = *it->second.job;
-  job.lost += it->second.shown && machine.spot();
-  release(machine, it, now);
-  auto& t = job.tasks[task.index];
-  t.state = TaskState::Waiting;
-  forgetFact(t);
+  auto placement = machine.placements.find(task);
+  if (placement == machine.placements.end()) return;
+  Job& job = *placement->second.job;
+  if (placement->second.shown && machine.spot()) ++job.lost;
+  release(machine, placement, now);
+  auto& lost = job.tasks[task.index];
+  lost.state = TaskState::Waiting;
+  detachFromPage(lost);
   // What was running before comes before what never ran.
   job.waiting.push_front(task.index);
 }
 
 void ShardState::taskDone(Machine& machine, const TaskId& task, Time now) {
-  auto it = machine.placements.find(task);
-  if (it == machine.placements.end()) return;
-  Job& job = *it->second.job;
-  release(machine, it, now);
+  auto placement = machine.placements.find(task);
+  if (placement == machine.placements.end()) return;
+  Job& job = *placement->second.job;
+  release(machine, placement, now);
   job.tasks[task.index].state = TaskState::Done;
   ++job.done;
 }
 
-void ShardState::commit(Placement& p) {
-  if (std::exchange(p.committed, true)) return;
-  ++p.job->committed;
+void ShardState::commit(Placement& placement) {
+  if (placement.committed) return;
+  placement.committed = true;
+  ++placement.job->committed;
 }
 
 void ShardState::doneWaiting(Job& job) {
@@ -261,23 +260,24 @@
   job.waiting.clear();
 }
 
-void ShardState::setPhase(Placement& p, wire::TaskPhase phase, Time now) {
+void ShardState::setPhase(Placement& placement, wire::TaskPhase phase, Time now) {
   using wire::TaskPhase;
-  bool ran = p.shown && p.phase == TaskPhase::Running, placementPages = phase == TaskPhase::Running;
-  if (placementPages && !ran) {
-    ++p.job->running;
-    p.runningSince = now;
+  bool ranBefore = placement.shown && placement.phase == TaskPhase::Running;
+  bool runsNow = phase == TaskPhase::Running;
+  if (runsNow && !ranBefore) {
+    ++placement.job->running;
+    placement.runningSince = now;
   }
-  if (ran && !placementPages) --p.job->running;
-  p.shown = true;
-  p.phase = phase;
+  if (ranBefore && !runsNow) --placement.job->running;
+  placement.shown = true;
+  placement.phase = phase;
 }
 
-// --- limits ---
+// --- quotas ---
 
 Resources ShardState::teamUse(const TeamId& team) const {
-  auto it = use_.find(team);
-  return it == use_.end() ? Resources{} : it->second;
+  auto usage = usageByTeam_.find(team);
+  return usage == usageByTeam_.end() ? Resources{} : usage->second;
 }
 
 bool ShardState::withinLimit(const Job& job) const {
@@ -295,98 +295,14 @@
 }
 
 bool ShardState::mayPreempt(PriorityClass claimant, bool guaranteed) const {
-  for (std::size_t r = 0; r < static_cast<std::size_t>(claimant); ++r)
-    if (usedByPriority_[r] > kResourceSlack) return true;
-  return guaranteed && usedByPriority_[static_cast<std::size_t>(claimant)] > kResourceSlack &&
-         std::any_of(byTeam_.begin(), byTeam_.end(), [&](const auto& t) {
-           const Team* team = settings_.team(t.first);
-           return team && aboveGuarantee(*team);
-         });
-}
-
-// --- pages ---
-
-void ShardState::forgetFact(Task& t) {
-  if (t.page == kNoPage) return;
-  auto& live = pages_.at(t.page).live;
-  live -= std::min<std::size_t>(live, 1);
-  t.page = kNoPage;
-}
-
-void ShardState::restored(const TaskId& task, PageNumber page) {
-  auto& t = jobs_.at(task.job).tasks[task.index];
-  forgetFact(t);
-  t.page = page;
-  pages_.at(page).members.push_back(task);
-  ++pages_.at(page).live;
-}
-
-// The task's latest state is on that page and still worth keeping: what is placed counts until it is known
-// gone (invariant 1), what is done until its job is over.
-bool ShardState::stands(const TaskId& id, PageNumber page) {
-  Job* j = job(id.job);
-  if (!j || j->tasks[id.index].page != page) return false;
-  const auto& t = j->tasks[id.index];
-  return t.state == TaskState::Placed || (t.state == TaskState::Done && j->status == JobStatus::Open);
-}
-
-std::optional<PageUpdate> ShardState::composePage(std::deque<TaskId>& unwritten,
-                                                  std::set<PageNumber>& taken) {
-  // What was done, lost or written meanwhile needs no writing.
-  auto needed = [&](const TaskId& id) {
-    Job* j = job(id.job);
-    if (!j || j->tasks[id.index].writeInFlight) return false;
-    const auto& t = j->tasks[id.index];
-    // When the whole job is done, its own record says so.
-    if (t.state == TaskState::Done) return j->status == JobStatus::Open && !t.doneCommitted && !j->finished();
-    return t.state == TaskState::Placed && !t.machine->placements.at(id).committed;
-  };
-  while (!unwritten.empty() && !needed(unwritten.front())) unwritten.pop_front();
-  if (unwritten.empty()) return std::nullopt;
-
-  PageUpdate d;
-  d.number = pages_.next(taken);
-  taken.insert(d.number);
-  std::size_t weight = wire::kPageFrame;
-  auto add = [&](const TaskId& id) {
-    const auto& t = job(id.job)->tasks[id.index];
-    auto known = d.record.jobs.find(id.job);
-    std::size_t more = known == d.record.jobs.end() ? wire::weightOfJob(id.job) : 0;
-    std::optional<wire::PlacementEntry> entry;
-    if (t.state == TaskState::Placed) entry = {id.index, t.machine->placements.at(id).attempt, t.machine->id};
-    more += entry ? wire::weightOf(*entry) : wire::weightOfDone(id.index);
-    if (weight + more > settings_.valueBytes) return false;
-    weight += more;
-    auto& facts = d.record.jobs[id.job];
-    if (entry)
-      facts.placed.push_back(std::move(*entry));
-    else
-      facts.done.push_back(id.index);
-    d.members.push_back(id);
-    return true;
-  };
-  auto& page = pages_.at(d.number);
-  // What still stands of a page that was written under a larger limit may not fit any more: it stays as it
-  // is.
-  for (const auto& id : page.members)
-    if (stands(id, d.number) && !add(id)) return std::nullopt;
-  auto old = d.members.size();
-  while (!unwritten.empty()) {
-    auto id = unwritten.front();
-    if (needed(id)) {
-      if (!add(id)) break;
-      auto& t = job(id.job)->tasks[id.index];
-      forgetFact(t);
-      t.page = d.number;
-      t.writeInFlight = true;
-    }
-    unwritten.pop_front();
-  }
-  page.members = d.members;
-  page.live = d.members.size();
-  for (auto& [_, facts] : d.record.jobs) std::sort(facts.done.begin(), facts.done.end());
-  if (d.members.size() == old) return std::nullopt;  // it is full after all
-  return d;
+  auto own = static_cast<std::size_t>(claimant);
+  for (std::size_t lower = 0; lower < own; ++lower)
+    if (usedByPriority_[lower] > kResourceSlack) return true;
+  if (!guaranteed || usedByPriority_[own] <= kResourceSlack) return false;
+  return std::any_of(byTeam_.begin(), byTeam_.end(), [&](const auto& jobsOfTeam) {
+    const Team* team = settings_.team(jobsOfTeam.first);
+    return team && aboveGuarantee(*team);
+  });
 }
 
 }  // namespace cherryloft
--- a/src/scheduler/shard_state.h
+++ b/src/scheduler/shard_state.h
@@ -1,81 +1,24 @@
-// A shard's picture: its jobs, its machines and what may be where, with the indices that decisions look
-// things up in. No I/O and no clock of its own.
+// ShardState: a shard's jobs, its machines and what may run where, with the indices that decisions look
+// things up in. No I/O and no clock of its own: the caller says what time it is.
 #pragma once
 
 #include <array>
 #include <deque>
 #include <list>
 #include <map>
-#include <memory>
 #include <set>
 #include <unordered_map>
 
 #include "cluster/cluster_view.h"
 #include "net/server.h"
+#include "scheduler/image_cache.h"
+#include "scheduler/job.h"
+#include "scheduler/machine_pool.h"
 #include "scheduler/placement_pages.h"
 #include "wire/workers.h"
 
 namespace cherryloft {
 
-struct Machine;
-struct Pool;
-// Machines by their number in the shard state, so that walks come in the same order every time.
-using MachineSet = std::map<std::uint32_t, Machine*>;
-
-// Remote: another shard has it, by a delegation (invariant 18).
-enum class TaskState : std::uint8_t { Waiting, Placed, Done, Remote };
-
-struct Task {
-  TaskState state = TaskState::Waiting;
-  bool doneCommitted = false;
-  bool writeInFlight = false;  // a write of its state is on its way
-  PageNumber page = kNoPage;   // where the latest write of its state is
-  Machine* machine = nullptr;  // while placed
-};
-
-struct Job {
-  JobId id;
-  std::shared_ptr<const JobSpec> spec;
-  const Team* team = nullptr;
-  MachineSet* holders = nullptr;  // machines that are taken to cache its image
-  Version version;
-  WallTime submitted;
-  JobStatus status = JobStatus::Open;  // as committed
-  bool cancelRequested = false;
-  std::vector<std::function<void(JobStatus)>> cancelWaiters;
-  std::vector<Task> tasks;
-  std::deque<std::uint32_t> waiting;
-  std::map<Zone, unsigned> zones;  // its tasks by zone, as the placement rules count them
-  std::uint32_t done = 0, placed = 0, running = 0;
-  std::uint32_t committed = 0;   // of those placed, whose attempt is written
-  Time since{};                  // when this controller learnt of it
-  Time placedLast{};             // when a task of it was placed last
-  bool begun = false;            // a task of it was placed once
-  bool avoidSpot = false;        // in this turn
-  std::optional<Zone> onlyZone;  // of a gang, in this turn: the zone that all its members are tried in
-  unsigned lost = 0;             // tasks that were to go on and are gone
-  Time notBefore{};
-  std::optional<std::uint32_t>
-      maxConcurrent;     // of a job of another shard's team: its tasks that may be placed at a time
-  Time anyStartUntil{};  // till then it does not wait for room on machines that have its image
-  // Invariant 18. Of a job that this shard owns: what other shards have of it, as committed.
-  std::vector<Delegation> delegations;
-  // Of a job that another shard owns: what this shard has of it. All its other tasks are Remote.
-  std::optional<Delegation> delegation;
-  std::uint32_t remote = 0;            // tasks in state Remote
-  std::optional<Attempt> gangAttempt;  // of a gang parted among shards, for its members here
-  bool recalling = false;              // of such a gang: it starts anew once all its tasks are back
-
-  bool open() const { return status == JobStatus::Open && !cancelRequested; }
-  bool isGang() const { return spec->kind == JobKind::Gang; }
-  // Members of a gang complete together: one that is done proves it of all.
-  bool gangDone() const { return isGang() && done > 0; }
-  bool finished() const { return done == tasks.size() || (gangDone() && remote == 0); }
-  // Every task that this shard is to place is placed, and its attempt written.
-  bool allCommitted() const { return waiting.empty() && committed == placed; }
-  Resources unfinished() const { return spec->each * static_cast<double>(tasks.size() - done - remote); }
-};
-
 // A task that may be on a machine (invariant 1: from its commit on; counted even before).
 struct Placement {
   Job* job = nullptr;
@@ -95,18 +38,6 @@
   bool pending() const { return !wanted || !shown; }
 };
 
-// The images a machine is taken to cache: the most recently used ones.
-class ImageCache {
- public:
-  explicit ImageCache(double capacityGb = 0) : capacity_(capacityGb) {}
-  // Returns what had to go for it.
-  std::vector<ImageId> touch(const ImageId& image, double gb);
-
- private:
-  double capacity_;
-  std::list<std::pair<ImageId, double>> recent_;  // latest first
-};
-
 struct Machine {
   MachineId id;
   std::uint32_t no = 0;
@@ -166,46 +97,28 @@
   Resources capacityBeingFreed() const;
 };
 
-// Machines of one kind in one zone, by the cores that are free on them. Only open ones are in it.
-struct Pool {
-  std::string type;
-  Zone zone;
-  bool spot = false;
-  Resources size;
-  double fetchGbPerS = 0;
-  std::size_t machines = 0;  // open or not
-  std::size_t booting = 0;   // never heard yet, when last counted
-  using ByFreeCores = std::map<std::pair<double, std::uint32_t>, Machine*>;
-  ByFreeCores byFreeCores;
-
-  // The fullest machine that has so many cores free; those after it have more.
-  ByFreeCores::const_iterator withFreeCores(double cores) const {
-    return byFreeCores.lower_bound({cores - kResourceSlack, 0});
-  }
-  // Whether a machine has room for such a task and allows it, with at most so many looked at.
-  template <class Allows>
-  bool hasCapacity(const Resources& each, unsigned mostLooked, Allows allows) const {
-    auto at = withFreeCores(each.cores);
-    for (unsigned looked = 0; at != byFreeCores.end() && looked < mostLooked; ++at, ++looked)
-      if (each.fitsIn(at->second->free()) && allows(*at->second)) return true;
-    return false;
-  }
-};
-
 // A page as it is to be written: what is still true of it, and as many new facts as it has room for.
 struct PageUpdate {
   PageNumber number = 0;
   wire::PageRecord record;
-  std::vector<TaskId> members;
+  std::vector<TaskId> members;  // whose state the record tells
 };
 
+// Owns all jobs and machines of the shard; pointers and references to them, and to pools, are valid until
+// they are removed. The indices follow each change made by a member function. What changes the fields of a
+// machine directly calls reindex() afterwards.
 class ShardState {
  public:
+  // The settings must outlive the state.
   explicit ShardState(const Settings& settings) : settings_(settings), pages_(settings.valueBytes) {}
 
-  // The shard's own job, or what a delegation gives to it of another shard's.
+  // --- jobs ---
+
+  // The shard's own job, or what a delegation gives to it of another shard's (invariant 18).
   Job& addJob(const JobId& id, const JobEntry& known, const Delegation* delegation = nullptr);
+  // Nothing of the job may be on a machine any more.
   void removeJob(const JobId& id);
+  // Null if there is none.
   Job* job(const JobId& id);
   std::map<JobId, Job>& jobs() { return jobs_; }
   const std::map<JobId, Job>& jobs() const { return jobs_; }
@@ -213,56 +126,83 @@
   using TeamJobs = std::map<std::pair<WallTime, JobId>, Job*>;
   const std::map<TeamId, TeamJobs>& teams() const { return byTeam_; }
 
+  // --- machines ---
+
+  // Without a type (it is not in the catalog yet) the machine takes no work until learnType() is called.
   Machine& addMachine(const MachineId& id, const MachineEntry& known, const MachineType* type, Time now);
+  void learnType(Machine& machine, const MachineType& type);
+  // Nothing may be on the machine any more.
   void removeMachine(const MachineId& id);
+  // Null if there is none.
   Machine* machine(const MachineId& id);
   std::map<MachineId, Machine>& machines() { return machines_; }
   const std::map<MachineId, Machine>& machines() const { return machines_; }
+  // Brings the indices up to date: to be called after anything that Machine::open() or its free cores depend
+  // on has changed.
+  void reindex(Machine& machine);
+  // The image, of that size, was used on the machine just now.
+  void cached(Machine& machine, const ImageId& image, double sizeGb);
+  const std::list<Pool>& pools() const { return pools_; }
+  std::list<Pool>& pools() { return pools_; }
+  // Machines that take new work, in no particular order.
+  const std::vector<Machine*>& openMachines() const { return open_; }
 
+  // --- placements ---
+
+  // Puts a waiting task on the machine. The caller takes its index out of job.waiting. It counts toward all
+  // limits from now on (invariant 1).
   Placement& place(Job& job, std::uint32_t index, Machine& machine, Attempt attempt, Time now);
-  // The task is known gone; it waits again unless its job is over.
+  // The task is known gone (invariant 2): it waits again, before tasks that never ran.
   void markGone(Machine& machine, const TaskId& task, Time now);
   void taskDone(Machine& machine, const TaskId& task, Time now);
-  // A waiting task goes to another shard: it counts toward the team's limit and the zones' rules as if placed
+  // A waiting task goes to another shard: it counts toward the team's quota and the zones' rules as if placed
   // there, until it is back.
   void makeRemote(Job& job, std::uint32_t index, const std::optional<Zone>& zone);
   void remoteBack(Job& job, std::uint32_t index, const std::optional<Zone>& zone, bool done);
   // The placement's attempt is written.
-  static void commit(Placement& p);
+  static void commit(Placement& placement);
   // All tasks that wait are done though no machine that is left can tell.
   static void doneWaiting(Job& job);
-  void setPhase(Placement& p, wire::TaskPhase phase, Time now);
-  void cached(Machine& machine, const ImageId& image, double gb);
-  // To be told after anything that Host::open() depends on has changed.
-  // Its type was not in the catalog when it came.
-  void learnType(Machine& h, const MachineType& type);
-  void reindex(Machine& machine);
-  const std::list<Pool>& pools() const { return pools_; }
-  std::list<Pool>& pools() { return pools_; }
-  const std::vector<Machine*>& openMachines() const { return open_; }
+  // A heartbeat showed the task in this phase.
+  void setPhase(Placement& placement, wire::TaskPhase phase, Time now);
+
+  // --- quotas ---
 
+  // What the team's tasks take, on this shard's machines and on others'.
   Resources teamUse(const TeamId& team) const;
   // What tasks of the team take on another shard's machines, or may take.
-  void countRemoteUsage(const TeamId& team, const Resources& sum) { use_[team] += sum; }
-  void uncountRemoteUsage(const TeamId& team, const Resources& sum) { use_[team] -= sum; }
-  // Whether one more task keeps its team within the limit.
+  void countRemoteUsage(const TeamId& team, const Resources& sum) { usageByTeam_[team] += sum; }
+  void uncountRemoteUsage(const TeamId& team, const Resources& sum) { usageByTeam_[team] -= sum; }
+  // Whether one more task of the job keeps its team within the quota.
   bool withinLimit(const Job& job) const;
+  // The team uses more cores than it is guaranteed.
   bool aboveGuarantee(const Team& team) const;
-  // Some work is there that such a claimant may stop.
+  // Some work is there that such a claimant may preempt. guaranteed: its team is below its guarantee.
   bool mayPreempt(PriorityClass claimant, bool guaranteed) const;
 
-  // A page that is not taken yet, and is from then on. It takes from fresh the tasks whose state it will
-  // hold; nothing if there are none.
+  // --- pages of placements ---
+
+  // Composes the page that is best written next, of those not in taken, and adds it to taken. It takes from
+  // unwritten the tasks whose state the page will hold. Nothing if no task needs writing, or if the page
+  // turned out to be full; then unwritten still holds what needs writing.
   std::optional<PageUpdate> composePage(std::deque<TaskId>& unwritten, std::set<PageNumber>& taken);
+  // The task's latest state is on that page, as loaded from the store.
   void restored(const TaskId& task, PageNumber page);
   PlacementPages& pages() { return pages_; }
+  const PlacementPages& pages() const { return pages_; }
 
  private:
-  void takeOwn(Job& job, const JobEntry& known);
-  void takeDelegated(Job& job, const Delegation& delegation);
-  void release(Machine& machine, std::map<TaskId, Placement>::iterator it, Time now);
-  void forgetFact(Task& t);
-  bool stands(const TaskId& id, PageNumber page);
+  void addOwnTasks(Job& job, const JobEntry& known);
+  void addDelegatedTasks(Job& job, const Delegation& delegation);
+  Pool& poolFor(const Machine& machine);
+  void release(Machine& machine, std::map<TaskId, Placement>::iterator placement, Time now);
+  // The page that holds the task's state holds an outdated one from now on.
+  void detachFromPage(Task& task);
+  bool isCurrentOn(const TaskId& id, PageNumber page);
+  bool needsWriting(const TaskId& id);
+  // False, and nothing is added, if the record would be larger than a value may be.
+  bool addToPage(PageUpdate& update, std::size_t& bytes, const TaskId& id);
+  void addUnwritten(PageUpdate& update, std::size_t& bytes, std::deque<TaskId>& unwritten);
 
   const Settings& settings_;
   PlacementPages pages_;
@@ -271,10 +211,10 @@
   std::map<MachineId, Machine> machines_;
   std::list<Pool> pools_;
   std::vector<Machine*> open_;
-  std::unordered_map<ImageId, MachineSet> holders_;
-  std::unordered_map<TeamId, Resources> use_;
-  std::array<double, 4> usedByPriority_{};
-  std::uint32_t machineCount_ = 0;
+  std::unordered_map<ImageId, MachineSet> holders_;  // machines that are taken to cache the image
+  std::unordered_map<TeamId, Resources> usageByTeam_;
+  std::array<double, 4> usedByPriority_{};  // cores, by PriorityClass
+  std::uint32_t machineCount_ = 0;          // ever added, as machines are numbered by it
 };
 
 }  // namespace cherryloft
--- /dev/null
+++ b/src/scheduler/shard_state_pages.cpp
@@ -0,0 +1,100 @@
+// What of the shard's state is written on which page of placements.
+#include <algorithm>
+#include <utility>
+
+#include "scheduler/shard_state.h"
+
+namespace cherryloft {
+
+void ShardState::detachFromPage(Task& task) {
+  if (task.page == kNoPage) return;
+  auto& live = pages_.at(task.page).live;
+  live -= std::min<std::size_t>(live, 1);
+  task.page = kNoPage;
+}
+
+void ShardState::restored(const TaskId& task, PageNumber page) {
+  auto& state = jobs_.at(task.job).tasks[task.index];
+  detachFromPage(state);
+  state.page = page;
+  pages_.at(page).members.push_back(task);
+  ++pages_.at(page).live;
+}
+
+// The task's latest state is on that page and still worth keeping: what is placed counts until it is known
+// gone (invariant 1), what is done until its job is over.
+bool ShardState::isCurrentOn(const TaskId& id, PageNumber page) {
+  Job* owner = job(id.job);
+  if (!owner || owner->tasks[id.index].page != page) return false;
+  auto state = owner->tasks[id.index].state;
+  return state == TaskState::Placed || (state == TaskState::Done && owner->status == JobStatus::Open);
+}
+
+// What was done, lost or written meanwhile needs no writing.
+bool ShardState::needsWriting(const TaskId& id) {
+  Job* owner = job(id.job);
+  if (!owner) return false;
+  const auto& task = owner->tasks[id.index];
+  if (task.writeInFlight) return false;
+  // When the whole job is done, its own record says so.
+  if (task.state == TaskState::Done)
+    return owner->status == JobStatus::Open && !task.doneCommitted && !owner->finished();
+  return task.state == TaskState::Placed && !task.machine->placements.at(id).committed;
+}
+
+bool ShardState::addToPage(PageUpdate& update, std::size_t& bytes, const TaskId& id) {
+  const auto& task = job(id.job)->tasks[id.index];
+  std::optional<wire::PlacementEntry> entry;
+  if (task.state == TaskState::Placed)
+    entry = {id.index, task.machine->placements.at(id).attempt, task.machine->id};
+  std::size_t more = entry ? wire::weightOf(*entry) : wire::weightOfDone(id.index);
+  if (update.record.jobs.count(id.job) == 0) more += wire::weightOfJob(id.job);
+  if (bytes + more > settings_.valueBytes) return false;
+  bytes += more;
+  auto& placements = update.record.jobs[id.job];
+  if (entry)
+    placements.placed.push_back(std::move(*entry));
+  else
+    placements.done.push_back(id.index);
+  update.members.push_back(id);
+  return true;
+}
+
+std::optional<PageUpdate> ShardState::composePage(std::deque<TaskId>& unwritten,
+                                                  std::set<PageNumber>& taken) {
+  while (!unwritten.empty() && !needsWriting(unwritten.front())) unwritten.pop_front();
+  if (unwritten.empty()) return std::nullopt;
+
+  PageUpdate update;
+  update.number = pages_.next(taken);
+  taken.insert(update.number);
+  std::size_t bytes = wire::kPageFrame;
+  auto& page = pages_.at(update.number);
+  // What is still current of a page that was written under a larger limit may not fit any more: it stays as
+  // it is (invariant 20).
+  for (const auto& id : page.members)
+    if (isCurrentOn(id, update.number) && !addToPage(update, bytes, id)) return std::nullopt;
+  auto kept = update.members.size();
+  addUnwritten(update, bytes, unwritten);
+  page.members = update.members;
+  page.live = update.members.size();
+  for (auto& [_, placements] : update.record.jobs) std::sort(placements.done.begin(), placements.done.end());
+  if (update.members.size() == kept) return std::nullopt;  // it is full after all
+  return update;
+}
+
+void ShardState::addUnwritten(PageUpdate& update, std::size_t& bytes, std::deque<TaskId>& unwritten) {
+  while (!unwritten.empty()) {
+    auto id = unwritten.front();
+    if (needsWriting(id)) {
+      if (!addToPage(update, bytes, id)) return;
+      auto& task = job(id.job)->tasks[id.index];
+      detachFromPage(task);
+      task.page = update.number;
+      task.writeInFlight = true;
+    }
+    unwritten.pop_front();
+  }
+}
+
+}  // namespace cherryloft
