--- a/src/scheduler/machine_drain.cpp
+++ b/src/scheduler/machine_drain.cpp
@@ -1,87 +1,102 @@
-// What becomes of the scheduler's machines: the leader's wishes, and drained.
+// What becomes of the shard's machines: the leader's directives, and how a draining machine gets empty.
 #include <algorithm>
 
 #include "scheduler/shard_scheduler.h"
 
 namespace cherryloft {
 
-void ShardScheduler::handleDirective(const mesh::MachineDirective& w) {
-  Machine* h = state_.machine(MachineId{w.machine});
-  if (!loaded_ || !owns() || !h || h->decommissioning) return;
-  switch (w.kind) {
+void ShardScheduler::handleDirective(const mesh::MachineDirective& directive) {
+  Machine* machine = state_.machine(MachineId{directive.machine});
+  if (!loaded_ || !owns() || !machine || machine->decommissioning) return;
+  switch (directive.kind) {
     case mesh::MachineDirective::Keep:
-      h->draining = false;
-      state_.reindex(*h);
-      return requestRound(true);
-    case mesh::MachineDirective::MoveAfterDrain:
-      if (h->replicaCores > 0) return;
-      h->decommissioning = true;
-      h->moveTarget = static_cast<std::int32_t>(w.toShard);
-      state_.reindex(*h);
+      machine->draining = false;
+      state_.reindex(*machine);
+      requestRound(true);
       return;
     case mesh::MachineDirective::Drain:
-      h->draining = true;
-      state_.reindex(*h);
+      machine->draining = true;
+      state_.reindex(*machine);
       return;
-    default:
-      if (!h->placements.empty()) return;
+    case mesh::MachineDirective::MoveAfterDrain:
+      if (machine->replicaCores > 0) return;
+      decommission(*machine, static_cast<std::int32_t>(directive.toShard));
+      return;
+    case mesh::MachineDirective::Move:
+      if (!machine->placements.empty()) return;
       // A faulty machine is idle all the time, and must not go from shard to shard before it is known for
       // one.
-      if (w.kind == mesh::MachineDirective::Move && failures_.undecidedAbout(h->id, runtime_.now())) return;
-      h->decommissioning = true;
-      h->moveTarget = w.kind == mesh::MachineDirective::Move ? static_cast<std::int32_t>(w.toShard) : -1;
-      state_.reindex(*h);
+      if (failures_.undecidedAbout(machine->id, runtime_.now())) return;
+      decommission(*machine, static_cast<std::int32_t>(directive.toShard));
+      return;
+    default:
+      if (machine->placements.empty()) decommission(*machine, kMoveToCloud);
   }
 }
 
+// The machine takes no more work, and goes to that shard or to the cloud once it is empty.
+void ShardScheduler::decommission(Machine& machine, std::int32_t moveTarget) {
+  machine.decommissioning = true;
+  machine.moveTarget = moveTarget;
+  state_.reindex(machine);
+}
+
 // The machine's replicas, if all of them could move to machines that have their image and so be back at once.
-std::optional<std::vector<TaskId>> ShardScheduler::movableReplicas(const Machine& h) const {
-  std::map<std::uint32_t, Resources> room;               // less what moves there
-  std::map<std::pair<const Job*, Zone>, unsigned> come;  // replicas that move into a zone
-  std::vector<TaskId> move;
-  for (const auto& [task, p] : h.placements) {
-    const auto& spec = *p.job->spec;
-    if (spec.kind != JobKind::Service) continue;
-    unsigned looked = 0;
-    Machine* to = nullptr;
-    for (const auto& [no, x] : *p.job->holders) {
-      if (x == &h || !x->open() || ++looked > settings_.tuning.sampleSize) continue;
-      auto free = room.try_emplace(no, x->free()).first->second;
-      // Within its zone it changes nothing for the zones' rules; elsewhere they must allow one more.
-      bool zoneFits = x->zone() == h.zone() || zoneAllows(*p.job, x->zone(), come[{p.job, x->zone()}]);
-      if (!spec.each.fitsIn(free) || !allowedKind(*p.job, *x) || !zoneFits) continue;
-      to = x;
-      break;
-    }
-    if (!to) return std::nullopt;
-    room[to->no] -= spec.each;
-    if (to->zone() != h.zone()) ++come[{p.job, to->zone()}];
-    move.push_back(task);
+std::optional<std::vector<TaskId>> ShardScheduler::movableReplicas(const Machine& machine) const {
+  ReplicaMoves moves;
+  std::vector<TaskId> movable;
+  for (const auto& [task, placement] : machine.placements) {
+    const Job& job = *placement.job;
+    if (job.spec->kind != JobKind::Service) continue;
+    const Machine* target = targetForReplica(job, machine, moves);
+    if (!target) return std::nullopt;
+    moves.freeAfterwards[target->no] -= job.spec->each;
+    if (target->zone() != machine.zone()) ++moves.intoZone[{&job, target->zone()}];
+    movable.push_back(task);
   }
-  return move;
+  return movable;
 }
 
-// A machine that is to empty itself: arrays end by themselves, then replicas are moved.
-void ShardScheduler::progressDrain(Machine& h) {
-  if (!h.draining || h.decommissioning || h.placements.empty())
-    return;  // once empty, the leader says where it goes
-  for (const auto& [_, p] : h.placements)
-    if (p.job->spec->kind != JobKind::Service || !p.wanted) return;
-  auto move = movableReplicas(h);
-  if (!move) {
-    h.draining = false;
-    state_.reindex(h);
-    return;
+// A machine with the job's image that can take one more replica from that machine, beside those planned.
+const Machine* ShardScheduler::targetForReplica(const Job& job, const Machine& from,
+                                                ReplicaMoves& moves) const {
+  unsigned examined = 0;
+  for (const auto& [number, candidate] : *job.holders) {
+    if (candidate == &from || !candidate->open()) continue;
+    ++examined;
+    if (examined > settings_.tuning.sampleSize) continue;
+    auto free = moves.freeAfterwards.try_emplace(number, candidate->free()).first->second;
+    // Within its zone it changes nothing for the zones' rules; elsewhere they must allow one more.
+    bool zoneFits = candidate->zone() == from.zone() ||
+                    zoneAllows(job, candidate->zone(), moves.intoZone[{&job, candidate->zone()}]);
+    if (job.spec->each.fitsIn(free) && allowedKind(job, *candidate) && zoneFits) return candidate;
   }
-  log_->info("moving {} replicas off {}", move->size(), h.id.value);
-  for (const auto& task : *move)
-    if (auto it = h.placements.find(task); it != h.placements.end()) stop(h, task, it->second);
-  sendCommands(h);
+  return nullptr;
 }
 
-// Nothing of ours can still act on it.
-bool ShardScheduler::mayLeave(const Machine& h) const {
-  return h.moveTarget && h.placements.empty() && h.noCommandInDoubt() && !h.commandInFlight;
+// Arrays end by themselves; then the replicas are moved. Once the machine is empty, the leader says where it
+// goes.
+void ShardScheduler::progressDrain(Machine& machine) {
+  if (!machine.draining || machine.decommissioning || machine.placements.empty()) return;
+  bool onlyReplicas =
+      std::all_of(machine.placements.begin(), machine.placements.end(), [](const auto& entry) {
+        const Placement& placement = entry.second;
+        return placement.job->spec->kind == JobKind::Service && placement.wanted;
+      });
+  if (!onlyReplicas) return;
+  auto replicas = movableReplicas(machine);
+  if (!replicas) {
+    machine.draining = false;
+    state_.reindex(machine);
+    return;
+  }
+  log_->info("draining machine: moving its replicas machine={} replicas={}", machine.id.value,
+             replicas->size());
+  for (const auto& task : *replicas) {
+    auto placement = machine.placements.find(task);
+    if (placement != machine.placements.end()) stop(machine, task, placement->second);
+  }
+  sendCommands(machine);
 }
 
 }  // namespace cherryloft
--- a/src/scheduler/shard_scheduler.cpp
+++ b/src/scheduler/shard_scheduler.cpp
@@ -1,24 +1,12 @@
 #include "scheduler/shard_scheduler.h"
 
 #include <algorithm>
-#include <charconv>
 #include <utility>
 
 namespace cherryloft {
 namespace {
 constexpr Duration kTick{250};
 constexpr Duration kStandstill{1'500};  // between two ticks
-constexpr Duration kLoadRetry{150};
-constexpr Duration kLoadEvery{1'000};
-
-// "run/<shard>/<page>"
-std::optional<PageNumber> parsePageKey(const std::string& key, const std::string& prefix) {
-  PageNumber n = 0;
-  const char* end = key.data() + key.size();
-  auto [p, ec] = std::from_chars(key.data() + prefix.size(), end, n);
-  if (ec != std::errc{} || p != end) return std::nullopt;
-  return n;
-}
 
 }  // namespace
 
@@ -35,82 +23,46 @@
       rng_(seed),
       callbacks_(std::move(out)),
       state_(settings),
-      failures_(seconds(settings.reportS)) {}
+      recovery_(runtime, log_, store, view, takeover, state_),
+      failures_(seconds(settings.reportS)),
+      loadReporter_(
+          settings, runtime, takeover, state_, failures_,
+          {[this](const Job& job) { return fragile(job); },
+           [this](const Job& job, const Zone& zone) { return zoneAllows(job, zone); },
+           [this](const Machine& machine) { return movableReplicas(machine).has_value(); }, callbacks_.load}),
+      machineRecordWriter_(settings, runtime, store, view, takeover, state_, callbacks_.dropOwnership) {}
 
 void ShardScheduler::start() {
-  loadStarted_ = runtime_.now();
-  load();
+  recovery_.start([this](const ListResult& placementPages) { build(placementPages); });
 }
 
 // --- loading ---
 
-void ShardScheduler::load() {
-  // All that was committed before the takeover must be in view; what a former owner sends later fails on
-  // the shard's version. What was seen once stays in view, so each step is repeated by itself.
-  viewed(keys::kJobs, [this] { viewed(keys::kMachines, [this] { loadRuns(); }); });
-}
-
-// Calls next once the cluster view shows what was committed under the prefix.
-void ShardScheduler::viewed(const std::string& prefix, std::function<void()> next) {
-  store_.waitUntilCurrent(prefix, guarded([this, prefix, next](bool ok) {
-                            if (ok) return next();
-                            runtime_.after(kLoadRetry,
-                                           guarded([this, prefix, next] { viewed(prefix, next); }));
-                          }));
-}
-
-void ShardScheduler::loadRuns() {
-  store_.list(RequestPriority::Control, keys::placementPages(takeover_.shard), guarded([this](ListResult r) {
-                if (r.ok) return build(r);
-                runtime_.after(kLoadRetry, guarded([this] { loadRuns(); }));
-              }));
-}
-
 void ShardScheduler::build(const ListResult& placementPages) {
-  auto now = runtime_.now();
   for (const auto& [id, known] : view_.machines)
     if (known.record.shard == takeover_.shard) admit(id, known);
-  for (const auto& [id, known] : view_.jobs)
-    if (known.shard == takeover_.shard && known.status == JobStatus::Open && known.spec)
-      state_.addJob(id, known).since = now;
-    else if (known.shard == takeover_.shard && known.status == JobStatus::Cancelled)
-      lastCancelled_ = std::max(lastCancelled_, known.version);
-    else if (const auto* delegation = findDelegation(known.delegations, takeover_.shard))
-      restoreDelegation(id, known, *delegation);
-  auto prefix = keys::placementPages(takeover_.shard);
-  std::map<TaskId, Restored> placed;
-  for (const auto& e : placementPages.entries) {
-    auto n = parsePageKey(e.key, prefix);
-    auto page = n ? wire::parsePage(*e.value) : std::nullopt;
-    if (!page) {
-      log_->error("unreadable key {}, perhaps of another layout", e.key);
-      continue;
-    }
-    state_.pages().at(*n).version = e.version;
-    restoreDone(*page, *n, placed);
-  }
-  for (const auto& [task, r] : placed) restorePlaced(task, r);
-  for (auto& [_, h] : state_.machines()) state_.reindex(h);
-  for (auto& [id, job] : state_.jobs()) {
-    job.waiting.clear();
-    for (std::uint32_t i = 0; i < job.tasks.size(); ++i)
-      if (job.tasks[i].state == TaskState::Waiting) job.waiting.push_back(i);
-    if (job.status == JobStatus::Open) resumeDelegations(job);
-    if (job.status == JobStatus::Open) restoreGang(job);
-    endIfFinished(job);
-  }
-  std::vector<JobId> over;
-  for (auto& [id, job] : state_.jobs())
-    if (job.status == JobStatus::Cancelled && job.placed == 0) over.push_back(id);
-  for (const auto& id : over) cleanUp(*state_.job(id));
+  for (const auto& [id, known] : view_.jobs) addKnownJob(id, known);
+  recovery_.restorePlacements(placementPages);
+  for (auto& [_, machine] : state_.machines()) state_.reindex(machine);
+  for (auto& [_, job] : state_.jobs()) resumeJob(job);
+  cleanUpCancelled();
   countAllRemoteUsage();
   loaded_ = true;
-  log_->info("share {} loaded: {} jobs, {} machines, {} ms", takeover_.shard.value, state_.jobs().size(),
-             state_.machines().size(), (now - loadStarted_).count());
+  log_->info("shard loaded shard={} jobs={} machines={} ms={}", takeover_.shard.value, state_.jobs().size(),
+             state_.machines().size(), recovery_.sinceStart().count());
   tick();
   requestRound(true);
 }
 
+void ShardScheduler::addKnownJob(const JobId& id, const JobEntry& known) {
+  if (known.shard == takeover_.shard && known.status == JobStatus::Open && known.spec)
+    state_.addJob(id, known).since = runtime_.now();
+  else if (known.shard == takeover_.shard && known.status == JobStatus::Cancelled)
+    lastCancelled_ = std::max(lastCancelled_, known.version);
+  else if (const auto* delegation = findDelegation(known.delegations, takeover_.shard))
+    restoreDelegation(id, known, *delegation);
+}
+
 void ShardScheduler::restoreDelegation(const JobId& id, const JobEntry& known, const Delegation& delegation) {
   if (known.status == JobStatus::Open && known.spec)
     acceptDelegation(id, known, delegation);
@@ -118,57 +70,33 @@
     lastCancelled_ = std::max(lastCancelled_, known.version);
 }
 
-// Takes in what is done; of what was placed, the latest attempt of each task is gathered.
-void ShardScheduler::restoreDone(const wire::PageRecord& page, PageNumber n,
-                                 std::map<TaskId, Restored>& placed) {
-  for (const auto& [id, facts] : page.jobs) {
-    Job* job = state_.job(id);
-    auto known = view_.jobs.find(id);
-    // An cancelled job's tasks may still be somewhere: they count until they are known gone.
-    if (!job && known != view_.jobs.end() && known->second.status == JobStatus::Cancelled &&
-        known->second.spec) {
-      // Of another shard's job a delegation may have been given back in part: all that pages name counts.
-      Delegation all{takeover_.shard, std::nullopt, {}};
-      for (std::uint32_t i = 0; i < known->second.tasks; ++i) all.tasks.push_back(i);
-      job = &state_.addJob(id, known->second, known->second.shard == takeover_.shard ? nullptr : &all);
-    }
-    if (!job) continue;
-    for (auto i : facts.done) {
-      if (i >= job->tasks.size() || job->tasks[i].state != TaskState::Waiting) continue;
-      job->tasks[i].state = TaskState::Done;
-      job->tasks[i].doneCommitted = true;
-      ++job->done;
-      state_.restored({id, i}, n);
-    }
-    for (const auto& p : facts.placed) {
-      if (p.index >= job->tasks.size()) continue;
-      auto& best = placed[{id, p.index}];
-      if (best.page == kNoPage || best.entry.attempt < p.attempt) best = {p, n};
-    }
-  }
+// Goes on with a job whose placements are restored.
+void ShardScheduler::resumeJob(Job& job) {
+  job.waiting.clear();
+  for (std::uint32_t index = 0; index < job.tasks.size(); ++index)
+    if (job.tasks[index].state == TaskState::Waiting) job.waiting.push_back(index);
+  if (job.status == JobStatus::Open) resumeDelegations(job);
+  if (job.status == JobStatus::Open) restoreGang(job);
+  endIfFinished(job);
 }
 
-void ShardScheduler::restorePlaced(const TaskId& task, const Restored& r) {
-  Job* job = state_.job(task.job);
-  Machine* h = state_.machine(r.entry.machine);
-  // A machine without a record was returned, and the cloud said so.
-  if (!job || !h || job->tasks[task.index].state != TaskState::Waiting) return;
-  auto& placement = state_.place(*job, task.index, *h, r.entry.attempt, runtime_.now());
-  ShardState::commit(placement);
-  placement.restored = true;
-  placement.wanted = job->open();
-  state_.restored(task, r.page);
-  state_.cached(*h, job->spec->image, job->spec->imageGb);
+// Cancelled jobs of which nothing is on any machine.
+void ShardScheduler::cleanUpCancelled() {
+  std::vector<JobId> over;
+  for (const auto& [id, job] : state_.jobs())
+    if (job.status == JobStatus::Cancelled && job.placed == 0) over.push_back(id);
+  for (const auto& id : over) cleanUp(*state_.job(id));
 }
 
+// A machine that is this shard's from now on. Its token is ours, and it gets no new work before it is heard.
 Machine& ShardScheduler::admit(const MachineId& id, const MachineEntry& known) {
   auto now = runtime_.now();
-  auto& h = state_.addMachine(id, known, findType(view_.catalog, known.record.type), now);
-  h.expectedIncarnation = Incarnation{1};
-  h.lowestOwnToken = tokenOf(std::max(known.record.token, takeover_.epoch));
+  auto& machine = state_.addMachine(id, known, findType(view_.catalog, known.record.type), now);
+  machine.expectedIncarnation = Incarnation{1};
+  machine.lowestOwnToken = tokenOf(std::max(known.record.token, takeover_.epoch));
   // The former owner may have answered it until the end of its grace.
-  h.aliveUntil = now + takeover_.formerAnswers + leaseAfterAnswer();
-  return h;
+  machine.aliveUntil = now + takeover_.formerAnswers + leaseAfterAnswer();
+  return machine;
 }
 
 // --- messages ---
@@ -195,8 +123,8 @@
   auto now = runtime_.now();
   job.since = now;
   const Team* team = settings_.team(job.spec->team);
-  arrivals_.push_back(
-      {now, std::min(job.unfinished().cores, team ? team->coreQuota : 0), job.spec->spotAllowed});
+  loadReporter_.workArrived(now, std::min(job.unfinished().cores, team ? team->coreQuota : 0),
+                            job.spec->spotAllowed);
   log_->debug("job {} came: {} tasks of {} cores", id.value, job.tasks.size(), job.spec->each.cores);
   requestRound(true);
 }
@@ -292,11 +220,8 @@
   reviewFailures(now);
   reviewMigrations(now);
   reviewDelegations(now);
-  settleRecords(now);
-  if (now - loadSent_ >= kLoadEvery) {
-    loadSent_ = now;
-    sendLoad();
-  }
+  machineRecordWriter_.writeChanges(now);
+  loadReporter_.reportIfDue(now);
   bool due = std::any_of(state_.jobs().begin(), state_.jobs().end(), [&](const auto& j) {
     return !j.second.waiting.empty() && j.second.notBefore > now - 2 * kTick && j.second.notBefore <= now;
   });
--- a/src/scheduler/shard_scheduler.h
+++ b/src/scheduler/shard_scheduler.h
@@ -4,7 +4,6 @@
 #include <random>
 #include <set>
 
-#include "cluster/machine_group_rewrite.h"
 #include "cluster/membership.h"
 #include "kvstore/key_value_store.h"
 #include "kvstore/transaction_builder.h"
@@ -14,7 +13,11 @@
 #include "policy/order.h"
 #include "policy/preempt.h"
 #include "scheduler/failure_attribution.h"
+#include "scheduler/load_reporter.h"
+#include "scheduler/machine_record_writer.h"
+#include "scheduler/shard_recovery.h"
 #include "scheduler/shard_state.h"
+#include "scheduler/shard_summary.h"
 #include "scheduler/start_latencies.h"
 #include "wire/users.h"
 
@@ -54,7 +57,8 @@
   void jobChanged(const JobId& id);
   void machineChanged(const MachineId& id);
   HeartbeatAnswer handleHeartbeat(const wire::WorkerHeartbeat& r);
-  void handleDirective(const mesh::MachineDirective& w);
+  // What the leader decided about one of the machines (machine_drain.cpp).
+  void handleDirective(const mesh::MachineDirective& directive);
   void returnToPreferredOwner(const ControllerId& to);
   // Another shard's owner looks for room for its jobs, or offers room for ours (scheduler_transfers.cpp).
   void handleCapacityRequest(const mesh::CapacityRequest& wanted);
@@ -74,7 +78,7 @@
   // The revision of the shard's latest cancellation.
   Version lastCancelled() const { return lastCancelled_; }
   // What was decided since the last call, for operators.
-  std::string summarizeLastMinute();
+  std::string summarizeLastMinute() { return summarizeShard(shard(), state_, latencies_); }
   const ShardCounters& counts() const { return latencies_.counts; }
 
  private:
@@ -88,17 +92,11 @@
   bool owns() const { return leaseValidity_.owns(runtime_.now()); }
 
   // Loading (invariant 7).
-  void load();
-  void viewed(const std::string& prefix, std::function<void()> next);
-  void loadRuns();
   void build(const ListResult& placementPages);
-  struct Restored {
-    wire::PlacementEntry entry;
-    PageNumber page = kNoPage;
-  };
-  void restoreDone(const wire::PageRecord& page, PageNumber n, std::map<TaskId, Restored>& placed);
-  void restorePlaced(const TaskId& task, const Restored& r);
+  void addKnownJob(const JobId& id, const JobEntry& known);
   void restoreDelegation(const JobId& id, const JobEntry& known, const Delegation& delegation);
+  void resumeJob(Job& job);
+  void cleanUpCancelled();
   Machine& admit(const MachineId& id, const MachineEntry& known);
 
   // Machines.
@@ -114,7 +112,10 @@
   void handleWorkerRestart(Machine& h, const wire::WorkerHeartbeat& r);
   void beginIncarnation(Machine& h);
   void taskLost(Machine& h, const TaskId& task);
-  void taskEnded(Machine& h, const wire::ReportedTask& t);
+  void taskEnded(Machine& machine, const wire::ReportedTask& reported);
+  void taskSucceeded(Machine& machine, const TaskId& task);
+  void taskFailed(Machine& machine, const wire::ReportedTask& reported);
+  const Machine* machineWhereJobWorks(const Job& job, Time now) const;
   void quarantineFaulty(const JobId& job);
   void reviewFailures(Time now);
   void reconcileMissingTasks(Machine& h, const wire::WorkerHeartbeat& r, bool handleHeartbeat);
@@ -140,25 +141,18 @@
   void checkLiveness(Machine& h, Time now);
   bool suspected(const Machine& h, Time now) const;
   void returnSuspected(Time now);
-  bool mayLeave(const Machine& h) const;
-  void progressDrain(Machine& h);
-  std::optional<std::vector<TaskId>> movableReplicas(const Machine& h) const;
-  // What is to change in a machine group's record.
-  struct GroupChange {
-    std::set<MachineId> back;                                   // to the cloud
-    std::map<std::int32_t, std::vector<const Machine*>> moved;  // by the shard that they go to
+  void decommission(Machine& machine, std::int32_t moveTarget);
+  void progressDrain(Machine& machine);
+  std::optional<std::vector<TaskId>> movableReplicas(const Machine& machine) const;
+  // What a plan to move replicas leaves free on machines, by their number, and how many of a job it moves into
+  // a zone.
+  struct ReplicaMoves {
+    std::map<std::uint32_t, Resources> freeAfterwards;
+    std::map<std::pair<const Job*, Zone>, unsigned> intoZone;
   };
-  std::map<std::string, GroupChange> groupChanges(Time now);
-  void settleRecords(Time now);
-  bool addGroupChange(TransactionBuilder& transaction, const std::string& key, GroupChange& change,
-                      Epoch token);
-  MachineGroupRewrite groupWrites(const std::string& key, const GroupChange& change, Epoch token) const;
-  void recordsWritten(const TxnResult& r);
+  const Machine* targetForReplica(const Job& job, const Machine& from, ReplicaMoves& moves) const;
   void stop(Machine& h, const TaskId& id, Placement& p);
   void dropMachine(const MachineId& id);
-  void sendLoad();
-  std::size_t tasksWantingCapacity(const Job& job, Time now) const;
-  void stuckZones(const Job& job, mesh::Demand& d) const;
   // come: tasks of it that are to go there already.
   bool zoneAllows(const Job& job, const Zone& zone, unsigned come = 0) const;
 
@@ -307,11 +301,11 @@
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 
   ShardState state_;
+  ShardRecovery recovery_;
   FailureAttribution failures_;
   Time failuresReviewed_{};
   bool loaded_ = false;
   Version lastCancelled_;
-  Time loadStarted_{};
   std::uint64_t attempts_ = 0;
   std::optional<ControllerId> transferringTo_;
   bool ownershipTransferSent_ = false;
@@ -323,7 +317,6 @@
   Time lastRound_{};
   Time lastPreemption_{};
   std::optional<Time> preemptionDue_;  // when a round is to make room next
-  Time loadSent_{};
   std::deque<TaskId> unwrittenTasks_;  // tasks whose placement or completion is to be written
   std::set<JobId> ending_;             // jobs to write as done or cancelled
   bool committing_ = false;
@@ -355,11 +348,6 @@
   };
   std::optional<CommitInFlight> commitInFlight_;
 
-  bool recordsBusy_ = false;   // a write of host/ keys is on its way
-  bool recordsMoved_ = false;  // the last one was of moves
-  Time recordsNotBefore_{};
-  MachineGroupSplits groupSplits_;
-  Time addressSince_{};         // since when some address is not written
   std::size_t asking_ = 0;      // questions to machines that carry no commands
   std::size_t commanding_ = 0;  // direct commands under way, questions included
   // When so much was last silent that the fault is likely not the machines'.
@@ -414,16 +402,8 @@
   Time taskCapacityOfferedAt_{};
 
   StartLatencies latencies_;
-  ShardCounters summarized_;
-
-  // Work that came of late, for the leader's sizing: when, cores, whether it may use spot machines.
-  struct Arrival {
-    Time at;
-    double cores;
-    bool spotAllowed;
-  };
-  std::deque<Arrival> arrivals_;
-  std::deque<Arrival> departures_;  // and work that was done
+  LoadReporter loadReporter_;
+  MachineRecordWriter machineRecordWriter_;
 };
 
 }  // namespace cherryloft
--- a/src/scheduler/start_latencies.cpp
+++ b/src/scheduler/start_latencies.cpp
@@ -1,34 +1,49 @@
 #include "scheduler/start_latencies.h"
 
 #include <algorithm>
+#include <utility>
 
 namespace cherryloft {
 
-void LatencyHistogram::add(Duration d) {
-  bins_(std::max<double>(1.0, static_cast<double>(d.count())));
+void LatencyHistogram::add(Duration wait) {
+  bins_(std::max<double>(1.0, static_cast<double>(wait.count())));
   ++count_;
-  most_ = std::max(most_, d);
+  longest_ = std::max(longest_, wait);
 }
 
 // The upper edge of the bin in which the quantile lies.
-double LatencyHistogram::quantile(double q) const {
+double LatencyHistogram::quantile(double fraction) const {
   double sum = 0;
   for (const auto& bin : boost::histogram::indexed(bins_, boost::histogram::coverage::all)) {
     sum += *bin;
-    if (sum >= q * static_cast<double>(count_))
-      return std::min(bin.bin().upper(), static_cast<double>(most_.count()));
+    if (sum >= fraction * static_cast<double>(count_))
+      return std::min(bin.bin().upper(), static_cast<double>(longest_.count()));
   }
-  return static_cast<double>(most_.count());
+  return static_cast<double>(longest_.count());
 }
 
-std::string LatencyHistogram::take() {
-  auto whole = [](double ms) { return std::to_string(static_cast<long>(ms)); };
-  auto line = "n=" + std::to_string(count_) + " p50=" + whole(quantile(0.5)) +
-              " p90=" + whole(quantile(0.9)) + " max=" + std::to_string(most_.count());
+std::string LatencyHistogram::take(const std::string& name) {
+  auto pair = [&](const std::string& key, long value) {
+    return name + "_" + key + "=" + std::to_string(value);
+  };
+  auto line = pair("n", static_cast<long>(count_)) + " " + pair("p50_ms", static_cast<long>(quantile(0.5))) +
+              " " + pair("p90_ms", static_cast<long>(quantile(0.9))) + " " +
+              pair("max_ms", static_cast<long>(longest_.count()));
   bins_.reset();
   count_ = 0;
-  most_ = Duration{0};
+  longest_ = Duration{0};
   return line;
 }
 
+RoundCounters StartLatencies::takeMinute() {
+  RoundCounters minute;
+  minute.starts = counts.starts - countsAtLastTake.starts;
+  minute.machinesExamined = counts.machinesExamined - countsAtLastTake.machinesExamined;
+  minute.rounds = std::exchange(rounds, 0);
+  minute.widest = std::exchange(widest, 0);
+  minute.evicted = std::exchange(evicted, 0);
+  countsAtLastTake = counts;
+  return minute;
+}
+
 }  // namespace cherryloft
--- a/src/scheduler/task_failures.cpp
+++ b/src/scheduler/task_failures.cpp
@@ -1,6 +1,4 @@
 // Tasks that ended, and what failed ones say of their machine and of their job.
-#include <algorithm>
-
 #include "scheduler/shard_scheduler.h"
 
 namespace cherryloft {
@@ -9,42 +7,56 @@
 using wire::TaskPhase;
 
 constexpr Duration kReviewFailuresEvery{1'000};
+// Before a job is tried again whose task its machine refused ...
+constexpr Duration kRetryAfterRefusal{500};
+// ... or whose task ended for no known cause.
+constexpr Duration kRetryAfterUnknownEnd{1'000};
 }  // namespace
 
-void ShardScheduler::taskEnded(Machine& h, const wire::ReportedTask& t) {
+void ShardScheduler::taskEnded(Machine& machine, const wire::ReportedTask& reported) {
+  if (reported.cause == ExitCause::Done)
+    taskSucceeded(machine, reported.task);
+  else
+    taskFailed(machine, reported);
+}
+
+void ShardScheduler::taskSucceeded(Machine& machine, const TaskId& task) {
   auto now = runtime_.now();
-  Job& job = *h.placements.at(t.task).job;
-  if (t.cause == ExitCause::Done) {
-    state_.cached(h, job.spec->image, job.spec->imageGb);
-    state_.taskDone(h, t.task, now);
-    departures_.push_back({now, job.spec->each.cores, job.spec->spotAllowed});
-    failures_.completed(job.id, h.id, now);
-    quarantineFaulty(job.id);
-    if (job.status == JobStatus::Open) {
-      unwrittenTasks_.push_back(t.task);
-      settleDoneGang(job);
-      endIfFinished(job);
-    }
-    cleanUp(job);
-    return;
+  Job& job = *machine.placements.at(task).job;
+  state_.cached(machine, job.spec->image, job.spec->imageGb);
+  state_.taskDone(machine, task, now);
+  loadReporter_.workDone(now, job.spec->each.cores, job.spec->spotAllowed);
+  failures_.completed(job.id, machine.id, now);
+  quarantineFaulty(job.id);
+  if (job.status == JobStatus::Open) {
+    unwrittenTasks_.push_back(task);
+    settleDoneGang(job);
+    endIfFinished(job);
   }
-  const auto& placement = h.placements.at(t.task);
+  cleanUp(job);
+}
+
+void ShardScheduler::taskFailed(Machine& machine, const wire::ReportedTask& reported) {
+  auto now = runtime_.now();
+  const auto& placement = machine.placements.at(reported.task);
+  Job& job = *placement.job;
   bool ran = placement.shown && placement.phase == TaskPhase::Running;
   auto ranFor = ran ? now - placement.runningSince : Duration{};
-  state_.markGone(h, t.task, now);
-  log_->debug("{} on {} ended: {}", wire::encodeTask(t.task), h.id.value, static_cast<int>(t.cause));
-  switch (t.cause) {
+  state_.markGone(machine, reported.task, now);
+  log_->debug("task ended without success task={} machine={} cause={}", wire::encodeTask(reported.task),
+              machine.id.value, static_cast<int>(reported.cause));
+  switch (reported.cause) {
     case ExitCause::Error:
-      if (auto wait = failures_.failed(t.task, h.id, ranFor, state_.machines().size(), now))
+      if (auto wait = failures_.failed(reported.task, machine.id, ranFor, state_.machines().size(), now))
         job.notBefore = now + *wait;
       quarantineFaulty(job.id);
       break;
     case ExitCause::NoRoom:
     case ExitCause::Busy:
-      job.notBefore = now + Duration{500};
+      job.notBefore = now + kRetryAfterRefusal;
       break;
     case ExitCause::Unknown:
-      job.notBefore = now + Duration{1'000};
+      job.notBefore = now + kRetryAfterUnknownEnd;
       break;
     default:
       break;
@@ -58,12 +70,10 @@
 // Machines whose failures of the job, beside its success elsewhere, show that the fault is theirs.
 void ShardScheduler::quarantineFaulty(const JobId& job) {
   for (const auto& id : failures_.faulty(job, runtime_.now())) {
-    Machine* h = state_.machine(id);
-    if (!h || h->decommissioning) continue;
-    log_->info("{} fails jobs that work elsewhere and is given up", id.value);
-    h->decommissioning = true;
-    h->moveTarget = -1;
-    state_.reindex(*h);
+    Machine* machine = state_.machine(id);
+    if (!machine || machine->decommissioning) continue;
+    log_->info("machine quarantined: fails jobs that work elsewhere machine={}", id.value);
+    decommission(*machine, kMoveToCloud);
     ++latencies_.counts.quarantined;
   }
 }
@@ -75,19 +85,26 @@
   for (const auto& id : failures_.undecided()) {
     const Job* job = state_.job(id);
     if (!job) continue;
-    auto enough = failures_.contrastAfter(id);
-    for (std::uint32_t i = 0; i < job->tasks.size(); ++i) {
-      const Machine* h = job->tasks[i].machine;
-      if (!h) continue;
-      const auto& p = h->placements.at({id, i});
-      bool placementPages = p.shown && p.phase == TaskPhase::Running && now - p.runningSince >= enough;
-      if (!placementPages || timeSinceHeartbeat(*h) > reportDue()) continue;
-      failures_.keptRunning(id, h->id, now);
-      quarantineFaulty(id);
-      requestRound(true);
-      break;
-    }
+    const Machine* machine = machineWhereJobWorks(*job, now);
+    if (!machine) continue;
+    failures_.keptRunning(id, machine->id, now);
+    quarantineFaulty(id);
+    requestRound(true);
+  }
+}
+
+// One that has kept a task of the job running for long enough, and was heard of late.
+const Machine* ShardScheduler::machineWhereJobWorks(const Job& job, Time now) const {
+  auto longEnough = failures_.contrastAfter(job.id);
+  for (std::uint32_t index = 0; index < job.tasks.size(); ++index) {
+    const Machine* machine = job.tasks[index].machine;
+    if (!machine) continue;
+    const auto& placement = machine->placements.at({job.id, index});
+    bool running = placement.shown && placement.phase == TaskPhase::Running;
+    if (!running || now - placement.runningSince < longEnough) continue;
+    if (timeSinceHeartbeat(*machine) <= reportDue()) return machine;
   }
+  return nullptr;
 }
 
 }  // namespace cherryloft
--- /dev/null
+++ b/tests/unit/load_reporter_test.cpp
@@ -0,0 +1,140 @@
+// What the leader is told of a shard's load.
+#include "scheduler/load_reporter.h"
+
+#include <gtest/gtest.h>
+
+#include "unit/held_calls_runtime.h"
+#include "world/world.h"
+
+namespace cherryloft {
+namespace {
+
+constexpr double kCoresOfMachine = 16;
+
+class LoadReporterTest : public ::testing::Test {
+ protected:
+  JobEntry jobEntry(const std::string& id, std::uint32_t tasks, double cores) const {
+    auto spec = std::make_shared<JobSpec>();
+    spec->id = JobId{id};
+    spec->team = settings_.teams.at(0).name;
+    spec->tasks = tasks;
+    spec->each = {cores, 0, cores};
+    spec->expectedRunSeconds = 30;
+    JobEntry entry;
+    entry.tasks = tasks;
+    entry.spec = std::move(spec);
+    return entry;
+  }
+  Machine& addMachine(const std::string& id) {
+    MachineType type{"m", {kCoresOfMachine, 0, 100}, 50, 1, 1, 0.4, 5, {settings_.zones.at(0)}};
+    MachineEntry entry;
+    entry.record.type = "m";
+    entry.record.zone = settings_.zones.at(0);
+    entry.record.address = "10.1.0.2:9000";
+    auto& machine = state_.addMachine(MachineId{id}, entry, &type, runtime_.now());
+    machine.heard = true;
+    state_.reindex(machine);
+    return machine;
+  }
+  const mesh::ShardLoad& report() {
+    reporter_.reportIfDue(runtime_.now());
+    return sent_.back();
+  }
+  void wait(Duration time) { runtime_.clock.run(runtime_.clock.now() + time.count()); }
+
+  Settings settings_ = parseSettings(world::Deployment{}.settingsOf(0), {});
+  HeldCallsRuntime runtime_;
+  ShardState state_{settings_};
+  FailureAttribution failures_{Duration{3'000}};
+  std::vector<mesh::ShardLoad> sent_;
+  LoadReporter reporter_{
+      settings_,
+      runtime_,
+      ShardTakeover{ShardId{2}, Epoch{7}, Version{70}},
+      state_,
+      failures_,
+      {[](const Job&) { return false; }, [](const Job&, const Zone&) { return true; },
+       [](const Machine&) { return true; }, [this](const mesh::ShardLoad& load) { sent_.push_back(load); }}};
+};
+
+TEST_F(LoadReporterTest, ReportsOnceInAReportInterval) {
+  reporter_.reportIfDue(runtime_.now());
+  wait(Duration{500});
+  reporter_.reportIfDue(runtime_.now());
+  EXPECT_EQ(sent_.size(), 1U);
+  wait(Duration{500});
+  reporter_.reportIfDue(runtime_.now());
+  EXPECT_EQ(sent_.size(), 2U);
+}
+
+TEST_F(LoadReporterTest, NamesTheShardAndTheEpochOfItsOwner) {
+  EXPECT_EQ(report().shard, 2U);
+  EXPECT_EQ(report().epoch, 7U);
+}
+
+TEST_F(LoadReporterTest, WaitingTasksOfAnOpenJobCountAsDemand) {
+  state_.addJob(JobId{"a"}, jobEntry("a", 3, 2));
+  EXPECT_EQ(report().onDemandOnly.waiting, 6);
+  EXPECT_EQ(report().onDemandOnly.largestTask, 2);
+  EXPECT_EQ(report().onDemandOnly.runS, 30);
+}
+
+TEST_F(LoadReporterTest, AJobThatNeverWorkedAsksForOneTaskAtATime) {
+  state_.addJob(JobId{"a"}, jobEntry("a", 3, 2));
+  for (const auto* machine : {"m-1", "m-2", "m-3"})
+    failures_.failed({JobId{"a"}, 0}, MachineId{machine}, Duration{}, 10, runtime_.now());
+  EXPECT_EQ(report().onDemandOnly.waiting, 2);
+}
+
+TEST_F(LoadReporterTest, ArrivalsAreForgottenAfterTheirWindow) {
+  reporter_.workArrived(runtime_.now(), 240, true);
+  EXPECT_EQ(report().spotAllowed.arriving, 2);
+  EXPECT_EQ(report().spotAllowed.largestJob, 240);
+  wait(Duration{121'000});
+  EXPECT_EQ(report().spotAllowed.arriving, 0);
+}
+
+TEST_F(LoadReporterTest, DoneWorkIsForgottenAfterItsWindow) {
+  reporter_.workDone(runtime_.now(), 40, false);
+  EXPECT_EQ(report().onDemandOnly.departing, 2);
+  wait(Duration{21'000});
+  EXPECT_EQ(report().onDemandOnly.departing, 0);
+}
+
+TEST_F(LoadReporterTest, OfBusyMachinesOnlyTheEmptiestAreNamed) {
+  auto& job = state_.addJob(JobId{"a"}, jobEntry("a", 40, 1));
+  std::uint32_t task = 0;
+  for (int number = 0; number < 17; ++number) {
+    auto& machine = addMachine("m-" + std::to_string(number));
+    state_.place(job, task++, machine, Attempt{1}, runtime_.now());
+    if (number == 3) state_.place(job, task++, machine, Attempt{1}, runtime_.now());
+  }
+  const auto& named = report().machines;
+  EXPECT_EQ(named.size(), 16U);
+  EXPECT_TRUE(
+      std::none_of(named.begin(), named.end(), [](const auto& load) { return load.machine == "m-3"; }));
+}
+
+TEST_F(LoadReporterTest, AnIdleMachineIsNamedWithTheTimeSinceItsLastTask) {
+  addMachine("m-1");
+  wait(Duration{5'000});
+  ASSERT_EQ(report().machines.size(), 1U);
+  EXPECT_EQ(report().machines[0].idleS, 5);
+  EXPECT_EQ(report().machines[0].freeCores, kCoresOfMachine);
+  EXPECT_FALSE(report().machines[0].pinned);
+}
+
+TEST_F(LoadReporterTest, AJobWhoseOnlyZoneHasNoMachinesNamesItAsStuck) {
+  auto entry = jobEntry("a", 1, 1);
+  auto spec = std::make_shared<JobSpec>(*entry.spec);
+  spec->zone = settings_.zones.at(0);
+  entry.spec = spec;
+  state_.addJob(JobId{"a"}, entry);
+  EXPECT_FALSE(report().onDemandOnly.stuckZones.empty());
+  addMachine("m-1");
+  wait(Duration{1'000});
+  EXPECT_TRUE(report().onDemandOnly.stuckZones.empty());
+}
+
+}  // namespace
+}  // namespace cherryloft
