--- a/src/scheduler/shard_scheduler.h
+++ b/src/scheduler/shard_scheduler.h
@@ -4,7 +4,6 @@
 #include <random>
 #include <set>
 
-#include "cluster/machine_group_rewrite.h"
 #include "cluster/membership.h"
 #include "kvstore/key_value_store.h"
 #include "kvstore/transaction_builder.h"
@@ -16,9 +15,13 @@
 #include "scheduler/eviction_planner.h"
 #include "scheduler/failure_attribution.h"
 #include "scheduler/job_migration.h"
+#include "scheduler/load_reporter.h"
+#include "scheduler/machine_record_writer.h"
 #include "scheduler/pending_jobs.h"
 #include "scheduler/placement_turn.h"
+#include "scheduler/shard_recovery.h"
 #include "scheduler/shard_state.h"
+#include "scheduler/shard_summary.h"
 #include "scheduler/start_latencies.h"
 #include "scheduler/task_delegation.h"
 #include "wire/users.h"
@@ -68,7 +71,8 @@
   // Answers a worker's heartbeat, which prolongs its lease, and reconciles the shard state with it. 421: the
   // machine has a later owner; 503: this actor may not answer now, or does not know the machine.
   [[nodiscard]] HeartbeatAnswer handleHeartbeat(const wire::WorkerHeartbeat& heartbeat);
-  void handleDirective(const mesh::MachineDirective& w);
+  // What the leader decided about one of the machines (machine_drain.cpp).
+  void handleDirective(const mesh::MachineDirective& directive);
   void returnToPreferredOwner(const ControllerId& to);
   // Another shard's owner looks for capacity for its jobs, or offers some for ours (remote_capacity.cpp).
   void handleCapacityRequest(const mesh::CapacityRequest& request);
@@ -88,7 +92,7 @@
   // The revision of the shard's latest cancellation.
   Version lastCancelled() const { return lastCancelled_; }
   // What was decided since the last call, for operators.
-  std::string summarizeLastMinute();
+  std::string summarizeLastMinute() { return summarizeShard(shard(), state_, latencies_); }
   const ShardCounters& counts() const { return latencies_.counts; }
 
  private:
@@ -102,17 +106,11 @@
   bool owns() const { return leaseValidity_.owns(runtime_.now()); }
 
   // Loading (invariant 7).
-  void load();
-  void viewed(const std::string& prefix, std::function<void()> next);
-  void loadRuns();
   void build(const ListResult& placementPages);
-  struct Restored {
-    wire::PlacementEntry entry;
-    PageNumber page = kNoPage;
-  };
-  void restoreDone(const wire::PageRecord& page, PageNumber n, std::map<TaskId, Restored>& placed);
-  void restorePlaced(const TaskId& task, const Restored& r);
+  void addKnownJob(const JobId& id, const JobEntry& known);
   void restoreDelegation(const JobId& id, const JobEntry& known, const Delegation& delegation);
+  void resumeJob(Job& job);
+  void cleanUpCancelled();
   Machine& admit(const MachineId& id, const MachineEntry& known);
 
   // Heartbeats (heartbeats.cpp).
@@ -151,7 +149,10 @@
   void stop(Machine& machine, const TaskId& task, Placement& placement);
 
   // Failed tasks (task_failures.cpp).
-  void taskEnded(Machine& h, const wire::ReportedTask& t);
+  void taskEnded(Machine& machine, const wire::ReportedTask& reported);
+  void taskSucceeded(Machine& machine, const TaskId& task);
+  void taskFailed(Machine& machine, const wire::ReportedTask& reported);
+  const Machine* machineWhereJobWorks(const Job& job, Time now) const;
   void quarantineFaulty(const JobId& job);
   void reviewFailures(Time now);
 
@@ -229,24 +230,17 @@
   // Upkeep.
   void tick();
   bool stoodStill(Time now);
-  bool mayLeave(const Machine& h) const;
-  void progressDrain(Machine& h);
-  std::optional<std::vector<TaskId>> movableReplicas(const Machine& h) const;
-  // What is to change in a machine group's record.
-  struct GroupChange {
-    std::set<MachineId> back;                                   // to the cloud
-    std::map<std::int32_t, std::vector<const Machine*>> moved;  // by the shard that they go to
+  void decommission(Machine& machine, std::int32_t moveTarget);
+  void progressDrain(Machine& machine);
+  std::optional<std::vector<TaskId>> movableReplicas(const Machine& machine) const;
+  // What a plan to move replicas leaves free on machines, by their number, and how many of a job it moves
+  // into a zone.
+  struct ReplicaMoves {
+    std::map<std::uint32_t, Resources> freeAfterwards;
+    std::map<std::pair<const Job*, Zone>, unsigned> intoZone;
   };
-  std::map<std::string, GroupChange> groupChanges(Time now);
-  void settleRecords(Time now);
-  bool addGroupChange(TransactionBuilder& transaction, const std::string& key, GroupChange& change,
-                      Epoch token);
-  MachineGroupRewrite groupWrites(const std::string& key, const GroupChange& change, Epoch token) const;
-  void recordsWritten(const TxnResult& r);
+  const Machine* targetForReplica(const Job& job, const Machine& from, ReplicaMoves& moves) const;
   void dropMachine(const MachineId& id);
-  void sendLoad();
-  std::size_t tasksWantingCapacity(const Job& job, Time now) const;
-  void stuckZones(const Job& job, mesh::Demand& d) const;
 
   // Placement rounds (placement_rounds.cpp).
   // Has the next round consider all machines with capacity, or beside others the one that reported.
@@ -357,12 +351,12 @@
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 
   ShardState state_;
+  ShardRecovery recovery_;
   FailureAttribution failures_;
   PlacementConstraints constraints_{settings_, state_, failures_, runtime_};
   Time failuresReviewed_{};
   bool loaded_ = false;
   Version lastCancelled_;
-  Time loadStarted_{};
   std::uint64_t attempts_ = 0;
   std::optional<ControllerId> transferringTo_;
   bool ownershipTransferSent_ = false;
@@ -373,7 +367,6 @@
   Time lastRound_{};
   Time lastPreemption_{};
   std::optional<Time> preemptionDue_;  // when a round is to preempt next
-  Time loadSent_{};
   std::deque<TaskId> unwrittenTasks_;  // tasks whose placement or completion is to be written
   std::set<JobId> ending_;             // jobs to write as done or cancelled
   bool committing_ = false;
@@ -382,11 +375,6 @@
   bool placementsUnwritten_ = false;  // some of unwrittenTasks_ are placements
   std::optional<CommitInFlight> commitInFlight_;
 
-  bool recordsBusy_ = false;   // a write of host/ keys is on its way
-  bool recordsMoved_ = false;  // the last one was of moves
-  Time recordsNotBefore_{};
-  MachineGroupSplits groupSplits_;
-  Time addressSince_{};                     // since when some address is not written
   std::size_t probesInFlight_ = 0;          // direct commands without commands in them
   std::size_t directCommandsInFlight_ = 0;  // probes included
   // When so many machines were last suspected that the fault was likely not theirs: of the shard, of a zone.
@@ -407,16 +395,8 @@
   Time taskCapacityOfferedAt_{};
 
   StartLatencies latencies_;
-  ShardCounters summarized_;
-
-  // Work that came of late, for the leader's sizing: when, cores, whether it may use spot machines.
-  struct Arrival {
-    Time at;
-    double cores;
-    bool spotAllowed;
-  };
-  std::deque<Arrival> arrivals_;
-  std::deque<Arrival> departures_;  // and work that was done
+  LoadReporter loadReporter_;
+  MachineRecordWriter machineRecordWriter_;
 };
 
 }  // namespace cherryloft
--- a/tests/unit/scale_out_test.cpp
+++ b/tests/unit/scale_out_test.cpp
@@ -70,6 +70,6 @@
   runtime.answer(1, 503, kNoCapacity);
   runtime.clock.run(runtime.clock.now() + 15'000);
   EXPECT_EQ(scaleOut.refused().count(request.offer), 1U);
-  scaleOut.available(request.offer);
+  scaleOut.offeringAvailable(request.offer);
   EXPECT_TRUE(scaleOut.refused().empty());
 }
