--- a/src/scheduler/shard_scheduler.h
+++ b/src/scheduler/shard_scheduler.h
@@ -144,8 +144,8 @@
   void decommission(Machine& machine, std::int32_t moveTarget);
   void progressDrain(Machine& machine);
   std::optional<std::vector<TaskId>> movableReplicas(const Machine& machine) const;
-  // What a plan to move replicas leaves free on machines, by their number, and how many of a job it moves into
-  // a zone.
+  // What a plan to move replicas leaves free on machines, by their number, and how many of a job it moves
+  // into a zone.
   struct ReplicaMoves {
     std::map<std::uint32_t, Resources> freeAfterwards;
     std::map<std::pair<const Job*, Zone>, unsigned> intoZone;
--- a/tests/unit/placement_pages_test.cpp
+++ b/tests/unit/placement_pages_test.cpp
@@ -9,8 +9,8 @@
 // absence.
 TEST(PlacementPages, NoNumberIsUsedAgain) {
   PlacementPages pages(std::size_t{16} * 1024);
-  auto n = pages.next({});
-  pages.at(n).version = Version{5};
-  pages.drop(n);
-  EXPECT_NE(pages.next({}), n);
+  auto number = pages.next({});
+  pages.at(number).version = Version{5};
+  pages.drop(number);
+  EXPECT_NE(pages.next({}), number);
 }
