--- a/src/scheduler/pending_jobs.cpp
+++ b/src/scheduler/pending_jobs.cpp
@@ -6,7 +6,8 @@
 namespace {
 
 constexpr double kFirstStartOverdueSeconds = 90;  // so that no large job starves behind small ones
-constexpr double kLeastRunPart = 0.5;  // of the expected run: owners' estimates are often too long by half
+// Part of the expected run that must fit: owners' estimates are often wrong by half.
+constexpr double kLeastRunPart = 0.5;
 
 bool objectiveFeasible(const Job& job, const Settings& settings, double ageSeconds) {
   const auto& spec = *job.spec;
