--- /dev/null
+++ b/tests/unit/task_delegation_test.cpp
@@ -0,0 +1,119 @@
+// Tasks that the owner of a job gives to other shards, and gets back (invariant 18).
+#include "scheduler/task_delegation.h"
+
+#include <gtest/gtest.h>
+#include <spdlog/sinks/null_sink.h>
+
+#include "scheduler/shard_state.h"
+#include "world/world.h"
+
+namespace cherryloft {
+namespace {
+
+const ShardId kOwner{0};
+const ShardId kDelegate{1};
+const JobId kJob{"wk-1"};
+const TeamId kTeam{"team-0"};
+constexpr std::uint32_t kTasks = 4;
+using Tasks = std::vector<std::uint32_t>;
+
+class TaskDelegationTest : public ::testing::Test {
+ protected:
+  TaskDelegationTest() {
+    auto spec = std::make_shared<JobSpec>();
+    spec->id = kJob;
+    spec->team = kTeam;
+    spec->tasks = kTasks;
+    spec->each = {2, 0, 1};
+    auto& entry = view_.jobs[kJob];
+    entry.shard = kOwner;
+    entry.tasks = kTasks;
+    entry.version = Version{7};
+    entry.spec = spec;
+    state_.addJob(kJob, entry);
+  }
+
+  Job& job() { return *state_.job(kJob); }
+  JobEntry& shown() { return view_.jobs[kJob]; }
+  Tasks waiting() { return {job().waiting.begin(), job().waiting.end()}; }
+  std::uint32_t plan(std::uint32_t offered, std::uint32_t maxTasks = kTasks) {
+    return delegation_.plan(job(), {kDelegate, Zone{"a"}, offered, Time{}}, maxTasks);
+  }
+  std::vector<DelegationWrite> addPlanned() {
+    TransactionBuilder transaction(settings_.txnOps);
+    return delegation_.addPlanned(transaction);
+  }
+  // The first tasks go to the delegate, and the commit is known.
+  void delegateTasks(std::uint32_t count) {
+    plan(count);
+    delegation_.committed(addPlanned().front(), Version{8});
+  }
+
+  Settings settings_ = parseSettings(world::Deployment{}.settingsOf(0), {});
+  ShardState state_{settings_};
+  ClusterView view_;
+  std::size_t allowedInZone_ = kTasks;
+  TaskDelegation delegation_{
+      settings_,
+      view_,
+      state_,
+      kOwner,
+      [this](const Job& job, const Zone&) { return job.remote < allowedInZone_; },
+      std::make_shared<spdlog::logger>("test", std::make_shared<spdlog::sinks::null_sink_st>())};
+};
+
+TEST_F(TaskDelegationTest, PlannedTasksCountAsPlacedAndNoLongerWait) {
+  EXPECT_EQ(plan(3), 3U);
+  EXPECT_EQ(waiting(), Tasks{3});
+  EXPECT_DOUBLE_EQ(state_.teamUse(kTeam).cores, 6);
+}
+
+TEST_F(TaskDelegationTest, NoMoreIsPlannedThanTheOwnerGivesAndTheZoneAllows) {
+  EXPECT_EQ(plan(4, 2), 2U);
+  allowedInZone_ = 3;
+  EXPECT_EQ(plan(4), 1U);
+}
+
+TEST_F(TaskDelegationTest, TasksOfADroppedPlanWaitAgainInOrder) {
+  plan(2);
+  delegation_.dropPlan(job());
+  EXPECT_EQ(waiting(), (Tasks{0, 1, 2, 3}));
+  EXPECT_FALSE(delegation_.planned(kJob));
+  EXPECT_DOUBLE_EQ(state_.teamUse(kTeam).cores, 0);
+}
+
+// A write from the outdated record would undo what a delegate has written since.
+TEST_F(TaskDelegationTest, NothingIsWrittenWhileTheViewLags) {
+  plan(2);
+  shown().version = Version{6};
+  EXPECT_TRUE(addPlanned().empty());
+  EXPECT_EQ(waiting(), (Tasks{0, 1, 2, 3}));
+}
+
+TEST_F(TaskDelegationTest, ARecallThatCannotBeWrittenStaysPlanned) {
+  delegation_.planRecall(job());
+  shown().version = Version{6};
+  EXPECT_TRUE(addPlanned().empty());
+  EXPECT_TRUE(delegation_.planned(kJob));
+}
+
+TEST_F(TaskDelegationTest, ReturnedTasksAreDoneOrWaitAgain) {
+  delegateTasks(3);
+  shown().version = Version{9};
+  shown().delegations = {{kDelegate, Zone{"a"}, {2}}};
+  shown().doneRemotely = {0};
+  auto returned = delegation_.takeReturned(job(), shown());
+  ASSERT_TRUE(returned);
+  EXPECT_EQ(returned->done, Tasks{0});
+  EXPECT_EQ(returned->unfinished, Tasks{1});
+  EXPECT_EQ(job().tasks[2].state, TaskState::Remote);
+}
+
+TEST_F(TaskDelegationTest, ARecordThatIsNotNewerChangesNothing) {
+  delegateTasks(3);
+  EXPECT_FALSE(delegation_.takeReturned(job(), shown()));
+  EXPECT_EQ(job().remote, 3U);
+}
+
+}  // namespace
+}  // namespace cherryloft
