--- /dev/null
+++ b/src/cluster/epoch_allocator.cpp
@@ -0,0 +1,82 @@
+#include "cluster/epoch_allocator.h"
+
+#include <utility>
+
+namespace cherryloft {
+namespace {
+
+// Half the default time to live of a lease; after that the records are read to see what was written.
+constexpr Duration kOwnershipChangeDeadline{1'500};
+
+EpochAllocation::Outcome outcomeOf(const TxnResult& result) {
+  switch (result.outcome) {
+    case TxnResult::Outcome::Ok:
+      return EpochAllocation::Outcome::Allocated;
+    case TxnResult::Outcome::Conflict:
+    case TxnResult::Outcome::Refused:
+      return EpochAllocation::Outcome::Refused;
+    // No answer that this small transaction without a lease should get: nothing is concluded from it.
+    case TxnResult::Outcome::LeaseExpired:
+    case TxnResult::Outcome::Rejected:
+    case TxnResult::Outcome::Unknown:
+      break;
+  }
+  return EpochAllocation::Outcome::InDoubt;
+}
+
+}  // namespace
+
+OwnershipChange takeoverBy(const ControllerId& newOwner, const std::string& key, const OwnerEntry* former) {
+  if (former == nullptr) return {key, Version{0}, newOwner, std::nullopt};
+  if (former->record.owner == newOwner) return {key, former->version, newOwner, std::nullopt};
+  return {key, former->version, newOwner, ControllerCondition{former->record.owner, Version{0}}};
+}
+
+EpochAllocator::EpochAllocator(const Settings& settings, KeyValueStore& store, const ClusterView& view,
+                               const ControllerLease& lease, std::function<void()> viewCurrent)
+    : settings_(settings), store_(store), view_(view), lease_(lease), viewCurrent_(std::move(viewCurrent)) {}
+
+void EpochAllocator::allocate(const OwnershipChange& change,
+                              std::function<void(const EpochAllocation&)> done) {
+  Epoch next{view_.epoch.value + 1};
+  phase_ = Phase::Busy;
+  store_.txn(RequestPriority::Control, transactionFor(change, next), kOwnershipChangeDeadline,
+             [this, next, done = std::move(done)](const TxnResult& result) {
+               done({outcomeOf(result), next, result.revision});
+               readShards();
+             });
+}
+
+wire::Transaction EpochAllocator::transactionFor(const OwnershipChange& change, Epoch next) const {
+  wire::Transaction transaction;
+  transaction.conditions[change.key] = change.version;
+  transaction.conditions[keys::kEpoch] = view_.epochVersion;
+  transaction.conditions[keys::controller(settings_.controller)] = lease_.joinVersion();
+  if (change.otherController)
+    transaction.conditions[keys::controller(change.otherController->controller)] =
+        change.otherController->version;
+  transaction.operations.push_back({change.key, wire::encodeOwnerRecord({change.newOwner, next}), {}});
+  transaction.operations.push_back({keys::kEpoch, wire::encodeCounter(next), {}});
+  return transaction;
+}
+
+void EpochAllocator::updateView() {
+  if (busy()) return;
+  phase_ = Phase::Busy;
+  readShards();
+}
+
+void EpochAllocator::readShards() {
+  store_.waitUntilCurrent(keys::kShards, [this](bool) { readControllers(); });
+}
+
+void EpochAllocator::readControllers() {
+  store_.waitUntilCurrent(keys::kControllers, [this](bool current) { viewRead(current); });
+}
+
+void EpochAllocator::viewRead(bool current) {
+  phase_ = Phase::Idle;
+  if (current) viewCurrent_();
+}
+
+}  // namespace cherryloft
--- a/src/cluster/membership.h
+++ b/src/cluster/membership.h
@@ -1,90 +1,64 @@
-// Membership: this controller's lease, the shards it owns, and who leads.
+// Membership: this controller's part in the cluster: its lease, the shards it owns, and whether it leads.
 #pragma once
 
-#include <set>
+#include <cstdint>
+#include <functional>
+#include <map>
 
 #include "cluster/cluster_view.h"
+#include "cluster/controller_lease.h"
+#include "cluster/epoch_allocator.h"
+#include "cluster/leader_election.h"
+#include "cluster/shard_ownership.h"
 #include "kvstore/key_value_store.h"
 
 namespace cherryloft {
 
-// Until when a controller may do what, by its own steady clock (invariant 6).
-struct LeaseValidity {
-  Time ownsUntil{};     // starts, forgets, non-terminal answers
-  Time answersUntil{};  // heartbeats without new commands
-  bool owns(Time now) const { return now < ownsUntil; }
-  bool answers(Time now) const { return now < answersUntil; }
-};
-
-struct ShardTakeover {
-  ShardId shard;
-  Epoch epoch;
-  Version version;
-  // How long the former owner, and keep-alive proxies of its, may have gone on answering heartbeats.
-  Duration formerAnswers{0};
-};
-
+// Composes ControllerLease, ShardOwnership and LeaderElection, and reviews them against the cluster view: on
+// every change of shards or controllers, after every change of ownership, and at least four times a second.
+//
+// All callbacks come on the controller's own turn; none may destroy this object.
 class Membership {
  public:
   struct Callbacks {
-    std::function<void(const LeaseValidity&)> leaseValidity;
+    std::function<void(const LeaseValidity&)> leaseValidityChanged;
     std::function<void(const ShardTakeover&)> takenOver;
     std::function<void(ShardId)> lost;
-    std::function<void(bool)> leading;
-    std::function<void(ShardId, ControllerId)> returnToPreferredOwner;  // asks the shard's actor to let go
+    // Told whether this controller leads from now on.
+    std::function<void(bool)> leadershipChanged;
+    // Asks the shard's scheduler to transfer the shard to that controller when it can.
+    std::function<void(ShardId, const ControllerId&)> returnToPreferredOwner;
   };
 
-  Membership(const Settings& settings, Runtime& runtime, Log log, KeyValueStore& store,
-             const ClusterView& view, Callbacks out);
+  // The references must outlive this object.
+  Membership(const Settings& settings, Runtime& runtime, const Log& log, KeyValueStore& store,
+             const ClusterView& view, Callbacks callbacks);
+  // To be called once, after the watches of shards and controllers have begun.
   void start();
-  // The directory changed under shard/ or node/.
-  void changed();
-  LeaseValidity leaseValidity() const;
-  const std::map<ShardId, Epoch>& owned() const { return owned_; }
-  // Gives a shard to its home controller; done tells whether it is gone.
-  void transferOwnership(ShardId k, Version version, const ControllerId& to, std::function<void(bool)> done);
-  // The shard's actor found that it does not own it any more, or that its shard state are in doubt.
-  void dropOwnership(ShardId k);
+  // The cluster view changed under share/ or node/.
+  void changed() { review(); }
+
+  [[nodiscard]] LeaseValidity leaseValidity() const { return lease_.validity(); }
+  // The shards owned, each with the epoch of the ownership.
+  [[nodiscard]] const std::map<ShardId, Epoch>& owned() const { return shards_.owned(); }
+  // As in ShardOwnership.
+  void transferOwnership(ShardId shard, Version version, const ControllerId& newOwner,
+                         ShardOwnership::TransferDone done);
+  void dropOwnership(ShardId shard) { shards_.dropOwnership(shard); }
 
  private:
-  void open();
-  void join(std::uint64_t lease);
-  void renew(std::uint64_t lease);
-  void renewed(Time sent, KeyValueStore::Renewal r);
-  void extend(Time sent);
+  enum class ReviewTimer : std::uint8_t { Stopped, Running };
+
   void review();
-  void reviewShard(ShardId k, Time now);
-  void reviewLeader(Time now);
-  void allocateEpoch(const std::string& key, const OwnerEntry* former,
-                     std::function<void(Epoch, Version)> done);
-  void refresh();
-  void take(ShardId k, const OwnerEntry* former);
-  void adopt(ShardId k, Epoch e, Version s);
-  bool mine(const OwnerEntry& o) const { return o.record.owner == settings_.controller; }
-  // How many living controllers come before us in line for a shard.
-  unsigned takeoverPosition(ShardId k) const;
+  void startReviewTimer();
+  [[nodiscard]] std::map<std::string, Version> joinConditions();
 
-  const Settings& settings_;
   Runtime& runtime_;
-  Log log_;
-  KeyValueStore& store_;
-  const ClusterView& view_;
-  Callbacks callbacks_;
-  std::optional<std::uint64_t> lease_;
-  bool joined_ = false;  // our node/ key hangs on the lease
-  Version joinVersion_;
-  bool opening_ = false;
-  bool silent_ = false;
-  LeaseValidity own_;
-  std::map<ShardId, Epoch> owned_;
-  std::map<ShardId, Epoch> used_;  // epochs this process has acted under
-  std::map<ShardId, Time> orphanSince_;
-  std::map<ShardId, Time> returnAsked_;
-  std::map<ControllerId, Time> aliveSince_;
-  std::optional<Time> leaderless_;
-  bool leads_ = false;
-  bool taking_ = false;  // an ownership change is on its way, or its outcome is being read
-  bool reviewSet_ = false;
+  ControllerLease lease_;
+  EpochAllocator epochs_;
+  ShardOwnership shards_;
+  LeaderElection leaderElection_;
+  ReviewTimer reviewTimer_ = ReviewTimer::Stopped;
 };
 
 }  // namespace cherryloft
--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -135,7 +135,9 @@
         probe(address, std::move(done));
       },
       [this, k = t.shard](Version version, const ControllerId& to, std::function<void(bool)> done) {
-        membership_.transferOwnership(k, version, to, std::move(done));
+        membership_.transferOwnership(k, version, to, [done = std::move(done)](TransferOutcome outcome) {
+          done(outcome == TransferOutcome::Released);
+        });
       },
       [this] { return peers_.answeredElsewhere(); },
       [this, k = t.shard](const mesh::CapacityRequest& w) {
--- /dev/null
+++ b/tests/unit/joined_controller_fixture.h
@@ -0,0 +1,43 @@
+// A controller that has joined a cluster whose view is the test's to fill.
+#pragma once
+
+#include <gtest/gtest.h>
+
+#include "cluster/controller_lease.h"
+#include "cluster/epoch_allocator.h"
+#include "unit/fake_state_service.h"
+#include "world/world.h"
+
+namespace cherryloft {
+
+struct JoinedControllerTest : testing::Test {
+  Settings settings = parseSettings(world::Deployment{}.settingsOf(0), {});
+  FakeStateService service;
+  KeyValueStore store{settings, service, silentLog(), 1};
+  ClusterView view;
+  LeaseValidity toldValidity;
+  ControllerLease lease{settings,
+                        service,
+                        silentLog(),
+                        store,
+                        view,
+                        {[this](const LeaseValidity& validity) { toldValidity = validity; },
+                         [] { return std::map<std::string, Version>{}; }, [] {}}};
+  int viewUpdates = 0;
+  EpochAllocator epochs{settings, store, view, lease, [this] { ++viewUpdates; }};
+
+  JoinedControllerTest() {
+    for (const auto& prefix : {keys::kJobs, keys::kMachines, keys::kShards, keys::kControllers})
+      store.watch(prefix, [](const wire::KeyChange&) {});
+    lease.start();
+    runFor(Duration{1'000});
+    EXPECT_TRUE(lease.joined());
+    service.transactions.clear();
+  }
+  void runFor(Duration time) { service.clock.run(service.clock.now() + time.count()); }
+  void setAlive(const ControllerId& controller) { view.controllers[controller] = Version{1}; }
+  [[nodiscard]] const ControllerId& self() const { return settings.controller; }
+  [[nodiscard]] const ControllerId& other() const { return settings.controllers[1]; }
+};
+
+}  // namespace cherryloft
