--- a/src/cluster/machine_group_rewrite.cpp
+++ b/src/cluster/machine_group_rewrite.cpp
@@ -8,6 +8,10 @@
 namespace cherryloft {
 namespace {
 
+// From a split until the group is rewritten: whoever is reading all groups, key after key, has seen the new
+// ones by then.
+constexpr Duration kSplitSettleTime{5'000};
+
 // Of the keys that a group's members could name, one that is free: groups made of parts have no epoch of
 // their own that would make the first member's key unique.
 std::string freeKey(const wire::GroupRecord& group, const GroupExists& exists) {
@@ -15,10 +19,11 @@
     auto key = keys::group(member.id, group.token);
     if (!exists(key)) return key;
   }
+  // None is: the write's condition, that the key does not exist, will fail and leave everything as it is.
   return keys::group(group.members.front().id, group.token);
 }
 
-VersionedWrite creation(const wire::GroupRecord& group, const GroupExists& exists) {
+VersionedWrite creationOf(const wire::GroupRecord& group, const GroupExists& exists) {
   return {{freeKey(group, exists), wire::encodeGroup(group), {}}, Version{0}};
 }
 
@@ -26,12 +31,12 @@
 
 std::vector<wire::GroupRecord> splitToFit(const wire::GroupRecord& group, std::size_t valueBytes) {
   std::vector<wire::GroupRecord> parts;
-  auto rest = group;
-  while (!rest.members.empty()) {
-    auto part = rest;
+  auto remaining = group;
+  while (!remaining.members.empty()) {
+    auto part = remaining;
     while (part.members.size() > 1 && wire::encodeGroup(part).size() > valueBytes) part.members.pop_back();
     auto taken = static_cast<std::ptrdiff_t>(part.members.size());
-    rest.members.erase(rest.members.begin(), rest.members.begin() + taken);
+    remaining.members.erase(remaining.members.begin(), remaining.members.begin() + taken);
     parts.push_back(std::move(part));
   }
   return parts;
@@ -45,24 +50,25 @@
   if (parts.size() == 1) rewrite.writes.push_back({{key, wire::encodeGroup(group), {}}, version});
   rewrite.splits = parts.size() > 1;
   if (!rewrite.splits) return rewrite;
+  // The first part is what will be left of the group itself.
   parts.erase(parts.begin());
   parts.resize(std::min(parts.size(), mostWrites));
-  for (const auto& part : parts) rewrite.writes.push_back(creation(part, exists));
+  for (const auto& part : parts) rewrite.writes.push_back(creationOf(part, exists));
   return rewrite;
 }
 
 std::vector<VersionedWrite> createGroup(const wire::GroupRecord& group, std::size_t valueBytes,
                                         const GroupExists& exists) {
   std::vector<VersionedWrite> writes;
-  for (const auto& part : splitToFit(group, valueBytes)) writes.push_back(creation(part, exists));
+  for (const auto& part : splitToFit(group, valueBytes)) writes.push_back(creationOf(part, exists));
   return writes;
 }
 
 bool MachineGroupSplits::settling(const std::string& key, Time now) {
-  auto split = since_.find(key);
-  if (split == since_.end()) return false;
-  if (now - split->second < kSplitSettles) return true;
-  since_.erase(split);
+  auto split = splitAt_.find(key);
+  if (split == splitAt_.end()) return false;
+  if (now - split->second < kSplitSettleTime) return true;
+  splitAt_.erase(split);
   return false;
 }
 
@@ -71,7 +77,7 @@
   if (!transaction.addAll(rewrite.writes)) return false;
   if (!rewrite.splits) return true;
   transaction.require(key, version);
-  since_[key] = now;
+  splitAt_[key] = now;
   return true;
 }
 
--- a/tests/unit/machine_group_rewrite_test.cpp
+++ b/tests/unit/machine_group_rewrite_test.cpp
@@ -10,12 +10,13 @@
 namespace {
 
 constexpr std::size_t kValueBytes = 1024;
+const std::string kGroupKey = "host/first.7";
 
 wire::GroupRecord groupOf(unsigned members) {
   wire::GroupRecord group{ShardId{1}, Epoch{7}, "m", Zone{"a"}, false, WallTime{1700}, {}};
-  for (unsigned i = 0; i < members; ++i)
+  for (unsigned member = 0; member < members; ++member)
     group.members.push_back(
-        {MachineId{"host-" + std::to_string(100000 + i)}, wire::MachinePhase::InUse, "10.1.0.2:9000"});
+        {MachineId{"host-" + std::to_string(100000 + member)}, wire::MachinePhase::InUse, "10.1.0.2:9000"});
   return group;
 }
 
@@ -32,10 +33,10 @@
 
 TEST(MachineGroupRewrite, WhatFitsStaysOneWrite) {
   auto group = groupOf(3);
-  auto rewrite = rewriteGroup("host/k", Version{5}, group, kValueBytes, 4, kNoneExists);
+  auto rewrite = rewriteGroup(kGroupKey, Version{5}, group, kValueBytes, 4, kNoneExists);
   EXPECT_FALSE(rewrite.splits);
   ASSERT_EQ(rewrite.writes.size(), 1U);
-  EXPECT_EQ(rewrite.writes[0].write.key, "host/k");
+  EXPECT_EQ(rewrite.writes[0].write.key, kGroupKey);
   EXPECT_EQ(rewrite.writes[0].version, Version{5});
   EXPECT_EQ(*rewrite.writes[0].write.value, wire::encodeGroup(group));
 }
@@ -45,12 +46,12 @@
 TEST(MachineGroupRewrite, WhatHasOutgrownAValueGivesMembersNewGroupsAndStaysAsItIs) {
   auto group = groupOf(60);
   ASSERT_GT(wire::encodeGroup(group).size(), kValueBytes);
-  auto rewrite = rewriteGroup("host/k", Version{5}, group, kValueBytes, 8, kNoneExists);
+  auto rewrite = rewriteGroup(kGroupKey, Version{5}, group, kValueBytes, 8, kNoneExists);
   EXPECT_TRUE(rewrite.splits);
   std::set<std::string> keys;
   for (const auto& [write, version] : rewrite.writes) {
     EXPECT_LE(write.value->size(), kValueBytes);
-    EXPECT_NE(write.key, "host/k");
+    EXPECT_NE(write.key, kGroupKey);
     EXPECT_TRUE(keys.insert(write.key).second);
     EXPECT_EQ(version, Version{0});
   }
@@ -62,7 +63,7 @@
 }
 
 TEST(MachineGroupRewrite, NoMoreWritesThanATransactionTakes) {
-  auto rewrite = rewriteGroup("host/k", Version{5}, groupOf(300), kValueBytes, 3, kNoneExists);
+  auto rewrite = rewriteGroup(kGroupKey, Version{5}, groupOf(300), kValueBytes, 3, kNoneExists);
   EXPECT_TRUE(rewrite.splits);
   EXPECT_EQ(rewrite.writes.size(), 3U);
 }
@@ -77,10 +78,21 @@
 }
 
 TEST(MachineGroupRewrite, AGroupWithoutMachinesIsDropped) {
-  auto rewrite = rewriteGroup("host/k", Version{5}, groupOf(0), kValueBytes, 4, kNoneExists);
+  auto rewrite = rewriteGroup(kGroupKey, Version{5}, groupOf(0), kValueBytes, 4, kNoneExists);
   ASSERT_EQ(rewrite.writes.size(), 1U);
   EXPECT_FALSE(rewrite.writes[0].write.value);
 }
 
+TEST(MachineGroupSplits, ASplitGroupSettlesForAWhile) {
+  MachineGroupSplits splits;
+  TransactionBuilder transaction{8};
+  const Time now{Duration{1'000}};
+  auto rewrite = rewriteGroup(kGroupKey, Version{5}, groupOf(60), kValueBytes, 7, kNoneExists);
+  ASSERT_TRUE(splits.add(transaction, kGroupKey, Version{5}, rewrite, now));
+  EXPECT_TRUE(splits.settling(kGroupKey, now));
+  EXPECT_FALSE(splits.settling(kGroupKey, now + Duration{5'000}));
+  EXPECT_EQ(transaction.take().conditions.at(kGroupKey), Version{5});
+}
+
 }  // namespace
 }  // namespace cherryloft
