--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -76,12 +76,12 @@
 
 Membership::Callbacks Controller::membershipCallbacks() {
   Membership::Callbacks callbacks;
-  callbacks.leaseValidity = [this](const LeaseValidity& validity) {
+  callbacks.leaseValidityChanged = [this](const LeaseValidity& validity) {
     schedulers_.forEach([&validity](ShardScheduler& scheduler) { scheduler.leaseValidity(validity); });
   };
   callbacks.takenOver = [this](const ShardTakeover& takeover) { handleTakeover(takeover); };
   callbacks.lost = [this](ShardId shard) { schedulers_.remove(shard); };
-  callbacks.leading = [this](bool leads) { autoscaler_.leading(leads); };
+  callbacks.leadershipChanged = [this](bool leads) { autoscaler_.leading(leads); };
   callbacks.returnToPreferredOwner = [this](ShardId shard, const ControllerId& to) {
     if (auto* scheduler = schedulers_.find(shard)) scheduler->returnToPreferredOwner(to);
   };
@@ -112,7 +112,7 @@
   callbacks.unrecordedMachineSeen = [this](const wire::WorkerHeartbeat& heartbeat, const std::string& body) {
     reportUnrecordedMachine(heartbeat, body);
   };
-  callbacks.leaseValidity = [this] { return membership_.leaseValidity(); };
+  callbacks.leaseValidityChanged = [this] { return membership_.leaseValidity(); };
   callbacks.jobsKnownUpTo = [this] { return store_.revisionOf(keys::kJobs); };
   return callbacks;
 }
@@ -132,7 +132,9 @@
   };
   callbacks.transferOwnership = [this, shard](Version version, const ControllerId& to,
                                               std::function<void(bool)> done) {
-    membership_.transferOwnership(shard, version, to, std::move(done));
+    membership_.transferOwnership(shard, version, to, [done = std::move(done)](TransferOutcome outcome) {
+      done(outcome == TransferOutcome::Released);
+    });
   };
   callbacks.answeredElsewhere = [this] { return peers_.mayHaveBeenAnsweredForUntil(); };
   callbacks.requestCapacity = [this, shard](const mesh::CapacityRequest& request) {
