--- a/src/autoscaler/cloud_catalog.cpp
+++ b/src/autoscaler/cloud_catalog.cpp
@@ -53,9 +53,10 @@
   wire::Transaction transaction;
   transaction.conditions[keys::kCatalog] = clusterView.catalogVersion;
   transaction.operations.push_back({keys::kCatalog, value, {}});
-  context_.store.txn(RequestPriority::Control, transaction, kKeepDeadline, [this](const TxnResult& result) {
-    if (!result.ok()) refreshedAt_ = Time{};
-  });
+  context_.store.transact(RequestPriority::Control, transaction, kKeepDeadline,
+                          [this](const TransactionResult& result) {
+                            if (!result.committed()) refreshedAt_ = Time{};
+                          });
 }
 
 }  // namespace cherryloft
--- a/src/autoscaler/machine_records.cpp
+++ b/src/autoscaler/machine_records.cpp
@@ -22,17 +22,17 @@
 // What former leaders recorded must be in view before anything is recorded anew: their writes fail from our
 // epoch on, so a look after it sees all of them. The same goes for what we recorded ourselves.
 void MachineRecords::waitUntilCurrent() {
-  auto seen = [this, since = context_.leadership.since](bool ok) {
-    if (context_.leadership.continues(since)) caughtUp(ok);
+  auto seen = [this, since = context_.leadership.since](CatchUp result) {
+    if (context_.leadership.continues(since)) caughtUp(result);
   };
-  context_.store.waitUntilCurrent(keys::kShards, [this, seen](bool ok) {
-    if (!ok) return seen(false);
+  context_.store.waitUntilCurrent(keys::kShards, [this, seen](CatchUp result) {
+    if (result != CatchUp::Current) return seen(result);
     context_.store.waitUntilCurrent(keys::kMachines, seen);
   });
 }
 
-void MachineRecords::caughtUp(bool ok) {
-  if (!ok) {
+void MachineRecords::caughtUp(CatchUp result) {
+  if (result != CatchUp::Current) {
     context_.runtime.after(kCatchUpAgain, [this, since = context_.leadership.since] {
       if (since == context_.leadership.since) waitUntilCurrent();
     });
@@ -46,7 +46,7 @@
 
 void MachineRecords::create(const wire::GroupRecord& machines) {
   if (!context_.leadership.active || !context_.clusterView.leader) return;
-  auto most = wire::membersIn(context_.settings.valueBytes);
+  auto most = wire::maxGroupMembers(context_.settings.valueBytes);
   for (std::size_t from = 0; from < machines.members.size(); from += most) {
     auto to = std::min(from + most, machines.members.size());
     wire::GroupRecord group = machines;
@@ -68,17 +68,17 @@
   wire::Transaction transaction;
   transaction.conditions[keys::kLeader] = leader->version;
   transaction.conditions[keys::kGroups] = context_.clusterView.groupsVersion;
-  transaction.operations.push_back({keys::kGroups, wire::encodeCounter(leader->record.epoch), {}});
+  transaction.operations.push_back({keys::kGroups, wire::encodeEpochCounter(leader->record.epoch), {}});
   std::size_t weight = 0;
   while (!waiting_.empty() && transaction.operations.size() < settings.txnOps &&
-         (transaction.operations.size() == 1 || weight + settings.valueBytes <= wire::kMostWeight)) {
+         (transaction.operations.size() == 1 || weight + settings.valueBytes <= wire::kMaxTransactionBytes)) {
     auto group = std::move(waiting_.front());
     waiting_.pop_front();
     dropKnown(group);
     if (group.members.empty()) continue;
     auto key = keys::group(group.members.front().id, leader->record.epoch);
     wire::Write write{key, wire::encodeGroup(group), {}};
-    weight += wire::weightOf(write);
+    weight += wire::estimatedBytes(write);
     transaction.conditions[key] = Version{0};
     transaction.operations.push_back(std::move(write));
   }
@@ -95,15 +95,15 @@
 }
 
 void MachineRecords::send(const wire::Transaction& transaction) {
-  auto done = [this, transaction, since = context_.leadership.since](const TxnResult& result) {
+  auto done = [this, transaction, since = context_.leadership.since](const TransactionResult& result) {
     if (context_.leadership.continues(since)) sent(transaction, result);
   };
-  context_.store.txn(RequestPriority::Control, transaction, kSendDeadline, std::move(done));
+  context_.store.transact(RequestPriority::Control, transaction, kSendDeadline, std::move(done));
 }
 
 // After no answer the same again: either it is done now, or the conflict tells that it was or never will be.
-void MachineRecords::sent(const wire::Transaction& transaction, const TxnResult& result) {
-  using Outcome = TxnResult::Outcome;
+void MachineRecords::sent(const wire::Transaction& transaction, const TransactionResult& result) {
+  using Outcome = TransactionResult::Outcome;
   if (result.outcome == Outcome::Unknown || result.outcome == Outcome::Refused) {
     context_.runtime.after(kSendAgain, [this, transaction, since = context_.leadership.since] {
       if (context_.leadership.continues(since)) send(transaction);
--- a/src/autoscaler/machine_records.h
+++ b/src/autoscaler/machine_records.h
@@ -29,11 +29,11 @@
 
  private:
   void waitUntilCurrent();
-  void caughtUp(bool ok);
+  void caughtUp(CatchUp result);
   void sendNext();
   void dropKnown(wire::GroupRecord& group);
   void send(const wire::Transaction& transaction);
-  void sent(const wire::Transaction& transaction, const TxnResult& result);
+  void sent(const wire::Transaction& transaction, const TransactionResult& result);
 
   const AutoscalerContext& context_;
   WasReturned wasReturned_;
--- a/src/autoscaler/scale_in.cpp
+++ b/src/autoscaler/scale_in.cpp
@@ -25,7 +25,7 @@
   });
   if (toMark_.empty() || marking_ || !context_.clusterView.leader) return;
   marking_ = true;
-  auto written = rewrite(toMark_, Change::Mark, [this](const TxnResult&) { marking_ = false; });
+  auto written = rewrite(toMark_, Change::Mark, [this](const TransactionResult&) { marking_ = false; });
   if (written.empty()) marking_ = false;
 }
 
@@ -57,7 +57,7 @@
   if (!returning_) return;
   for (const auto& id : machines) noteReturned(id);
   auto written = rewrite({machines.begin(), machines.end()}, Change::Drop,
-                         [this](const TxnResult&) { returning_ = false; });
+                         [this](const TransactionResult&) { returning_ = false; });
   if (written.empty()) returning_ = false;
 }
 
@@ -74,7 +74,7 @@
 // Writes machine groups anew with a change to some of their members, as many as one transaction takes.
 // Returns the machines that it changed.
 std::vector<MachineId> ScaleIn::rewrite(const std::set<MachineId>& ids, Change change,
-                                        std::function<void(const TxnResult&)> done) {
+                                        std::function<void(const TransactionResult&)> done) {
   const auto& clusterView = context_.clusterView;
   std::map<std::string, std::set<MachineId>> byGroup;
   for (const auto& id : ids)
@@ -102,7 +102,7 @@
   if (transaction.empty()) return {};
   // In turn with the commits of our own shard, never before all of them: where machines come and go by the
   // hundreds this alone would take all changes there are.
-  context_.store.txn(RequestPriority::Work, transaction.take(), kRewriteDeadline, std::move(done));
+  context_.store.transact(RequestPriority::Work, transaction.take(), kRewriteDeadline, std::move(done));
   return written;
 }
 
--- a/src/autoscaler/scale_in.h
+++ b/src/autoscaler/scale_in.h
@@ -35,7 +35,7 @@
   void answered(const std::vector<MachineId>& machines, const HttpResult& result);
   void noteReturned(const MachineId& id);
   std::vector<MachineId> rewrite(const std::set<MachineId>& ids, Change change,
-                                 std::function<void(const TxnResult&)> done);
+                                 std::function<void(const TransactionResult&)> done);
   static void applyChange(wire::GroupRecord& group, const std::set<MachineId>& changed, Change change);
 
   const AutoscalerContext& context_;
--- a/src/base/types.h
+++ b/src/base/types.h
@@ -28,6 +28,7 @@
 // What workers compare: an epoch in the high bits, the owner's own count of raises in the low ones.
 using FencingToken = Strong<struct FencingTokenTag, std::uint64_t>;
 using Version = Strong<struct VersionTag, std::uint64_t>;
+using LeaseId = Strong<struct LeaseTag, std::uint64_t>;
 using Incarnation = Strong<struct IncarnationTag, std::uint64_t>;
 using SequenceNumber = Strong<struct SequenceNumberTag, std::uint64_t>;
 using ShardId = Strong<struct ShardTag, std::uint32_t>;
--- a/src/cluster/cluster_view.cpp
+++ b/src/cluster/cluster_view.cpp
@@ -16,7 +16,7 @@
 
 void applyShard(ClusterView& d, const wire::KeyChange& c, const std::string& name) {
   if (c.key == keys::kEpoch) {
-    if (auto e = c.value ? wire::parseCounter(*c.value) : std::nullopt)
+    if (auto e = c.value ? wire::parseEpochCounter(*c.value) : std::nullopt)
       d.epoch = *e, d.epochVersion = c.version;
     return;
   }
--- a/src/cluster/cluster_view.h
+++ b/src/cluster/cluster_view.h
@@ -10,6 +10,7 @@
 #include "config/settings.h"
 #include "log/log.h"
 #include "wire/kvstore.h"
+#include "wire/records.h"
 #include "wire/workers.h"
 
 namespace cherryloft {
--- a/src/cluster/machine_group_rewrite.h
+++ b/src/cluster/machine_group_rewrite.h
@@ -12,7 +12,7 @@
 #include <vector>
 
 #include "kvstore/transaction_builder.h"
-#include "wire/kvstore.h"
+#include "wire/records.h"
 
 namespace cherryloft {
 
--- a/src/cluster/membership.cpp
+++ b/src/cluster/membership.cpp
@@ -30,29 +30,29 @@
   if (opening_) return;
   opening_ = true;
   auto sent = runtime_.now();
-  store_.grantLease(settings_.leaseTtl(), [this, sent](std::optional<std::uint64_t> id) {
+  store_.grantLease(settings_.leaseTtl(), [this, sent](const LeaseGrant& grant) {
     opening_ = false;
-    if (!id) {
+    if (!grant.granted()) {
       runtime_.after(Duration{200}, [this] { open(); });
       return;
     }
-    lease_ = id;
+    lease_ = grant.lease;
     silent_ = true;
-    renewed(sent, KeyValueStore::Renewal::Good);
+    renewed(sent, LeaseRenewal::Renewed);
     join(*lease_);
   });
 }
 
 // Writes our node/ key under the lease. It must fail when a shard we believe ours was taken meanwhile.
-void Membership::join(std::uint64_t lease) {
+void Membership::join(LeaseId lease) {
   if (lease_ != lease) return;
   auto again = [this, lease] { runtime_.after(Duration{100}, [this, lease] { join(lease); }); };
   if (!store_.cachesLoaded()) return again();
-  store_.waitUntilCurrent(keys::kControllers, [this, lease, again](bool nodesOk) {
-    if (!nodesOk) return again();
-    store_.waitUntilCurrent(keys::kShards, [this, lease, again](bool sharesOk) {
+  store_.waitUntilCurrent(keys::kControllers, [this, lease, again](CatchUp controllers) {
+    if (controllers != CatchUp::Current) return again();
+    store_.waitUntilCurrent(keys::kShards, [this, lease, again](CatchUp shards) {
       if (lease_ != lease) return;
-      if (!sharesOk) return again();
+      if (shards != CatchUp::Current) return again();
       review();  // drops what the cluster view shows as taken
       wire::Transaction t;
       auto me = view_.controllers.find(settings_.controller);
@@ -61,16 +61,16 @@
       for (const auto& [k, _] : owned_) t.conditions[keys::shard(k)] = view_.shards.at(k).version;
       t.operations.push_back({keys::controller(settings_.controller),
                               "{\"at\":" + std::to_string(runtime_.wall().value) + "}", lease});
-      store_.txn(RequestPriority::Lease, t, Duration{1'000}, [this, lease, again](TxnResult r) {
+      store_.transact(RequestPriority::Lease, t, Duration{1'000}, [this, lease, again](TransactionResult r) {
         if (lease_ != lease) return;
-        if (r.outcome == TxnResult::Outcome::LeaseExpired) {
+        if (r.outcome == TransactionResult::Outcome::LeaseExpired) {
           lease_.reset();
           return open();
         }
-        if (!r.ok()) return again();
+        if (!r.committed()) return again();
         joined_ = true;
         joinVersion_ = r.revision;
-        log_->info("joined with hold {}", lease);
+        log_->info("joined with hold {}", lease.value);
         callbacks_.leaseValidity(leaseValidity());
         review();
       });
@@ -80,31 +80,31 @@
 
 // Each lease has its own chain of joins and of renewals, and what is said of one that was given up concerns
 // no other.
-void Membership::renew(std::uint64_t lease) {
+void Membership::renew(LeaseId lease) {
   if (lease_ != lease) return;
   auto sent = runtime_.now();
   auto patience = std::max(settings_.leaseTtl() / 3, Duration{100});
-  store_.renewLease(lease, patience, [this, sent, lease](KeyValueStore::Renewal r) {
+  store_.renewLease(lease, patience, [this, sent, lease](LeaseRenewal r) {
     if (lease_ == lease) renewed(sent, r);
   });
 }
 
-void Membership::renewed(Time sent, KeyValueStore::Renewal r) {
+void Membership::renewed(Time sent, LeaseRenewal r) {
   auto now = runtime_.now();
   switch (r) {
-    case KeyValueStore::Renewal::Good:
+    case LeaseRenewal::Renewed:
       extend(sent);
       if (silent_ && joined_) store_.restartWatches();
       silent_ = false;
       runtime_.after(std::max(sent + settings_.leaseTtl() / 4 - now, Duration{10}),
                      [this, lease = *lease_] { renew(lease); });
       break;
-    case KeyValueStore::Renewal::NoAnswer:
+    case LeaseRenewal::NoAnswer:
       silent_ = true;
       runtime_.after(Duration{150}, [this, lease = *lease_] { renew(lease); });
       break;
-    case KeyValueStore::Renewal::Gone:
-      log_->info("hold {} is gone", *lease_);
+    case LeaseRenewal::Expired:
+      log_->info("hold {} is gone", lease_->value);
       lease_.reset();
       joined_ = false;
       silent_ = true;
@@ -236,20 +236,21 @@
   t.conditions[keys::controller(settings_.controller)] = joinVersion_;
   if (former && !mine(*former)) t.conditions[keys::controller(former->record.owner)] = Version{0};
   t.operations.push_back({key, wire::encodeOwnerRecord({settings_.controller, next}), {}});
-  t.operations.push_back({keys::kEpoch, wire::encodeCounter(next), {}});
+  t.operations.push_back({keys::kEpoch, wire::encodeEpochCounter(next), {}});
   taking_ = true;
-  store_.txn(RequestPriority::Control, t, Duration{1'500}, [this, next, done = std::move(done)](TxnResult r) {
-    if (r.ok()) done(next, r.revision);
-    refresh();
-  });
+  store_.transact(RequestPriority::Control, t, Duration{1'500},
+                  [this, next, done = std::move(done)](TransactionResult r) {
+                    if (r.committed()) done(next, r.revision);
+                    refresh();
+                  });
 }
 
 // The directory must show what was just written, or what kept it from being written, before we go on.
 void Membership::refresh() {
-  store_.waitUntilCurrent(keys::kShards, [this](bool) {
-    store_.waitUntilCurrent(keys::kControllers, [this](bool ok) {
+  store_.waitUntilCurrent(keys::kShards, [this](CatchUp) {
+    store_.waitUntilCurrent(keys::kControllers, [this](CatchUp result) {
       taking_ = false;
-      if (ok) review();
+      if (result == CatchUp::Current) review();
     });
   });
 }
@@ -280,14 +281,16 @@
   t.conditions[keys::controller(settings_.controller)] = joinVersion_;
   t.conditions[keys::controller(to)] = controller->second;
   t.operations.push_back({keys::shard(k), wire::encodeOwnerRecord({to, next}), {}});
-  t.operations.push_back({keys::kEpoch, wire::encodeCounter(next), {}});
+  t.operations.push_back({keys::kEpoch, wire::encodeEpochCounter(next), {}});
   taking_ = true;
-  store_.txn(RequestPriority::Control, t, Duration{1'500}, [this, k, done = std::move(done)](TxnResult r) {
-    bool refused = r.outcome == TxnResult::Outcome::Refused || r.outcome == TxnResult::Outcome::Conflict;
-    if (!refused) owned_.erase(k);  // given, or in doubt: either way we act for it no more
-    done(!refused);
-    refresh();
-  });
+  store_.transact(RequestPriority::Control, t, Duration{1'500},
+                  [this, k, done = std::move(done)](TransactionResult r) {
+                    bool refused = r.outcome == TransactionResult::Outcome::Refused ||
+                                   r.outcome == TransactionResult::Outcome::Conflict;
+                    if (!refused) owned_.erase(k);  // given, or in doubt: either way we act for it no more
+                    done(!refused);
+                    refresh();
+                  });
 }
 
 void Membership::dropOwnership(ShardId k) {
--- a/src/cluster/membership.h
+++ b/src/cluster/membership.h
@@ -48,9 +48,9 @@
 
  private:
   void open();
-  void join(std::uint64_t lease);
-  void renew(std::uint64_t lease);
-  void renewed(Time sent, KeyValueStore::Renewal r);
+  void join(LeaseId lease);
+  void renew(LeaseId lease);
+  void renewed(Time sent, LeaseRenewal r);
   void extend(Time sent);
   void review();
   void reviewShard(ShardId k, Time now);
@@ -70,7 +70,7 @@
   KeyValueStore& store_;
   const ClusterView& view_;
   Callbacks callbacks_;
-  std::optional<std::uint64_t> lease_;
+  std::optional<LeaseId> lease_;
   bool joined_ = false;  // our node/ key hangs on the lease
   Version joinVersion_;
   bool opening_ = false;
--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -68,11 +68,11 @@
   runtime_.after(kAccount, [this] { summarizeLastMinute(); });
   auto t = store_.takeTally();
   std::string line;
-  for (const auto& [what, n] : t.requests) line += " " + what + "=" + std::to_string(n);
+  for (const auto& [what, n] : t.requestsByOperation) line += " " + what + "=" + std::to_string(n);
   line += "; changes";
-  for (const auto& [what, n] : t.changes) line += " " + what + "=" + std::to_string(n);
+  for (const auto& [what, n] : t.writesByPrefix) line += " " + what + "=" + std::to_string(n);
   for (auto& [_, s] : schedulers_) log_->info("last minute: {}", s->summarizeLastMinute());
-  log_->info("last minute: store requests{}; refused {}, out of time {}", line, t.refused, t.outOfTime);
+  log_->info("last minute: store requests{}; refused {}, out of time {}", line, t.throttled, t.expired);
 }
 
 ShardScheduler* Controller::scheduler(ShardId k) {
--- a/src/controller/user_api.cpp
+++ b/src/controller/user_api.cpp
@@ -50,8 +50,9 @@
   if (view_.catalog.empty()) return done(wire::userUnavailable("the machine types are not known yet"));
   if (auto why = policy::neverRuns(spec, settings_, view_.catalog))
     return refuse(spec.id, 422, *why, std::move(done));
-  if (auto wait = store_.creationsBackedUp())
-    return done(wire::userError(503, "more jobs come than can be kept", std::min(*wait, kMostRetryAfterS)));
+  if (auto wait = store_.creationBacklogDelay())
+    return done(wire::userError(503, "more jobs come than can be kept",
+                                std::min(static_cast<int>(wait->count()), kMostRetryAfterS)));
   accept(std::move(spec), std::move(done));
 }
 
@@ -71,18 +72,19 @@
   // It may have been accepted under a former, larger limit.
   if (value.size() > settings_.valueBytes)
     return refuse(id, 400, "the job's description is too long", std::move(done));
-  store_.create({keys::job(id), value, {}}, kCreate, [this, id, value, done = std::move(done)](TxnResult r) {
-    switch (r.outcome) {
-      case TxnResult::Outcome::Ok:
-        callbacks_.learnt({keys::job(id), value, r.revision});
-        return done({201, wire::encodeJob(id, {}), false, 0});
-      case TxnResult::Outcome::Conflict:
-        return strongRead(id, done);
-      default:
-        // Whether it was taken or not, the retry with the same id finds out.
-        return done(wire::userUnavailable("the state service does not answer"));
-    }
-  });
+  store_.create({keys::job(id), value, {}}, kCreate,
+                [this, id, value, done = std::move(done)](TransactionResult r) {
+                  switch (r.outcome) {
+                    case TransactionResult::Outcome::Committed:
+                      callbacks_.learnt({keys::job(id), value, r.revision});
+                      return done({201, wire::encodeJob(id, {}), false, 0});
+                    case TransactionResult::Outcome::Conflict:
+                      return strongRead(id, done);
+                    default:
+                      // Whether it was taken or not, the retry with the same id finds out.
+                      return done(wire::userUnavailable("the state service does not answer"));
+                  }
+                });
 }
 
 // --- questions ---
--- a/src/kvstore/key_value_client.cpp
+++ b/src/kvstore/key_value_client.cpp
@@ -2,144 +2,176 @@
 
 #include <algorithm>
 #include <iterator>
+#include <optional>
 #include <utility>
 
 namespace cherryloft {
 namespace {
 
-constexpr Duration kListDeadline{3'000};
+constexpr Duration kListPageDeadline{3'000};
 constexpr Duration kGrantLeaseDeadline{1'000};
+// Entries in one page of a list, well within the largest response that is read.
+constexpr const char* kListPageLimit = "1000";
+
+namespace status {
+constexpr int kOk = 200;
+constexpr int kBadRequest = 400;
+constexpr int kNotFound = 404;
+constexpr int kConflict = 409;
+constexpr int kGone = 410;
+constexpr int kTooManyRequests = 429;
+constexpr int kUnavailable = 503;
+}  // namespace status
+
+// Names of operations in the log.
+constexpr const char* kTransact = "txn";
+constexpr const char* kGet = "get";
+constexpr const char* kList = "list";
+constexpr const char* kWatch = "watch";
+constexpr const char* kLease = "lease";
+
+// The first part of a key, such as "job/": changes are counted by it.
+std::string firstPartOf(const std::string& key) { return key.substr(0, key.find('/') + 1); }
+
+bool attachesToLease(const wire::Transaction& transaction) {
+  return std::any_of(transaction.operations.begin(), transaction.operations.end(),
+                     [](const wire::Write& write) { return write.lease.has_value(); });
+}
 
-std::string prefixOf(const std::string& key) { return key.substr(0, key.find('/') + 1); }
+TransactionResult committedResult(const std::string& body) {
+  TransactionResult result;
+  if (auto revision = wire::parseRevision(body)) {
+    result.outcome = TransactionResult::Outcome::Committed;
+    result.revision = *revision;
+  }
+  return result;
+}
 
-// A transaction whose keys hang on a lease is small: 400 tells that the lease is gone.
-TxnResult txnAnswered(const HttpResponse& response, bool withLease) {
-  TxnResult out;
+// The service answers 400 both for a lease that is gone and for a transaction beyond its limits. Transactions
+// that attach keys to a lease are small, so for them it is the lease.
+TransactionResult decodeTransaction(const HttpResponse& response, bool attachedToLease) {
+  using Outcome = TransactionResult::Outcome;
   switch (response.status) {
-    case 200:
-      if (auto revision = wire::parseRevision(response.body)) {
-        out.outcome = TxnResult::Outcome::Ok;
-        out.revision = *revision;
-      }
-      break;
-    case 409:
-      out.outcome = TxnResult::Outcome::Conflict;
-      out.failed = wire::parseFailed(response.body);
-      break;
-    case 400:
-      out.outcome = withLease ? TxnResult::Outcome::LeaseExpired : TxnResult::Outcome::Rejected;
-      break;
-    case 429:
-    case 503:
-      out.outcome = TxnResult::Outcome::Refused;
-      break;
+    case status::kOk:
+      return committedResult(response.body);
+    case status::kConflict:
+      return {Outcome::Conflict, {}, wire::parseConflictingKeys(response.body)};
+    case status::kBadRequest:
+      return {attachedToLease ? Outcome::LeaseExpired : Outcome::TooLarge, {}, {}};
+    case status::kTooManyRequests:
+    case status::kUnavailable:
+      return {Outcome::Refused, {}, {}};
     default:
+      return {};
+  }
+}
+
+TransactionResult transactionResultOf(const HttpResult& answer, bool attachedToLease) {
+  switch (answer.outcome) {
+    case HttpResult::Outcome::Answered:
+      return decodeTransaction(answer.response, attachedToLease);
+    case HttpResult::Outcome::NotSent:
+      return {TransactionResult::Outcome::Refused, {}, {}};
+    case HttpResult::Outcome::Unknown:
       break;
   }
-  return out;
+  return {};
 }
 
-TxnResult txnResultOf(const HttpResult& result, bool withLease) {
-  TxnResult out;
-  if (result.outcome == HttpResult::Outcome::NotSent)
-    out.outcome = TxnResult::Outcome::Refused;
-  else if (result.outcome == HttpResult::Outcome::Answered)
-    out = txnAnswered(result.response, withLease);
-  return out;
+GetResult getResultOf(const HttpResult& answer) {
+  if (answer.answered(status::kNotFound)) return {GetResult::Outcome::Absent, {}};
+  if (!answer.answered(status::kOk)) return {};
+  auto entry = wire::parseEntry(answer.response.body);
+  if (!entry) return {};
+  return {GetResult::Outcome::Found, std::move(*entry)};
 }
 
-GetResult getResultOf(const HttpResult& result) {
-  GetResult out;
-  if (result.answered(404)) out.outcome = GetResult::Outcome::Absent;
-  auto entry = result.answered(200) ? wire::parseKey(result.response.body) : std::nullopt;
-  if (entry) {
-    out.outcome = GetResult::Outcome::Found;
-    out.entry = std::move(*entry);
-  }
-  return out;
+WatchResult watchResultOf(const HttpResult& answer) {
+  if (answer.answered(status::kGone)) return {WatchResult::Outcome::Compacted, {}};
+  if (!answer.answered(status::kOk)) return {};
+  auto page = wire::parseChanges(answer.response.body);
+  if (!page) return {};
+  return {WatchResult::Outcome::Changes, std::move(*page)};
 }
 
-FollowResult followResultOf(const HttpResult& result) {
-  FollowResult out;
-  if (result.answered(410)) out.outcome = FollowResult::Outcome::TooOld;
-  auto news = result.answered(200) ? wire::parseNews(result.response.body) : std::nullopt;
-  if (news) {
-    out.outcome = FollowResult::Outcome::News;
-    out.news = std::move(*news);
-  }
-  return out;
+LeaseGrant grantOf(const HttpResult& answer) {
+  if (!answer.answered(status::kOk)) return {};
+  auto lease = wire::parseLeaseId(answer.response.body);
+  if (!lease) return {};
+  return {LeaseGrant::Outcome::Granted, *lease};
 }
 
-LeaseRenewal renewalOf(const HttpResult& result) {
-  if (result.answered(200)) return LeaseRenewal::Good;
-  return result.answered(404) ? LeaseRenewal::Gone : LeaseRenewal::NoAnswer;
+LeaseRenewal renewalOf(const HttpResult& answer) {
+  if (answer.answered(status::kOk)) return LeaseRenewal::Renewed;
+  return answer.answered(status::kNotFound) ? LeaseRenewal::Expired : LeaseRenewal::NoAnswer;
 }
 
 }  // namespace
 
-void KeyValueClient::txn(RequestPriority priority, const wire::Transaction& transaction, Duration deadline,
-                         std::function<void(TxnResult)> done) {
-  for (const auto& write : transaction.operations) ++tally_.changes[prefixOf(write.key)];
+void KeyValueClient::transact(RequestPriority priority, const wire::Transaction& transaction,
+                              Duration deadline, std::function<void(TransactionResult)> done) {
+  for (const auto& write : transaction.operations) ++tally_.writesByPrefix[firstPartOf(write.key)];
   HttpRequest request{"POST", "/txn", wire::encodeTransaction(transaction), false};
-  auto changes = static_cast<unsigned>(transaction.operations.size());
-  bool withLease = std::any_of(transaction.operations.begin(), transaction.operations.end(),
-                               [](const auto& write) { return write.lease.has_value(); });
-  queue_.push(priority, {"txn", std::move(request), changes}, deadline,
-              [done = std::move(done), withLease](const HttpResult& result) {
-                done(txnResultOf(result, withLease));
-              });
+  auto writes = static_cast<unsigned>(transaction.operations.size());
+  auto answered = [done = std::move(done), withLease = attachesToLease(transaction)](
+                      const HttpResult& answer) { done(transactionResultOf(answer, withLease)); };
+  queue_.push(priority, {kTransact, std::move(request), writes}, deadline, std::move(answered));
 }
 
 void KeyValueClient::get(RequestPriority priority, const std::string& key, Duration deadline,
                          std::function<void(GetResult)> done) {
-  queue_.push(priority, {"get", {"GET", "/keys/" + key, "", false}, 0}, deadline,
-              [done = std::move(done)](const HttpResult& result) { done(getResultOf(result)); });
+  auto answered = [done = std::move(done)](const HttpResult& answer) { done(getResultOf(answer)); };
+  queue_.push(priority, {kGet, {"GET", "/keys/" + key, "", false}, 0}, deadline, std::move(answered));
 }
 
 void KeyValueClient::list(RequestPriority priority, const std::string& prefix,
                           std::function<void(ListResult)> done) {
-  listFrom(priority, prefix, "", std::make_shared<ListResult>(), std::move(done));
-}
-
-void KeyValueClient::listFrom(RequestPriority priority, const std::string& prefix, const std::string& since,
-                              std::shared_ptr<ListResult> pages, std::function<void(ListResult)> done) {
-  std::string path = "/keys?prefix=" + prefix + "&limit=1000";
-  if (!since.empty()) path += "&since=" + since;
-  auto listed = [this, priority, prefix, pages, done = std::move(done)](const HttpResult& result) mutable {
-    auto page = result.answered(200) ? wire::parseEntries(result.response.body) : std::nullopt;
-    if (!page) return done({});
-    if (pages->entries.empty()) pages->revision = page->revision;
-    bool more = page->truncated && !page->entries.empty();
-    std::string last = more ? page->entries.back().key : "";
-    std::move(page->entries.begin(), page->entries.end(), std::back_inserter(pages->entries));
-    if (more) return listFrom(priority, prefix, last, pages, std::move(done));
-    pages->ok = true;
-    done(std::move(*pages));
-  };
-  queue_.push(priority, {"list", {"GET", path, "", false}, 0}, kListDeadline, std::move(listed));
-}
-
-void KeyValueClient::follow(const std::string& prefix, Version since, Duration wait, Duration deadline,
-                            std::function<void(FollowResult)> done) {
+  auto call = std::make_shared<ListCall>();
+  call->priority = priority;
+  call->prefix = prefix;
+  call->done = std::move(done);
+  requestPage(call, "");
+}
+
+void KeyValueClient::requestPage(const std::shared_ptr<ListCall>& call, const std::string& afterKey) {
+  std::string path = "/keys?prefix=" + call->prefix + "&limit=" + kListPageLimit;
+  if (!afterKey.empty()) path += "&since=" + afterKey;
+  queue_.push(call->priority, {kList, {"GET", path, "", false}, 0}, kListPageDeadline,
+              [this, call](const HttpResult& answer) { pageReceived(call, answer); });
+}
+
+void KeyValueClient::pageReceived(const std::shared_ptr<ListCall>& call, const HttpResult& answer) {
+  auto page = answer.answered(status::kOk) ? wire::parseKeyPage(answer.response.body) : std::nullopt;
+  if (!page) return call->done({});
+  auto& result = call->result;
+  if (result.entries.empty()) result.revision = page->revision;
+  bool more = page->truncated && !page->entries.empty();
+  std::move(page->entries.begin(), page->entries.end(), std::back_inserter(result.entries));
+  if (more) return requestPage(call, result.entries.back().key);
+  result.outcome = ListResult::Outcome::Complete;
+  call->done(std::move(result));
+}
+
+void KeyValueClient::watch(const std::string& prefix, Version since, Duration wait, Duration deadline,
+                           std::function<void(WatchResult)> done) {
   std::string path = "/follow?prefix=" + prefix + "&since=" + std::to_string(since.value) +
                      "&wait_ms=" + std::to_string(wait.count());
-  queue_.push(RequestPriority::Control, {"follow", {"GET", path, "", false}, 0}, deadline,
-              [done = std::move(done)](const HttpResult& result) { done(followResultOf(result)); });
+  auto answered = [done = std::move(done)](const HttpResult& answer) { done(watchResultOf(answer)); };
+  queue_.push(RequestPriority::Control, {kWatch, {"GET", path, "", false}, 0}, deadline, std::move(answered));
 }
 
-void KeyValueClient::grantLease(Duration ttl, std::function<void(std::optional<std::uint64_t>)> done) {
-  auto body = "{\"ttl_ms\":" + std::to_string(ttl.count()) + "}";
-  queue_.push(RequestPriority::Lease, {"hold", {"POST", "/holds", body, false}, 0}, kGrantLeaseDeadline,
-              [done = std::move(done)](const HttpResult& result) {
-                done(result.answered(200) ? wire::parseLeaseId(result.response.body) : std::nullopt);
-              });
+void KeyValueClient::grantLease(Duration timeToLive, std::function<void(LeaseGrant)> done) {
+  auto body = wire::encodeLeaseRequest(timeToLive);
+  auto answered = [done = std::move(done)](const HttpResult& answer) { done(grantOf(answer)); };
+  queue_.push(RequestPriority::Lease, {kLease, {"POST", "/holds", body, false}, 0}, kGrantLeaseDeadline,
+              std::move(answered));
 }
 
-void KeyValueClient::renewLease(std::uint64_t lease, Duration deadline,
-                                std::function<void(LeaseRenewal)> done) {
-  auto path = "/holds/" + std::to_string(lease) + "/renew";
-  queue_.push(RequestPriority::Lease, {"hold", {"POST", path, "{}", false}, 0}, deadline,
-              [done = std::move(done)](const HttpResult& result) { done(renewalOf(result)); });
+void KeyValueClient::renewLease(LeaseId lease, Duration deadline, std::function<void(LeaseRenewal)> done) {
+  auto path = "/holds/" + std::to_string(lease.value) + "/renew";
+  auto answered = [done = std::move(done)](const HttpResult& answer) { done(renewalOf(answer)); };
+  queue_.push(RequestPriority::Lease, {kLease, {"POST", path, "{}", false}, 0}, deadline,
+              std::move(answered));
 }
 
 }  // namespace cherryloft
--- a/src/kvstore/key_value_store.cpp
+++ b/src/kvstore/key_value_store.cpp
@@ -6,15 +6,19 @@
 namespace cherryloft {
 namespace {
 
-constexpr double kShortOfChanges = 0.6;  // of a second's changes; with fewer left, they are short
+// Writes are short while less than this fraction of one second's writes is left.
+constexpr double kSaturatedFraction = 0.6;
+// While writes are short, background transactions take this part of the largest transaction.
 constexpr std::size_t kBackgroundBatchDivisor = 3;
-constexpr std::size_t kLeastBackgroundBatch = 2;
-constexpr double kLeastRate = 0.1;  // changes per second, to divide by
-// Changes that pass between two transactions of work while changes are short.
+constexpr std::size_t kMinBackgroundBatch = 2;
+// Writes that others can make between two commits of a scheduler while writes are short.
 constexpr double kWritesBetweenCommits = 2.5;
-constexpr double kMaxCommitIntervalSeconds = 1;  // between two transactions of work
-constexpr double kForCreations = 0.5;            // the part of the changes that creations get at least, about
-constexpr double kCreationsWaitS = 1.5;          // a creation that would wait longer is not taken
+constexpr double kMaxCommitIntervalSeconds = 1;
+// The part of the writes that creations get at least, about.
+constexpr double kCreationFraction = 0.5;
+// A creation that would wait longer is not worth accepting: its user has given up by then.
+constexpr double kMaxCreationWaitSeconds = 1.5;
+constexpr double kMinWritesPerSecond = 0.1;  // never divide by less
 
 }  // namespace
 
@@ -29,85 +33,87 @@
       creations_(settings, runtime, client_, limiter_, tally_) {}
 
 bool KeyValueStore::writesSaturated() const {
-  return limiter_.changes() < kShortOfChanges * limiter_.changesPerSecond() || creations_.waiting() > 0;
+  return limiter_.writes() < kSaturatedFraction * limiter_.writesPerSecond() || creations_.waiting() > 0;
 }
 
 std::size_t KeyValueStore::backgroundBatchSize() const {
-  return writesSaturated() ? std::max(settings_.txnOps / kBackgroundBatchDivisor, kLeastBackgroundBatch)
-                           : settings_.txnOps;
+  if (!writesSaturated()) return settings_.txnOps;
+  return std::max(settings_.txnOps / kBackgroundBatchDivisor, kMinBackgroundBatch);
 }
 
 Duration KeyValueStore::commitInterval() const {
-  return seconds(std::min(kWritesBetweenCommits / std::max(limiter_.changesPerSecond(), kLeastRate),
-                          kMaxCommitIntervalSeconds));
+  double writesPerSecond = std::max(limiter_.writesPerSecond(), kMinWritesPerSecond);
+  return seconds(std::min(kWritesBetweenCommits / writesPerSecond, kMaxCommitIntervalSeconds));
 }
 
-std::optional<int> KeyValueStore::creationsBackedUp() const {
-  double rate = std::max(limiter_.changesPerSecond() * kForCreations, kLeastRate);
-  double waitS = static_cast<double>(creations_.waiting()) / rate;
-  if (waitS <= kCreationsWaitS) return std::nullopt;
-  return static_cast<int>(std::ceil(waitS));
+std::optional<std::chrono::seconds> KeyValueStore::creationBacklogDelay() const {
+  double creationsPerSecond = std::max(limiter_.writesPerSecond() * kCreationFraction, kMinWritesPerSecond);
+  double waitSeconds = static_cast<double>(creations_.waiting()) / creationsPerSecond;
+  if (waitSeconds <= kMaxCreationWaitSeconds) return std::nullopt;
+  return std::chrono::seconds{static_cast<int>(std::ceil(waitSeconds))};
 }
 
-void KeyValueStore::txn(RequestPriority u, const wire::Transaction& t, Duration deadline,
-                        std::function<void(TxnResult)> done) {
-  client_.txn(u, t, deadline, std::move(done));
+void KeyValueStore::transact(RequestPriority priority, const wire::Transaction& transaction,
+                             Duration deadline, std::function<void(TransactionResult)> done) {
+  client_.transact(priority, transaction, deadline, std::move(done));
 }
 
-void KeyValueStore::create(wire::Write w, Duration deadline, std::function<void(TxnResult)> done) {
-  creations_.create(std::move(w), deadline, std::move(done));
+void KeyValueStore::create(wire::Write write, Duration deadline,
+                           std::function<void(TransactionResult)> done) {
+  creations_.create(std::move(write), deadline, std::move(done));
 }
 
-void KeyValueStore::get(RequestPriority u, const std::string& key, Duration deadline,
+void KeyValueStore::get(RequestPriority priority, const std::string& key, Duration deadline,
                         std::function<void(GetResult)> done) {
-  client_.get(u, key, deadline, std::move(done));
+  client_.get(priority, key, deadline, std::move(done));
 }
 
-void KeyValueStore::list(RequestPriority u, const std::string& prefix, std::function<void(ListResult)> done) {
-  client_.list(u, prefix, std::move(done));
+void KeyValueStore::list(RequestPriority priority, const std::string& prefix,
+                         std::function<void(ListResult)> done) {
+  client_.list(priority, prefix, std::move(done));
 }
 
-void KeyValueStore::grantLease(Duration ttl, std::function<void(std::optional<std::uint64_t>)> done) {
-  client_.grantLease(ttl, std::move(done));
+void KeyValueStore::grantLease(Duration timeToLive, std::function<void(LeaseGrant)> done) {
+  client_.grantLease(timeToLive, std::move(done));
 }
 
-void KeyValueStore::renewLease(std::uint64_t lease, Duration deadline, std::function<void(Renewal)> done) {
+void KeyValueStore::renewLease(LeaseId lease, Duration deadline, std::function<void(LeaseRenewal)> done) {
   client_.renewLease(lease, deadline, std::move(done));
 }
 
-void KeyValueStore::watch(const std::string& prefix, Changed changed) {
-  caches_.push_back(std::make_unique<WatchCache>(runtime_, client_, rng_, prefix, std::move(changed)));
+void KeyValueStore::watch(const std::string& prefix, WatchCache::Listener listener) {
+  caches_.push_back(std::make_unique<WatchCache>(runtime_, client_, rng_, prefix, std::move(listener)));
   caches_.back()->restart();
 }
 
 bool KeyValueStore::cachesLoaded() const {
-  return std::all_of(caches_.begin(), caches_.end(), [](const auto& m) { return m->read(); });
+  return std::all_of(caches_.begin(), caches_.end(), [](const auto& cache) { return cache->loaded(); });
 }
 
-WatchCache* KeyValueStore::find(const std::string& prefix) const {
-  auto it =
-      std::find_if(caches_.begin(), caches_.end(), [&](const auto& m) { return m->prefix() == prefix; });
-  return it == caches_.end() ? nullptr : it->get();
+WatchCache* KeyValueStore::findCache(const std::string& prefix) const {
+  auto found = std::find_if(caches_.begin(), caches_.end(),
+                            [&](const auto& cache) { return cache->prefix() == prefix; });
+  return found == caches_.end() ? nullptr : found->get();
 }
 
 Time KeyValueStore::currentAsOf(const std::string& prefix) const {
-  const auto* watch = find(prefix);
-  return watch ? watch->currentAsOf() : Time{};
+  const auto* cache = findCache(prefix);
+  return cache ? cache->currentAsOf() : Time{};
 }
 
 Version KeyValueStore::revisionOf(const std::string& prefix) const {
-  const auto* watch = find(prefix);
-  return watch ? watch->revision() : Version{};
+  const auto* cache = findCache(prefix);
+  return cache ? cache->revision() : Version{};
 }
 
-void KeyValueStore::waitUntilCurrent(const std::string& prefix, std::function<void(bool)> done) {
-  auto* watch = find(prefix);
-  if (!watch) return done(false);
-  watch->waitUntilCurrent(std::move(done));
+void KeyValueStore::waitUntilCurrent(const std::string& prefix, std::function<void(CatchUp)> done) {
+  auto* cache = findCache(prefix);
+  if (!cache) return done(CatchUp::Failed);
+  cache->waitUntilCurrent(std::move(done));
 }
 
 void KeyValueStore::restartWatches() {
-  for (auto& watch : caches_) watch->restart();
+  for (auto& cache : caches_) cache->restart();
 }
 
 }  // namespace cherryloft
--- a/src/kvstore/key_value_store.h
+++ b/src/kvstore/key_value_store.h
@@ -1,9 +1,14 @@
-// StateStore: the only way to the state service. It keeps within this controller's part of the request
-// budget, urgent things first, groups small writes, and follows prefixes.
+// KeyValueStore: the only way to the state service, a replicated key-value store with leases,
+// compare-and-swap transactions and watches. It keeps within this controller's fraction of the service's
+// limits, sends what is most important first, groups creations of keys, and keeps watch caches of prefixes.
 #pragma once
 
+#include <chrono>
+#include <functional>
 #include <memory>
+#include <optional>
 #include <random>
+#include <string>
 #include <utility>
 #include <vector>
 
@@ -12,62 +17,94 @@
 #include "kvstore/key_value_client.h"
 #include "kvstore/rate_limiter.h"
 #include "kvstore/request_queue.h"
+#include "kvstore/results.h"
 #include "kvstore/watch_cache.h"
 #include "log/log.h"
 #include "runtime/runtime.h"
 
 namespace cherryloft {
 
+/// The state service as all other parts of a controller see it; it owns the objects of this directory.
+///
+/// Runs on the event loop's thread only. Settings and runtime must outlive it, and it must outlive the calls
+/// and timers that it starts. Every operation with a `done` ends in exactly one call of it.
 class KeyValueStore {
  public:
-  using Changed = WatchCache::Changed;
-  using Renewal = LeaseRenewal;
-  using Tally = RequestTally;
-
+  /// `seed`: of the jitter of retries.
   KeyValueStore(const Settings& settings, Runtime& runtime, Log log, std::uint64_t seed);
 
-  void txn(RequestPriority u, const wire::Transaction& t, Duration deadline,
-           std::function<void(TxnResult)> done);
-  // This controller's part of the limits, as the load of all is not parted equally.
-  void setFractionOfLimits(double p) { limiter_.setFractionOfLimits(p); }
-  // Changes are short: what can wait should come in fewer and wider transactions.
-  bool writesSaturated() const;
-  // How many changes a transaction should make that need not come soon, so that others have their turn soon.
-  std::size_t backgroundBatchSize() const;
-  // The time between two transactions of work that leaves room for everything else.
-  Duration commitInterval() const;
-  // Seconds until one more creation would have its turn, if that is longer than anyone should wait.
-  std::optional<int> creationsBackedUp() const;
-  // Creates one key that must not exist yet, together with others that come in the meantime.
-  void create(wire::Write w, Duration deadline, std::function<void(TxnResult)> done);
-  void get(RequestPriority u, const std::string& key, Duration deadline, std::function<void(GetResult)> done);
-  void list(RequestPriority u, const std::string& prefix, std::function<void(ListResult)> done);
-
-  void grantLease(Duration ttl, std::function<void(std::optional<std::uint64_t>)> done);
-  void renewLease(std::uint64_t lease, Duration deadline, std::function<void(Renewal)> done);
-
-  // Mirrors a prefix for ever: changed is told every key at first and each change after that, in order.
-  void watch(const std::string& prefix, Changed changed);
-  bool cachesLoaded() const;  // every prefix was read once
-  // Calls done once the watch cache of the prefix shows at least all that was committed before this call.
-  void waitUntilCurrent(const std::string& prefix, std::function<void(bool)> done);
-  // All that was committed under the prefix before that moment shows in its watch cache.
-  Time currentAsOf(const std::string& prefix) const;
-  // The watch cache of the prefix shows every change up to that revision.
-  Version revisionOf(const std::string& prefix) const;
-  // What was asked of the service, by purpose, since the last call.
-  Tally takeTally() { return std::exchange(tally_, {}); }
-  // The service is back after a silence: begin all watches anew.
+  // --- operations ---
+
+  /// Executes all operations of the transaction if all its conditions hold, otherwise none.
+  void transact(RequestPriority priority, const wire::Transaction& transaction, Duration deadline,
+                std::function<void(TransactionResult)> done);
+
+  /// Creates one key that must not exist yet, in one transaction with others that come in the meantime.
+  void create(wire::Write write, Duration deadline, std::function<void(TransactionResult)> done);
+
+  /// Reads one key from the service itself, which no watch cache may contradict.
+  void get(RequestPriority priority, const std::string& key, Duration deadline,
+           std::function<void(GetResult)> done);
+
+  /// Reads all keys under a prefix from the service itself.
+  void list(RequestPriority priority, const std::string& prefix, std::function<void(ListResult)> done);
+
+  /// Asks for a new lease, which expires when it is not renewed for `timeToLive`.
+  void grantLease(Duration timeToLive, std::function<void(LeaseGrant)> done);
+
+  /// Extends a lease by its time to live.
+  void renewLease(LeaseId lease, Duration deadline, std::function<void(LeaseRenewal)> done);
+
+  // --- load ---
+
+  /// Sets this controller's fraction (0 to 1) of the service's limits.
+  void setFractionOfLimits(double fraction) { limiter_.setFractionOfLimits(fraction); }
+
+  /// Whether writes are short, so that what can wait should come in fewer and larger transactions.
+  [[nodiscard]] bool writesSaturated() const;
+
+  /// How many writes a transaction without urgency should make at most, so that others have their turn soon.
+  [[nodiscard]] std::size_t backgroundBatchSize() const;
+
+  /// The time between two commits of a scheduler that leaves writes for everything else.
+  [[nodiscard]] Duration commitInterval() const;
+
+  /// The time after which one more creation would have its turn, if that is longer than anyone should wait.
+  [[nodiscard]] std::optional<std::chrono::seconds> creationBacklogDelay() const;
+
+  /// What was asked of the service since the last call.
+  [[nodiscard]] RequestTally takeTally() { return std::exchange(tally_, {}); }
+
+  // --- watch caches ---
+
+  /// Keeps a watch cache of the prefix from now on. One for each prefix; see WatchCache for the listener.
+  void watch(const std::string& prefix, WatchCache::Listener listener);
+
+  /// Whether all watch caches are loaded.
+  [[nodiscard]] bool cachesLoaded() const;
+
+  /// Calls `done` once the watch cache of the prefix shows at least all that was committed before this call.
+  /// Fails if the prefix is not watched.
+  void waitUntilCurrent(const std::string& prefix, std::function<void(CatchUp)> done);
+
+  /// All that was committed under the prefix before that time shows in its watch cache. The epoch of the
+  /// clock if the prefix is not watched.
+  [[nodiscard]] Time currentAsOf(const std::string& prefix) const;
+
+  /// The watch cache of the prefix shows every change up to that revision. 0 if the prefix is not watched.
+  [[nodiscard]] Version revisionOf(const std::string& prefix) const;
+
+  /// Replaces all watches in flight, as the service is back after an outage.
   void restartWatches();
 
  private:
-  WatchCache* find(const std::string& prefix) const;
+  [[nodiscard]] WatchCache* findCache(const std::string& prefix) const;
 
   const Settings& settings_;
   Runtime& runtime_;
   Log log_;
   std::mt19937_64 rng_;
-  Tally tally_;
+  RequestTally tally_;
   RateLimiter limiter_;
   RequestQueue queue_;
   KeyValueClient client_;
--- a/src/kvstore/rate_limiter.cpp
+++ b/src/kvstore/rate_limiter.cpp
@@ -5,35 +5,39 @@
 namespace cherryloft {
 namespace {
 
-// Of this controller's part of the limits, what it lets itself use; the rest absorbs clock differences.
-constexpr double kOfPart = 0.9;
-constexpr double kLeastRequests = 2;  // that the bucket holds
+// What this controller uses of its fraction of the limits; the rest absorbs differences between clocks.
+constexpr double kUsedFraction = 0.9;
+constexpr double kMinRequestCapacity = 2;  // requests that the bucket can hold at least
 
 }  // namespace
 
 RateLimiter::RateLimiter(const Settings& settings, Time now)
     : settings_(settings), fractionOfLimits_(1.0 / settings.size()), refilledAt_(now) {
   requests_ = requestsPerSecond();
-  changes_ = changesPerSecond();
+  writes_ = writesPerSecond();
 }
 
-double RateLimiter::requestsPerSecond() const { return settings_.stateRps * fractionOfLimits_ * kOfPart; }
+double RateLimiter::requestsPerSecond() const {
+  return settings_.stateRps * fractionOfLimits_ * kUsedFraction;
+}
 
-double RateLimiter::changesPerSecond() const { return settings_.stateWriteRps * fractionOfLimits_ * kOfPart; }
+double RateLimiter::writesPerSecond() const {
+  return settings_.stateWriteRps * fractionOfLimits_ * kUsedFraction;
+}
 
 void RateLimiter::refill(Time now) {
-  double elapsedS = inSeconds(now - refilledAt_);
+  double elapsedSeconds = inSeconds(now - refilledAt_);
   refilledAt_ = now;
-  // A transaction at the limit must always be affordable, however small our part.
-  double mostRequests = std::max(requestsPerSecond(), kLeastRequests);
-  double mostChanges = std::max(changesPerSecond(), static_cast<double>(settings_.txnOps));
-  requests_ = std::min(requests_ + elapsedS * requestsPerSecond(), mostRequests);
-  changes_ = std::min(changes_ + elapsedS * changesPerSecond(), mostChanges);
+  // The largest transaction must be affordable at some time, however small our fraction is.
+  double requestCapacity = std::max(requestsPerSecond(), kMinRequestCapacity);
+  double writeCapacity = std::max(writesPerSecond(), static_cast<double>(settings_.txnOps));
+  requests_ = std::min(requests_ + elapsedSeconds * requestsPerSecond(), requestCapacity);
+  writes_ = std::min(writes_ + elapsedSeconds * writesPerSecond(), writeCapacity);
 }
 
-void RateLimiter::spend(unsigned changes) {
+void RateLimiter::spend(unsigned writes) {
   requests_ -= 1;
-  changes_ -= changes;
+  writes_ -= writes;
 }
 
 }  // namespace cherryloft
--- a/src/kvstore/request_queue.h
+++ b/src/kvstore/request_queue.h
@@ -1,7 +1,8 @@
-// RequestQueue: sends requests to the state service within the budget, the urgent ones first.
+// RequestQueue: sends requests to the state service within the rate limits, the most important ones first.
 #pragma once
 
 #include <array>
+#include <cstdint>
 #include <deque>
 #include <map>
 #include <random>
@@ -12,39 +13,61 @@
 
 namespace cherryloft {
 
-// In falling order.
-enum class RequestPriority : std::uint8_t { Lease, Control, Work, User, Count };
+/// The order in which waiting requests are sent, the most important one first.
+enum class RequestPriority : std::uint8_t {
+  Lease,    // of this controller's own lease; does not wait for the rate limiter
+  Control,  // ownership, leadership, watches, machine records, new jobs
+  Work,     // commits of the scheduler
+  User,     // reads to answer users; beyond what can be sent in time they fail at once
+};
+inline constexpr std::size_t kRequestPriorities = 4;
 
-// What was asked of the service, by purpose.
+/// What was asked of the state service, for the summary in the log. All are counts since the last summary.
 struct RequestTally {
-  std::map<std::string, std::uint64_t> requests, changes;
-  std::uint64_t refused = 0;  // 429
-  std::uint64_t outOfTime = 0;
+  std::map<std::string, std::uint64_t> requestsByOperation;
+  std::map<std::string, std::uint64_t> writesByPrefix;  // by the first part of the key
+  std::uint64_t throttled = 0;                          // answered 429
+  std::uint64_t expired = 0;                            // not sent before their deadline
 };
 
+/// A request and what it costs.
 struct QueuedRequest {
-  const char* purpose = "";
+  const char* operation = "";  // its name in the tally; a literal
   HttpRequest request;
-  unsigned changes = 0;
+  unsigned writes = 0;  // keys that it writes or deletes
 };
 
+/// One queue for each priority over one rate limiter. Within a priority the order is first in, first out, and
+/// a request that cannot be afforded yet holds back all of lower priority, so that a large one gets its turn.
+///
+/// Runs on the event loop's thread only. All that it refers to must outlive it, and it must outlive the calls
+/// and timers that it starts.
 class RequestQueue {
  public:
   RequestQueue(const Settings& settings, Runtime& runtime, RateLimiter& limiter, RequestTally& tally,
                std::mt19937_64& rng)
       : settings_(settings), runtime_(runtime), limiter_(limiter), tally_(tally), rng_(rng) {}
-  // Always ends in one call of done, at the latest when the deadline is over.
+
+  /// Sends the request when its turn has come. Always ends in one call of `done`, at the latest when
+  /// `deadline` is over; with NotSent if it had no turn before that, or could not have one.
   void push(RequestPriority priority, QueuedRequest request, Duration deadline, HttpDone done);
 
  private:
-  struct Queued {
+  struct Waiting {
     QueuedRequest request;
-    Time giveUp;
+    Time expiresAt;
     HttpDone done;
   };
+  using Queue = std::deque<Waiting>;
+
+  Queue& queueOf(RequestPriority priority) { return queues_[static_cast<std::size_t>(priority)]; }
+  [[nodiscard]] bool wouldExpire(std::size_t waitingBefore, Duration deadline) const;
   void sendAffordable();
-  void send(Queued next);
-  void drop(HttpDone done);
+  // Returns false if a request had to stay, as the rate limiter does not afford it yet.
+  [[nodiscard]] bool sendFrom(RequestPriority priority, Time now);
+  void send(Waiting next);
+  void answered(const HttpResult& result);
+  void failUnsent(HttpDone done);
   void sendLater();
 
   const Settings& settings_;
@@ -52,8 +75,8 @@
   RateLimiter& limiter_;
   RequestTally& tally_;
   std::mt19937_64& rng_;
-  std::array<std::deque<Queued>, static_cast<std::size_t>(RequestPriority::Count)> queues_;
-  bool sendPending_ = false;
+  std::array<Queue, kRequestPriorities> queues_;
+  bool sendScheduled_ = false;
 };
 
 }  // namespace cherryloft
--- a/src/kvstore/transaction_builder.cpp
+++ b/src/kvstore/transaction_builder.cpp
@@ -2,31 +2,30 @@
 
 namespace cherryloft {
 
-std::size_t TransactionBuilder::writes() const { return transaction_.operations.size(); }
-
 bool TransactionBuilder::fits(std::size_t writes, std::size_t bytes) const {
-  return transaction_.operations.size() + writes <= mostWrites_ &&
-         (empty() || bytes_ + bytes <= wire::kMostWeight);
+  bool withinCount = transaction_.operations.size() + writes <= maxWrites_;
+  bool withinBytes = empty() || bytes_ + bytes <= wire::kMaxTransactionBytes;
+  return withinCount && withinBytes;
 }
 
 bool TransactionBuilder::hasRoom(std::size_t bytes) const { return fits(1, bytes); }
 
 bool TransactionBuilder::add(wire::Write write, Version version) {
-  if (!hasRoom(wire::weightOf(write))) return false;
+  if (!hasRoom(wire::estimatedBytes(write))) return false;
   append({std::move(write), version});
   return true;
 }
 
 bool TransactionBuilder::addAll(const std::vector<VersionedWrite>& writes) {
   std::size_t bytes = 0;
-  for (const auto& [write, _] : writes) bytes += wire::weightOf(write);
+  for (const auto& versioned : writes) bytes += wire::estimatedBytes(versioned.write);
   if (!fits(writes.size(), bytes)) return false;
-  for (const auto& write : writes) append(write);
+  for (const auto& versioned : writes) append(versioned);
   return true;
 }
 
 void TransactionBuilder::append(VersionedWrite versioned) {
-  bytes_ += wire::weightOf(versioned.write);
+  bytes_ += wire::estimatedBytes(versioned.write);
   transaction_.conditions[versioned.write.key] = versioned.version;
   transaction_.operations.push_back(std::move(versioned.write));
 }
--- a/src/kvstore/transaction_builder.h
+++ b/src/kvstore/transaction_builder.h
@@ -1,4 +1,4 @@
-// A transaction that grows write by write within the state service's limits.
+// TransactionBuilder: a transaction that grows write by write within the state service's limits.
 #pragma once
 
 #include <vector>
@@ -7,35 +7,46 @@
 
 namespace cherryloft {
 
-// A write on condition that its key has that version.
+/// A write on condition that its key has that version; version 0 if the key must not exist.
 struct VersionedWrite {
   wire::Write write;
   Version version;
 };
 
+/// Builds one transaction. A plain value without references to anything else.
 class TransactionBuilder {
  public:
-  // mostWrites: how many the state service takes in one transaction.
-  explicit TransactionBuilder(std::size_t mostWrites) : mostWrites_(mostWrites) {}
+  /// `maxWrites`: how many operations the state service takes in one transaction.
+  explicit TransactionBuilder(std::size_t maxWrites) : maxWrites_(maxWrites) {}
 
-  // A condition without a write.
+  /// Adds a condition without a write: the key must have that version.
   void require(const std::string& key, Version version) { transaction_.conditions[key] = version; }
-  // Whether a write of so many bytes can still be added. The first always can, as it could never be sent
-  // otherwise.
-  bool hasRoom(std::size_t bytes) const;
-  // Adds a write on condition that its key has that version. False, and nothing is added, if it does not fit.
+
+  /// Whether a write of that many bytes (wire::estimatedBytes) still fits. The first one always does,
+  /// whatever its size: it could never be sent otherwise, and the service refuses it if it is too large.
+  [[nodiscard]] bool hasRoom(std::size_t bytes) const;
+
+  /// Adds a write on condition that its key has that version. Returns whether it was added; if it does not
+  /// fit, the transaction stays as it was.
   bool add(wire::Write write, Version version);
-  // The same for writes that must be carried out together.
-  bool addAll(const std::vector<VersionedWrite>& writes);
-  std::size_t writes() const;
-  bool empty() const { return transaction_.operations.empty(); }
-  wire::Transaction take() { return std::move(transaction_); }
+
+  /// Adds writes that must be executed together. Returns whether all were added; otherwise none was.
+  [[nodiscard]] bool addAll(const std::vector<VersionedWrite>& writes);
+
+  /// The number of writes added.
+  [[nodiscard]] std::size_t writes() const { return transaction_.operations.size(); }
+
+  /// Whether there is no write yet; there may be conditions.
+  [[nodiscard]] bool empty() const { return transaction_.operations.empty(); }
+
+  /// Moves the transaction out. The builder is not to be used after it.
+  [[nodiscard]] wire::Transaction take() { return std::move(transaction_); }
 
  private:
-  bool fits(std::size_t writes, std::size_t bytes) const;
+  [[nodiscard]] bool fits(std::size_t writes, std::size_t bytes) const;
   void append(VersionedWrite versioned);
 
-  std::size_t mostWrites_;
+  std::size_t maxWrites_;
   std::size_t bytes_ = 0;
   wire::Transaction transaction_;
 };
--- a/src/kvstore/watch_cache.cpp
+++ b/src/kvstore/watch_cache.cpp
@@ -7,125 +7,132 @@
 namespace cherryloft {
 namespace {
 
-constexpr Duration kFollowWait{8'000};
-constexpr Duration kFollowDeadline{10'000};
+// How long the service holds a watch open without changes, and the deadline, which leaves time to answer it.
+constexpr Duration kWatchWait{8'000};
+constexpr Duration kWatchDeadline{10'000};
 constexpr Duration kCatchUpDeadline{2'000};
-constexpr Duration kFirstBackoff{100};
-constexpr Duration kMostBackoff{1'000};
+constexpr Duration kMinBackoff{100};
+constexpr Duration kMaxBackoff{1'000};
 constexpr std::uint64_t kBackoffJitterMs = 100;
 
 }  // namespace
 
 void WatchCache::restart() {
-  if (read_)
-    follow();
+  if (phase_ == Phase::Watching)
+    startWatching();
   else
-    readAll();
+    startListing();
 }
 
-void WatchCache::retry() {
-  backoff_ = std::clamp(backoff_ * 2, kFirstBackoff, kMostBackoff);
-  runtime_.after(backoff_ + Duration{rng_() % kBackoffJitterMs}, [this, round = round_] {
-    if (round == round_) restart();
+void WatchCache::retryLater() {
+  backoff_ = std::clamp(backoff_ * 2, kMinBackoff, kMaxBackoff);
+  runtime_.after(backoff_ + Duration{rng_() % kBackoffJitterMs}, [this, failed = currentRequest_] {
+    if (failed == currentRequest_) restart();
   });
 }
 
-void WatchCache::readAll() {
-  auto round = ++round_;
+void WatchCache::startListing() {
+  phase_ = Phase::Listing;
+  auto request = ++currentRequest_;
   client_.list(RequestPriority::Control, prefix_,
-               [this, round, asked = runtime_.now()](const ListResult& result) {
-                 if (round == round_) listed(asked, result);
+               [this, request, sentAt = runtime_.now()](const ListResult& result) {
+                 if (request == currentRequest_) listed(sentAt, result);
                });
 }
 
-void WatchCache::listed(Time asked, const ListResult& result) {
-  if (!result.ok) return retry();
+void WatchCache::listed(Time sentAt, const ListResult& result) {
+  if (!result.complete()) return retryLater();
   backoff_ = Duration{0};
-  if (result.revision < revision_) {  // an answer that covers more has overtaken it
-    read_ = true;
-    return follow();
+  // The answer to waitUntilCurrent() may have overtaken the list and cover more: the list says nothing new.
+  bool overtaken = result.revision < revision_;
+  if (!overtaken) {
+    applyList(result);
+    revision_ = result.revision;
+    currentAsOf_ = std::max(currentAsOf_, sentAt);
   }
+  startWatching();
+}
+
+void WatchCache::applyList(const ListResult& result) {
   for (const auto& entry : result.entries)
-    if (take(entry)) changed_(entry);
-  dropAbsent(result);
-  revision_ = result.revision;
-  currentAsOf_ = std::max(currentAsOf_, asked);
-  read_ = true;
-  follow();
+    if (recordWrite(entry)) listener_(entry);
+  removeAbsentKeys(result);
 }
 
-// Keys that went while no watch was open.
-void WatchCache::dropAbsent(const ListResult& result) {
+// Keys that were deleted while no watch was open.
+void WatchCache::removeAbsentKeys(const ListResult& result) {
   std::set<std::string> present;
   for (const auto& entry : result.entries) present.insert(entry.key);
-  for (auto it = known_.begin(); it != known_.end();) {
+  for (auto it = versions_.begin(); it != versions_.end();) {
     if (present.count(it->first) > 0) {
       ++it;
       continue;
     }
-    wire::KeyChange gone{it->first, std::nullopt, result.revision};
-    it = known_.erase(it);
-    changed_(gone);
+    wire::KeyChange deletion{it->first, std::nullopt, result.revision};
+    it = versions_.erase(it);
+    listener_(deletion);
   }
 }
 
-void WatchCache::follow() {
-  auto round = ++round_;
-  client_.follow(prefix_, revision_, kFollowWait, kFollowDeadline,
-                 [this, round, asked = runtime_.now()](const FollowResult& result) {
-                   if (round == round_) followed(asked, result);
-                 });
+void WatchCache::startWatching() {
+  phase_ = Phase::Watching;
+  auto request = ++currentRequest_;
+  client_.watch(prefix_, revision_, kWatchWait, kWatchDeadline,
+                [this, request, sentAt = runtime_.now()](const WatchResult& result) {
+                  if (request == currentRequest_) watched(sentAt, result);
+                });
 }
 
-void WatchCache::followed(Time asked, const FollowResult& result) {
-  using Outcome = FollowResult::Outcome;
-  if (result.outcome == Outcome::TooOld) return readAgain();
-  if (result.outcome == Outcome::Failed) return retry();
+void WatchCache::watched(Time sentAt, const WatchResult& result) {
+  switch (result.outcome) {
+    case WatchResult::Outcome::Compacted:
+      return startListing();
+    case WatchResult::Outcome::Failed:
+      return retryLater();
+    case WatchResult::Outcome::Changes:
+      break;
+  }
   backoff_ = Duration{0};
-  apply(asked, result.news);
-  follow();
+  applyChanges(sentAt, result.page);
+  startWatching();
 }
 
-void WatchCache::readAgain() {
-  read_ = false;
-  readAll();
+void WatchCache::applyChanges(Time sentAt, const wire::KeyPage& page) {
+  for (const auto& change : page.entries) {
+    // Answers overtake each other: what an earlier one covered is in view, and may be deleted again since.
+    if (change.version <= revision_) continue;
+    bool news = change.value ? recordWrite(change) : recordDelete(change);
+    if (news) listener_(change);
+  }
+  revision_ = std::max(revision_, page.revision);
+  currentAsOf_ = std::max(currentAsOf_, sentAt);
 }
 
-// Whether a key that has a value is new in it.
-bool WatchCache::take(const wire::KeyChange& change) {
-  auto& version = known_[change.key];
+bool WatchCache::recordWrite(const wire::KeyChange& change) {
+  auto& version = versions_[change.key];
   if (change.version <= version) return false;
   version = change.version;
   return true;
 }
 
-void WatchCache::apply(Time asked, const wire::KeyPage& news) {
-  for (const auto& change : news.entries) {
-    // Answers overtake each other: what an earlier one covered is in view, and may be gone again since.
-    if (change.version <= revision_) continue;
-    if (change.value) {
-      if (!take(change)) continue;
-    } else {
-      auto it = known_.find(change.key);
-      if (it == known_.end() || it->second > change.version) continue;
-      known_.erase(it);
-    }
-    changed_(change);
-  }
-  revision_ = std::max(revision_, news.revision);
-  currentAsOf_ = std::max(currentAsOf_, asked);
+bool WatchCache::recordDelete(const wire::KeyChange& change) {
+  auto known = versions_.find(change.key);
+  if (known == versions_.end() || known->second > change.version) return false;
+  versions_.erase(known);
+  return true;
 }
 
-void WatchCache::waitUntilCurrent(std::function<void(bool)> done) {
-  if (!read_) return done(false);
-  auto caughtUp = [this, asked = runtime_.now(), done = std::move(done)](const FollowResult& result) {
-    using Outcome = FollowResult::Outcome;
-    if (result.outcome == Outcome::TooOld && read_) readAgain();
-    if (result.outcome != Outcome::News) return done(false);
-    apply(asked, result.news);
-    done(true);
+void WatchCache::waitUntilCurrent(std::function<void(CatchUp)> done) {
+  if (!loaded()) return done(CatchUp::Failed);
+  // A watch that does not wait: its answer covers all that was committed before it was sent. It is no part of
+  // the list or watch in flight, so neither replaces the other.
+  auto answered = [this, sentAt = runtime_.now(), done = std::move(done)](const WatchResult& result) {
+    if (result.outcome == WatchResult::Outcome::Compacted && loaded()) startListing();
+    if (result.outcome != WatchResult::Outcome::Changes) return done(CatchUp::Failed);
+    applyChanges(sentAt, result.page);
+    done(CatchUp::Current);
   };
-  client_.follow(prefix_, revision_, Duration{0}, kCatchUpDeadline, std::move(caughtUp));
+  client_.watch(prefix_, revision_, Duration{0}, kCatchUpDeadline, std::move(answered));
 }
 
 }  // namespace cherryloft
--- a/src/kvstore/watch_cache.h
+++ b/src/kvstore/watch_cache.h
@@ -1,6 +1,7 @@
-// Mirror: follows all keys of the state service under one prefix.
+// WatchCache: follows all keys of the state service under one prefix.
 #pragma once
 
+#include <cstdint>
 #include <functional>
 #include <map>
 #include <random>
@@ -10,53 +11,72 @@
 
 namespace cherryloft {
 
-// Reads the prefix once and then follows its changes for ever, over requests that fail and answers that come
-// late and out of order.
+/// Lists the prefix once and then watches its changes for as long as the program runs, over requests that
+/// fail and answers that arrive late and out of order. It keeps only the versions of the keys; what they mean
+/// is kept by the listener.
+///
+/// Runs on the event loop's thread only. All that it refers to must outlive it, and it must outlive the calls
+/// and timers that it starts. The listener must not destroy it.
 class WatchCache {
  public:
-  // Is told every key at first and each change after that, in order.
-  using Changed = std::function<void(const wire::KeyChange&)>;
+  /// Is called with every key at first and with each change after that. A key's changes come in order of
+  /// version, and none comes twice.
+  using Listener = std::function<void(const wire::KeyChange&)>;
 
   WatchCache(Runtime& runtime, KeyValueClient& client, std::mt19937_64& rng, std::string prefix,
-             Changed changed)
+             Listener listener)
       : runtime_(runtime),
         client_(client),
         rng_(rng),
         prefix_(std::move(prefix)),
-        changed_(std::move(changed)) {}
-  // Begins, or begins anew the request that is open: one from before a silence may never be answered.
+        listener_(std::move(listener)) {}
+
+  /// Begins, or replaces the request in flight: one from before an outage may never be answered.
   void restart();
-  // Calls done once all that was committed before this call is in view; with false if that can't be told.
-  void waitUntilCurrent(std::function<void(bool)> done);
-  const std::string& prefix() const { return prefix_; }
-  // All keys were read once.
-  bool read() const { return read_; }
-  // All that was committed before that moment is in view.
-  Time currentAsOf() const { return currentAsOf_; }
-  // Every change up to it is in view.
-  Version revision() const { return revision_; }
+
+  /// Calls `done` once all that was committed before this call is in view, or with Failed if that can't be
+  /// told: at once while the cache is not loaded, else after the answer or its deadline.
+  void waitUntilCurrent(std::function<void(CatchUp)> done);
+
+  [[nodiscard]] const std::string& prefix() const { return prefix_; }
+
+  /// Whether a list of all keys is in view. Not while a lost watch makes it list them anew.
+  [[nodiscard]] bool loaded() const { return phase_ == Phase::Watching; }
+
+  /// All that was committed before that time is in view.
+  [[nodiscard]] Time currentAsOf() const { return currentAsOf_; }
+
+  /// Every change up to that revision is in view.
+  [[nodiscard]] Version revision() const { return revision_; }
 
  private:
-  void readAll();
-  void listed(Time asked, const ListResult& result);
-  void dropAbsent(const ListResult& result);
-  void follow();
-  void followed(Time asked, const FollowResult& result);
-  void readAgain();
-  void retry();
-  void apply(Time asked, const wire::KeyPage& news);
-  bool take(const wire::KeyChange& change);
+  enum class Phase : std::uint8_t {
+    Listing,   // all keys are to be read
+    Watching,  // they are in view up to revision_, and the changes after it are to be read
+  };
+
+  void startListing();
+  void listed(Time sentAt, const ListResult& result);
+  void applyList(const ListResult& result);
+  void removeAbsentKeys(const ListResult& result);
+  void startWatching();
+  void watched(Time sentAt, const WatchResult& result);
+  void applyChanges(Time sentAt, const wire::KeyPage& page);
+  void retryLater();
+  // Record a change in versions_. They return whether it is news to the listener.
+  [[nodiscard]] bool recordWrite(const wire::KeyChange& change);
+  [[nodiscard]] bool recordDelete(const wire::KeyChange& change);
 
   Runtime& runtime_;
   KeyValueClient& client_;
   std::mt19937_64& rng_;
   std::string prefix_;
-  Changed changed_;
-  std::map<std::string, Version> known_;
+  Listener listener_;
+  std::map<std::string, Version> versions_;  // of all keys in view
   Version revision_;
-  Time currentAsOf_{};  // when the latest request that was answered was made
-  bool read_ = false;
-  std::uint64_t round_ = 0;  // answers of earlier rounds are stale
+  Time currentAsOf_{};  // when the latest request that was answered was sent
+  Phase phase_ = Phase::Listing;
+  std::uint64_t currentRequest_ = 0;  // answers to earlier lists and watches are dropped
   Duration backoff_{0};
 };
 
--- a/src/scheduler/commits.cpp
+++ b/src/scheduler/commits.cpp
@@ -5,7 +5,7 @@
 
 namespace cherryloft {
 namespace {
-using wire::kMostWeight;
+using wire::kMaxTransactionBytes;
 constexpr std::size_t kKeyWeight = 200;
 }  // namespace
 
@@ -33,7 +33,7 @@
     }
     bool done = job->finished();
     auto value = done ? wire::encodeJobRecord(doneRecord(*job))
-                      : wire::encodeWithin(cancelledRecord(*job), settings_.valueBytes);
+                      : wire::encodeCancelledJob(cancelledRecord(*job), settings_.valueBytes);
     if (!transaction.add({keys::job(*it), std::move(value), {}}, job->version)) return;
     commitInFlight_->endedJobs.emplace_back(*it, done ? JobStatus::Done : JobStatus::Cancelled);
     it = ending_.erase(it);
@@ -43,7 +43,7 @@
 // How many placements and completions one transaction can tell.
 std::size_t ShardScheduler::roundWidth() const {
   constexpr std::size_t fact = 40;  // bytes, about, with what still stands of the page
-  auto pages = std::clamp<std::size_t>(kMostWeight / settings_.valueBytes, 1, settings_.txnOps - 1);
+  auto pages = std::clamp<std::size_t>(kMaxTransactionBytes / settings_.valueBytes, 1, settings_.txnOps - 1);
   return pages * std::max<std::size_t>(settings_.valueBytes / fact, 1);
 }
 
@@ -112,8 +112,8 @@
     }
   }
   committing_ = true;
-  store_.txn(RequestPriority::Work, commitInFlight_->txn, Duration{2'000},
-             guarded([this](TxnResult r) { committed(r); }));
+  store_.transact(RequestPriority::Work, commitInFlight_->txn, Duration{2'000},
+                  guarded([this](TransactionResult r) { committed(r); }));
 }
 
 void ShardScheduler::commitAt(Time due) {
@@ -125,11 +125,11 @@
                  }));
 }
 
-void ShardScheduler::committed(const TxnResult& r) {
+void ShardScheduler::committed(const TransactionResult& r) {
   committing_ = false;
-  using O = TxnResult::Outcome;
+  using O = TransactionResult::Outcome;
   switch (r.outcome) {
-    case O::Ok:
+    case O::Committed:
       return takeEffect(r);
     case O::Refused:
     case O::Unknown:
@@ -138,18 +138,18 @@
       commitNotBefore_ = runtime_.now() + Duration{60 + rng_() % 120};
       runtime_.after(Duration{190}, guarded([this] { commit(); }));
       return;
-    case O::Rejected:
+    case O::TooLarge:
       log_->error("share {}: the state service takes no transaction of that size", takeover_.shard.value);
       return callbacks_.dropOwnership();
     case O::Conflict:
     case O::LeaseExpired:
       log_->info("share {}: conflict on {}", takeover_.shard.value,
-                 r.failed.empty() ? "?" : r.failed.front());
+                 r.conflictingKeys.empty() ? "?" : r.conflictingKeys.front());
       return callbacks_.dropOwnership();
   }
 }
 
-void ShardScheduler::takeEffect(const TxnResult& r) {
+void ShardScheduler::takeEffect(const TransactionResult& r) {
   auto f = std::move(*commitInFlight_);
   commitInFlight_.reset();
   for (auto n : f.pages) state_.pages().at(n).version = r.revision;
--- a/src/scheduler/job_migration.cpp
+++ b/src/scheduler/job_migration.cpp
@@ -202,7 +202,7 @@
   auto record = cancelledRecord(job);
   record.maxConcurrent = 0;
   record.delegations.clear();
-  return {job.id, job.version, wire::encodeWithin(std::move(record), settings_.valueBytes)};
+  return {job.id, job.version, wire::encodeCancelledJob(std::move(record), settings_.valueBytes)};
 }
 
 // A record that does not get its turn now is left as it is: the team's own shard then waits for cancel_s.
--- a/src/scheduler/machine_records_writer.cpp
+++ b/src/scheduler/machine_records_writer.cpp
@@ -45,7 +45,7 @@
   transaction.require(keys::shard(takeover_.shard), takeover_.version);
   // What we sent under our token must have no effect under the next owner's (invariant 5).
   Epoch token{view_.epoch.value + 1};
-  if (moves) transaction.add({keys::kEpoch, wire::encodeCounter(token), {}}, view_.epochVersion);
+  if (moves) transaction.add({keys::kEpoch, wire::encodeEpochCounter(token), {}}, view_.epochVersion);
   auto before = transaction.writes();
   auto most = store_.backgroundBatchSize();
   for (auto& [key, change] : changes) {
@@ -56,8 +56,8 @@
   if (transaction.writes() == before) return;
   addressSince_ = Time{};
   recordsBusy_ = true;
-  store_.txn(RequestPriority::Work, transaction.take(), kRecordsDeadline,
-             guarded([this](TxnResult r) { recordsWritten(r); }));
+  store_.transact(RequestPriority::Work, transaction.take(), kRecordsDeadline,
+                  guarded([this](TransactionResult r) { recordsWritten(r); }));
 }
 
 // Of a group whose machines go to more shards than fit the transaction, those of the first go now.
@@ -106,11 +106,11 @@
   return rewrite;
 }
 
-void ShardScheduler::recordsWritten(const TxnResult& r) {
+void ShardScheduler::recordsWritten(const TransactionResult& r) {
   recordsBusy_ = false;
   // The directory is to show what was written before it is looked at again.
   recordsNotBefore_ = runtime_.now() + kUntilRecordsShow;
-  if (std::count(r.failed.begin(), r.failed.end(), keys::shard(takeover_.shard)) > 0)
+  if (std::count(r.conflictingKeys.begin(), r.conflictingKeys.end(), keys::shard(takeover_.shard)) > 0)
     callbacks_.dropOwnership();
 }
 
--- a/src/scheduler/shard_scheduler.cpp
+++ b/src/scheduler/shard_scheduler.cpp
@@ -52,8 +52,8 @@
 
 // Calls next once the cluster view shows what was committed under the prefix.
 void ShardScheduler::viewed(const std::string& prefix, std::function<void()> next) {
-  store_.waitUntilCurrent(prefix, guarded([this, prefix, next](bool ok) {
-                            if (ok) return next();
+  store_.waitUntilCurrent(prefix, guarded([this, prefix, next](CatchUp result) {
+                            if (result == CatchUp::Current) return next();
                             runtime_.after(kLoadRetry,
                                            guarded([this, prefix, next] { viewed(prefix, next); }));
                           }));
@@ -61,7 +61,7 @@
 
 void ShardScheduler::loadRuns() {
   store_.list(RequestPriority::Control, keys::placementPages(takeover_.shard), guarded([this](ListResult r) {
-                if (r.ok) return build(r);
+                if (r.complete()) return build(r);
                 runtime_.after(kLoadRetry, guarded([this] { loadRuns(); }));
               }));
 }
--- a/src/scheduler/shard_scheduler.h
+++ b/src/scheduler/shard_scheduler.h
@@ -153,7 +153,7 @@
   bool addGroupChange(TransactionBuilder& transaction, const std::string& key, GroupChange& change,
                       Epoch token);
   MachineGroupRewrite groupWrites(const std::string& key, const GroupChange& change, Epoch token) const;
-  void recordsWritten(const TxnResult& r);
+  void recordsWritten(const TransactionResult& r);
   void stop(Machine& h, const TaskId& id, Placement& p);
   void dropMachine(const MachineId& id);
   void sendLoad();
@@ -284,13 +284,13 @@
   bool mayNotKnowCancellations(Time now) const;
   void commit();
   void commitAt(Time due);
-  void committed(const TxnResult& r);
+  void committed(const TransactionResult& r);
   wire::JobRecord doneRecord(const Job& job) const;
   wire::JobRecord cancelledRecord(const Job& job) const;
   void endIfFinished(const Job& job);
   void addFinishedJobs(TransactionBuilder& transaction);
   void addPages(TransactionBuilder& transaction);
-  void takeEffect(const TxnResult& r);
+  void takeEffect(const TransactionResult& r);
   std::size_t roundWidth() const;
   void cleanUp(Job& job);
   void answerCancelWaiters(Job& job, JobStatus s);
--- a/src/scheduler/shard_state.cpp
+++ b/src/scheduler/shard_state.cpp
@@ -347,14 +347,14 @@
   PageUpdate d;
   d.number = pages_.next(taken);
   taken.insert(d.number);
-  std::size_t weight = wire::kPageFrame;
+  std::size_t weight = wire::kEmptyPageBytes;
   auto add = [&](const TaskId& id) {
     const auto& t = job(id.job)->tasks[id.index];
     auto known = d.record.jobs.find(id.job);
-    std::size_t more = known == d.record.jobs.end() ? wire::weightOfJob(id.job) : 0;
+    std::size_t more = known == d.record.jobs.end() ? wire::maxBytesOfJob(id.job) : 0;
     std::optional<wire::PlacementEntry> entry;
     if (t.state == TaskState::Placed) entry = {id.index, t.machine->placements.at(id).attempt, t.machine->id};
-    more += entry ? wire::weightOf(*entry) : wire::weightOfDone(id.index);
+    more += entry ? wire::maxBytesOf(*entry) : wire::maxBytesOfDoneTask(id.index);
     if (weight + more > settings_.valueBytes) return false;
     weight += more;
     auto& facts = d.record.jobs[id.job];
--- a/src/wire/kvstore.h
+++ b/src/wire/kvstore.h
@@ -1,4 +1,8 @@
-// The state service's side of the protocol, and the records that this project keeps there.
+// The state service's protocol: its requests and answers, without the records that are stored there
+// (wire/records.h). Names on the wire are the service's own: a revision is "ledger_rev", a version "stamp", a
+// lease "tenancy".
+//
+// Parsers return nothing for a body that can't be read, as if there had been no answer.
 #pragma once
 
 #include <map>
@@ -6,127 +10,61 @@
 #include <string>
 #include <vector>
 
-#include "base/job.h"
+#include "base/types.h"
 
 namespace cherryloft::wire {
 
+/// A key as it stands, or as it was changed.
 struct KeyChange {
   std::string key;
-  std::optional<std::string> value;  // JSON text; nothing: the key is gone
-  Version version;
+  std::optional<std::string> value;  // JSON text; nothing: the key was deleted
+  Version version;                   // the revision of the change that gave it this value
 };
 
+/// A key to be written or deleted.
 struct Write {
   std::string key;
-  std::optional<std::string> value;  // nothing: drop the key
-  std::optional<std::uint64_t> lease;
-};
-struct Transaction {
-  std::map<std::string, Version> conditions;
-  std::vector<Write> operations;
+  std::optional<std::string> value;  // JSON text; nothing: delete the key
+  std::optional<LeaseId> lease;      // the key is deleted when this lease expires
 };
 
-std::string encodeTransaction(const Transaction& t);
-std::size_t weightOf(const Write& w);  // bytes it adds to a transaction, about
-inline constexpr std::size_t kMostWeight =
-    std::size_t{48} * 1024;  // of a transaction, whose body may have 64 KiB
-
-struct KeyPage {
-  std::vector<KeyChange> entries;
-  bool truncated = false;
-  Version revision;
+/// A compare-and-swap transaction: all operations are executed if all conditions hold, otherwise none.
+struct Transaction {
+  std::map<std::string, Version> conditions;  // the version that each key must have; 0: no such key
+  std::vector<Write> operations;              // each key once
 };
-std::optional<KeyPage> parseEntries(const std::string& body);
-std::optional<KeyPage> parseNews(const std::string& body);
-std::optional<KeyChange> parseKey(const std::string& body);
-std::optional<Version> parseRevision(const std::string& body);
-std::vector<std::string> parseFailed(const std::string& body);
-std::optional<std::uint64_t> parseLeaseId(const std::string& body);
 
-// --- records ---
-
-struct JobRecord {
-  JobStatus status = JobStatus::Open;
-  ShardId shard;
-  std::uint32_t tasks = 0;
-  WallTime submitted;
-  std::optional<JobSpec> spec;  // kept unless done
-  // Of a job that another shard than its team's runs: so many of its tasks may be somewhere at once. The
-  // team's own shard counts them as in use (invariant 17). 0 once it is cancelled and nothing of it is left.
-  std::optional<std::uint32_t> maxConcurrent{};
-  // Tasks that other shards place for the job's shard, and those that they have completed (invariant 18).
-  std::vector<Delegation> delegations{};
-  std::vector<std::uint32_t> doneRemotely{};  // ascending
-};
-std::string encodeJobRecord(const JobRecord& r);
-// The record of an cancelled job. If it would be larger than a value, it keeps of the description what the
-// job's last tasks take, and of each delegation the range of its tasks.
-std::string encodeWithin(JobRecord cancelled, std::size_t valueBytes);
-std::optional<JobRecord> parseJobRecord(const JobId& id, const std::string& value);
+/// The body of a transaction request.
+[[nodiscard]] std::string encodeTransaction(const Transaction& transaction);
 
-struct PlacementEntry {
-  std::uint32_t index = 0;
-  Attempt attempt;
-  MachineId machine;
-};
-// What a page says of one job.
-struct JobPlacements {
-  std::vector<std::uint32_t> done;  // ascending
-  std::vector<PlacementEntry> placed;
-};
-// Facts of many jobs in one value, so that a start costs far less than a change (DESIGN.md, section 3).
-struct PageRecord {
-  std::map<JobId, JobPlacements> jobs;
-};
-std::string encodePage(const PageRecord& r);
-// Nothing for what can't be read and for another layout, which is told by its layout version.
-std::optional<PageRecord> parsePage(const std::string& value);
-// Upper bounds of what they add to an encoded page.
-std::size_t weightOfJob(const JobId& job);
-std::size_t weightOfDone(std::uint32_t index);
-std::size_t weightOf(const PlacementEntry& e);
-inline constexpr std::size_t kPageFrame = 24;  // of a page without jobs
+/// About how many bytes a write with its condition adds to the body of a transaction.
+[[nodiscard]] std::size_t estimatedBytes(const Write& write);
 
-enum class MachinePhase : std::uint8_t { InUse, Draining, Returning };
-struct MachineRecord {
-  ShardId shard;
-  Epoch token;
-  MachinePhase phase = MachinePhase::InUse;
-  std::string type;
-  Zone zone;
-  bool spot = false;
-  std::string address;  // empty until known
-  WallTime since;
-};
+/// Of estimatedBytes in one transaction: a body may have 64 KiB, and the estimates are not exact.
+inline constexpr std::size_t kMaxTransactionBytes = std::size_t{48} * 1024;
 
-// Machines that came together and are of one kind shard a key, as a fleet has thousands.
-struct GroupMember {
-  MachineId id;
-  MachinePhase phase = MachinePhase::InUse;
-  std::string address;  // empty until known
-};
-struct GroupRecord {
-  ShardId shard;
-  Epoch token;
-  std::string type;
-  Zone zone;
-  bool spot = false;
-  WallTime since;
-  std::vector<GroupMember> members;
-};
-std::string encodeGroup(const GroupRecord& r);
-std::optional<GroupRecord> parseGroup(const std::string& value);
-// How many machines fit a group whose names and addresses are that long.
-std::size_t membersIn(std::size_t valueBytes);
+/// The body of a request for a lease.
+[[nodiscard]] std::string encodeLeaseRequest(Duration timeToLive);
 
-struct OwnerRecord {
-  ControllerId owner;
-  Epoch epoch;
+/// Keys or changes of keys from one answer.
+struct KeyPage {
+  std::vector<KeyChange> entries;
+  bool truncated = false;  // more keys follow after the last entry
+  Version revision;        // of the store when it answered
 };
-std::string encodeOwnerRecord(const OwnerRecord& r);
-std::optional<OwnerRecord> parseOwnerRecord(const std::string& value);
 
-std::string encodeCounter(Epoch e);
-std::optional<Epoch> parseCounter(const std::string& value);
+/// The answer to a list of keys.
+[[nodiscard]] std::optional<KeyPage> parseKeyPage(const std::string& body);
+/// The answer to a watch: changes in order of version.
+[[nodiscard]] std::optional<KeyPage> parseChanges(const std::string& body);
+/// The answer to a read of one key.
+[[nodiscard]] std::optional<KeyChange> parseEntry(const std::string& body);
+/// The revision that a committed transaction made.
+[[nodiscard]] std::optional<Version> parseRevision(const std::string& body);
+/// The keys whose conditions did not hold, from the answer to a transaction in conflict. Empty if they can't
+/// be read: the conflict stands all the same.
+[[nodiscard]] std::vector<std::string> parseConflictingKeys(const std::string& body);
+/// The lease that was granted.
+[[nodiscard]] std::optional<LeaseId> parseLeaseId(const std::string& body);
 
 }  // namespace cherryloft::wire
--- a/tests/unit/group_commit_test.cpp
+++ b/tests/unit/group_commit_test.cpp
@@ -1,4 +1,4 @@
-// How creations of keys shard transactions.
+// How creations of keys share transactions.
 #include "kvstore/group_commit.h"
 
 #include <gtest/gtest.h>
@@ -11,19 +11,19 @@
 
 namespace {
 
-using Outcome = TxnResult::Outcome;
+using Outcome = TransactionResult::Outcome;
 
-struct GroupCommitTest : StoreQueueFixture {
+struct GroupCommitTest : RequestQueueFixture {
   KeyValueClient client{queue, tally};
   GroupCommit commits{settings, runtime, client, limiter, tally};
   std::map<std::string, std::vector<Outcome>> results;
 
   void create(const std::string& key, Duration deadline = Duration{10'000}) {
     commits.create({key, "{}", {}}, deadline,
-                   [this, key](const TxnResult& result) { results[key].push_back(result.outcome); });
+                   [this, key](const TransactionResult& result) { results[key].push_back(result.outcome); });
   }
-  bool names(std::size_t n, const std::string& key) const {
-    return runtime.requests.at(n).body.find('"' + key + '"') != std::string::npos;
+  bool requestNames(std::size_t request, const std::string& key) const {
+    return runtime.requests.at(request).body.find('"' + key + '"') != std::string::npos;
   }
 };
 
@@ -31,20 +31,20 @@
 
 }  // namespace
 
-TEST_F(GroupCommitTest, WhatComesMeanwhileSharesTheNextTransaction) {
+TEST_F(GroupCommitTest, CreationsDuringATransactionShareTheNext) {
   for (const auto* key : {"job/a", "job/b", "job/c"}) create(key);
   ASSERT_EQ(runtime.requests.size(), 1U);
-  EXPECT_TRUE(names(0, "job/a"));
+  EXPECT_TRUE(requestNames(0, "job/a"));
   EXPECT_EQ(commits.waiting(), 2U);
   runtime.answer(0, 200, kCommitted);
   ASSERT_EQ(runtime.requests.size(), 2U);
-  EXPECT_TRUE(names(1, "job/b") && names(1, "job/c"));
+  EXPECT_TRUE(requestNames(1, "job/b") && requestNames(1, "job/c"));
   runtime.answer(1, 200, kCommitted);
   for (const auto* key : {"job/a", "job/b", "job/c"})
-    EXPECT_EQ(results[key], (std::vector<Outcome>{Outcome::Ok}));
+    EXPECT_EQ(results[key], (std::vector<Outcome>{Outcome::Committed}));
 }
 
-TEST_F(GroupCommitTest, AKeyStandsInATransactionOnce) {
+TEST_F(GroupCommitTest, KeyIsWrittenOnceInATransaction) {
   for (const auto* key : {"job/a", "job/b", "job/b"}) create(key);
   runtime.answer(0, 200, kCommitted);
   ASSERT_EQ(runtime.requests.size(), 2U);
@@ -58,10 +58,10 @@
   EXPECT_EQ(results["job/b"], (std::vector<Outcome>{Outcome::Conflict}));
   EXPECT_TRUE(results["job/c"].empty());
   ASSERT_EQ(runtime.requests.size(), 3U);
-  EXPECT_TRUE(names(2, "job/c"));
+  EXPECT_TRUE(requestNames(2, "job/c"));
 }
 
-TEST_F(GroupCommitTest, WhatHadNoTurnInTimeIsRefused) {
+TEST_F(GroupCommitTest, CreationWithoutATurnBeforeItsDeadlineIsRefused) {
   limiter.pauseUntil(runtime.now() + Duration{1'000});
   create("job/a", Duration{100});
   runtime.clock.run(runtime.clock.now() + 500);
--- a/tests/unit/key_value_store_test.cpp
+++ b/tests/unit/key_value_store_test.cpp
@@ -1,21 +1,22 @@
-// The way to the state service under more questions than its budget can bear.
+// The client of the state service under more requests than its rate limits can bear.
+#include "kvstore/key_value_store.h"
+
 #include <gtest/gtest.h>
 
-#include "kvstore/key_value_store.h"
 #include "world/world.h"
 
 using namespace cherryloft;
 
 namespace {
 
-// Time stands; what is to happen at once happens when asked for.
-struct StillIo : Runtime {
-  std::vector<std::function<void()>> maxConcurrent;
+// Time stands still. Calls are counted and never answered; what was scheduled without delay runs when asked.
+struct FrozenRuntime : Runtime {
+  std::vector<std::function<void()>> scheduled;
   std::size_t calls = 0;
   Time now() const override { return Time{Duration{5000}}; }
   WallTime wall() const override { return {1}; }
-  void after(Duration d, std::function<void()> f) override {
-    if (d == Duration{0}) maxConcurrent.push_back(std::move(f));
+  void after(Duration delay, std::function<void()> task) override {
+    if (delay == Duration{0}) scheduled.push_back(std::move(task));
   }
   void call(const Address&, HttpRequest, Duration, HttpDone) override { ++calls; }
   void mesh(std::uint32_t, const mesh::Frame&) override {}
@@ -24,18 +25,18 @@
 
 }  // namespace
 
-TEST(Store, QuestionsBeyondTheBudgetAreAnsweredAtOnce) {
-  world::Deployment d;
-  d.rps = 101;
-  auto settings = parseSettings(d.settingsOf(0), {});
-  StillIo runtime;
+TEST(KeyValueStore, FailsUserReadsBeyondItsRateLimitAtOnce) {
+  world::Deployment deployment;
+  deployment.rps = 101;
+  auto settings = parseSettings(deployment.settingsOf(0), {});
+  FrozenRuntime runtime;
   KeyValueStore store(settings, runtime, silentLog(), 1);
   int failed = 0;
-  for (int i = 0; i < 1000; ++i)
+  for (int read = 0; read < 1000; ++read)
     store.get(RequestPriority::User, "job/x", Duration{1000},
-              [&](GetResult r) { failed += r.outcome == GetResult::Outcome::Failed; });
-  for (auto& f : runtime.maxConcurrent) f();
-  // A third of the service's part for one second is sent, as much again waits.
+              [&](const GetResult& result) { failed += result.outcome == GetResult::Outcome::Failed; });
+  for (auto& task : runtime.scheduled) task();
+  // A third of the service's requests of one second are sent, as many again wait.
   EXPECT_EQ(runtime.calls, 30U);
   EXPECT_EQ(failed, 1000 - 30 - 31);
 }
--- a/tests/unit/rate_limiter_test.cpp
+++ b/tests/unit/rate_limiter_test.cpp
@@ -1,4 +1,4 @@
-// How the budget of requests and changes fills and empties.
+// How the buckets of requests and writes fill and empty.
 #include "kvstore/rate_limiter.h"
 
 #include <gtest/gtest.h>
@@ -9,7 +9,7 @@
 
 namespace {
 
-struct RequestBudgetTest : testing::Test {
+struct RateLimiterTest : testing::Test {
   Settings settings = parseSettings(world::Deployment{}.settingsOf(0), {});
   Time start{Duration{5'000}};
   RateLimiter limiter{settings, start};
@@ -17,12 +17,12 @@
 
 }  // namespace
 
-TEST_F(RequestBudgetTest, IsAnEqualPartOfTheLimitsAtFirst) {
+TEST_F(RateLimiterTest, StartsWithAnEqualFractionOfTheLimits) {
   EXPECT_NEAR(limiter.requestsPerSecond(), settings.stateRps * 0.9 / settings.size(), 1e-9);
-  EXPECT_NEAR(limiter.changesPerSecond(), settings.stateWriteRps * 0.9 / settings.size(), 1e-9);
+  EXPECT_NEAR(limiter.writesPerSecond(), settings.stateWriteRps * 0.9 / settings.size(), 1e-9);
 }
 
-TEST_F(RequestBudgetTest, FillsAgainUpToOneSecond) {
+TEST_F(RateLimiterTest, RefillsUpToTheTokensOfOneSecond) {
   while (limiter.affords(1)) limiter.spend(1);
   limiter.refill(start + Duration{500});
   EXPECT_TRUE(limiter.affords(1));
@@ -30,13 +30,13 @@
   EXPECT_NEAR(limiter.requests(), limiter.requestsPerSecond(), 1e-9);
 }
 
-TEST_F(RequestBudgetTest, AWholeTransactionIsAffordableInTheSmallestPart) {
+TEST_F(RateLimiterTest, AffordsTheLargestTransactionAtTheSmallestFraction) {
   limiter.setFractionOfLimits(1e-3);
   limiter.refill(start + Duration{3'600'000});
   EXPECT_TRUE(limiter.affords(static_cast<unsigned>(settings.txnOps)));
 }
 
-TEST_F(RequestBudgetTest, IsPausedUntilThen) {
+TEST_F(RateLimiterTest, IsPausedUntilTheGivenTime) {
   limiter.pauseUntil(start + Duration{10});
   EXPECT_TRUE(limiter.paused(start));
   EXPECT_FALSE(limiter.paused(start + Duration{10}));
--- a/tests/unit/recorded_examples_test.cpp
+++ b/tests/unit/recorded_examples_test.cpp
@@ -8,6 +8,7 @@
 
 #include "mesh/messages.h"
 #include "wire/kvstore.h"
+#include "wire/records.h"
 
 namespace cherryloft {
 namespace {
@@ -108,7 +109,20 @@
 TEST(Recorded, OwnersAndCounters) {
   EXPECT_EQ(wire::encodeOwnerRecord({ControllerId{"loftnode-0"}, Epoch{12}}),
             "{\"ep\":12,\"own\":\"loftnode-0\"}");
-  EXPECT_EQ(wire::encodeCounter(Epoch{12}), "{\"n\":12}");
+  EXPECT_EQ(wire::encodeEpochCounter(Epoch{12}), "{\"n\":12}");
+}
+
+TEST(Recorded, Transactions) {
+  wire::Transaction transaction;
+  transaction.conditions = {{"share/0", Version{7}}, {"node/a", Version{0}}};
+  transaction.operations = {
+      {"node/a", "{\"at\":1}", LeaseId{3}}, {"run/0/1", "{}", {}}, {"run/0/2", std::nullopt, {}}};
+  EXPECT_EQ(wire::encodeTransaction(transaction),
+            "{\"when\":[{\"path\":\"node/a\",\"stamp\":0},{\"path\":\"share/0\",\"stamp\":7}],"
+            "\"apply\":[{\"write\":\"node/a\",\"value\":{\"at\":1},\"tenancy\":3},"
+            "{\"write\":\"run/0/1\",\"value\":{}},{\"drop\":\"run/0/2\"}]}");
+  EXPECT_EQ(wire::encodeTransaction({{{"share/0", Version{7}}}, {}}),
+            "{\"when\":[{\"path\":\"share/0\",\"stamp\":7}]}");
 }
 
 TEST(Recorded, FramesOfControllersThatAnswerEachOther) {
--- a/tests/unit/request_queue_fixture.h
+++ b/tests/unit/request_queue_fixture.h
@@ -1,4 +1,4 @@
-// The queue of requests to the state service with all that it needs, for tests of what stands on it.
+// The queue of requests to the state service with all that it needs, for tests of the objects on top of it.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -11,7 +11,7 @@
 
 namespace cherryloft {
 
-struct StoreQueueFixture : testing::Test {
+struct RequestQueueFixture : testing::Test {
   Settings settings = parseSettings(world::Deployment{}.settingsOf(0), {});
   HeldCallsRuntime runtime;
   RateLimiter limiter{settings, runtime.now()};
--- a/tests/unit/request_queue_test.cpp
+++ b/tests/unit/request_queue_test.cpp
@@ -9,12 +9,12 @@
 
 namespace {
 
-struct RequestQueueTest : StoreQueueFixture {
+struct RequestQueueTest : RequestQueueFixture {
   std::vector<HttpResult::Outcome> outcomes;
 
   void push(RequestPriority priority, const std::string& target, Duration deadline = Duration{10'000},
-            unsigned changes = 0) {
-    queue.push(priority, {"test", {"GET", target, "", false}, changes}, deadline,
+            unsigned writes = 0) {
+    queue.push(priority, {"test", {"GET", target, "", false}, writes}, deadline,
                [this](const HttpResult& result) { outcomes.push_back(result.outcome); });
   }
   void useUpRequests() {
@@ -25,7 +25,7 @@
 
 }  // namespace
 
-TEST_F(RequestQueueTest, SendsTheUrgentFirst) {
+TEST_F(RequestQueueTest, SendsByPriority) {
   useUpRequests();
   push(RequestPriority::User, "/user");
   push(RequestPriority::Work, "/work");
@@ -35,22 +35,22 @@
   EXPECT_EQ(runtime.targets(), (std::vector<std::string>{"/control", "/work", "/user"}));
 }
 
-TEST_F(RequestQueueTest, RenewalsOfHoldsDoNotWaitForTheBudget) {
+TEST_F(RequestQueueTest, LeaseRenewalsDoNotWaitForTheRateLimiter) {
   useUpRequests();
-  push(RequestPriority::Lease, "/hold");
-  EXPECT_EQ(runtime.targets(), (std::vector<std::string>{"/hold"}));
+  push(RequestPriority::Lease, "/lease");
+  EXPECT_EQ(runtime.targets(), (std::vector<std::string>{"/lease"}));
 }
 
-TEST_F(RequestQueueTest, WhatHadNoTurnInTimeIsNotSent) {
+TEST_F(RequestQueueTest, RequestWithoutATurnBeforeItsDeadlineIsNotSent) {
   limiter.pauseUntil(runtime.now() + Duration{1'000});
   push(RequestPriority::Control, "/late", Duration{100});
   run(2'000);
   EXPECT_TRUE(runtime.requests.empty());
   EXPECT_EQ(outcomes, (std::vector<HttpResult::Outcome>{HttpResult::Outcome::NotSent}));
-  EXPECT_EQ(tally.outOfTime, 1U);
+  EXPECT_EQ(tally.expired, 1U);
 }
 
-TEST_F(RequestQueueTest, PausesAfterTheServiceRefused) {
+TEST_F(RequestQueueTest, PausesWhenThrottled) {
   push(RequestPriority::Control, "/first");
   auto answer = runtime.open.at(0);
   answer({HttpResult::Outcome::Answered, {429, "{}", false, 0}});
@@ -59,12 +59,12 @@
   EXPECT_EQ(runtime.requests.size(), 1U);
   run(1'000);
   EXPECT_EQ(runtime.requests.size(), 2U);
-  EXPECT_EQ(tally.refused, 1U);
+  EXPECT_EQ(tally.throttled, 1U);
 }
 
-TEST_F(RequestQueueTest, ChangesAreSpentToo) {
-  auto most = static_cast<unsigned>(limiter.changes());
-  push(RequestPriority::Work, "/all", Duration{10'000}, most);
+TEST_F(RequestQueueTest, SpendsWritesToo) {
+  auto allWrites = static_cast<unsigned>(limiter.writes());
+  push(RequestPriority::Work, "/all", Duration{10'000}, allWrites);
   push(RequestPriority::Work, "/more", Duration{10'000}, 1);
   EXPECT_EQ(runtime.targets(), (std::vector<std::string>{"/all"}));
   run(1'000);
--- a/tests/unit/watch_cache_test.cpp
+++ b/tests/unit/watch_cache_test.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 // Keeps every request for the test to answer when it likes; time stands.
-struct HeldIo : Runtime {
+struct AnsweringRuntime : Runtime {
   struct Call {
     std::string target;
     HttpDone done;
@@ -18,8 +18,8 @@
   Time now() const override { return Time{Duration{5000}}; }
   WallTime wall() const override { return {1}; }
   void after(Duration, std::function<void()>) override {}
-  void call(const Address&, HttpRequest r, Duration, HttpDone done) override {
-    calls.push_back({r.target, std::move(done)});
+  void call(const Address&, HttpRequest request, Duration, HttpDone done) override {
+    calls.push_back({request.target, std::move(done)});
   }
   void mesh(std::uint32_t, const mesh::Frame&) override {}
   void remesh(std::uint32_t) override {}
@@ -29,19 +29,19 @@
   }
 };
 
-struct Mirrored : testing::Test {
+struct WatchCacheTest : testing::Test {
   Settings settings = parseSettings(world::Deployment{}.settingsOf(0), {});
-  HeldIo runtime;
+  AnsweringRuntime runtime;
   KeyValueStore store{settings, runtime, silentLog(), 1};
   std::set<std::string> shown;
 
   // Calls 0 and 1 are the first list and the first watch.
   void begin(const std::string& entries) {
-    store.watch("node/", [this](const wire::KeyChange& c) {
-      if (c.value)
-        shown.insert(c.key);
+    store.watch("node/", [this](const wire::KeyChange& change) {
+      if (change.value)
+        shown.insert(change.key);
       else
-        shown.erase(c.key);
+        shown.erase(change.key);
     });
     runtime.answer(0, R"({"entries":[)" + entries + R"(],"truncated":false,"ledger_rev":4})");
   }
@@ -49,9 +49,9 @@
 
 }  // namespace
 
-TEST_F(Mirrored, ALateAnswerDoesNotBringBackADroppedKey) {
+TEST_F(WatchCacheTest, LateAnswerDoesNotBringBackADeletedKey) {
   begin("");
-  store.waitUntilCurrent("node/", [](bool) {});
+  store.waitUntilCurrent("node/", [](CatchUp) {});
   ASSERT_EQ(runtime.calls.size(), 3U);
   runtime.answer(
       2, R"({"ledger_rev":7,"news":[{"write":"node/x","value":{},"stamp":5},{"drop":"node/x","stamp":7}]})");
@@ -60,9 +60,9 @@
   EXPECT_TRUE(shown.empty());
 }
 
-TEST_F(Mirrored, AnOldListDoesNotDropANewerKey) {
+TEST_F(WatchCacheTest, OldListDoesNotDeleteANewerKey) {
   begin("");
-  store.waitUntilCurrent("node/", [](bool) {});
+  store.waitUntilCurrent("node/", [](CatchUp) {});
   // The watch is too old and all is read anew; the list is as old as its first page.
   auto tooOld = runtime.calls.at(1).done;
   tooOld({HttpResult::Outcome::Answered, {410, "{}", false, 0}});
--- a/tests/unit/wire_test.cpp
+++ b/tests/unit/wire_test.cpp
@@ -4,7 +4,7 @@
 
 #include "mesh/messages.h"
 #include "wire/json.h"
-#include "wire/kvstore.h"
+#include "wire/records.h"
 #include "wire/users.h"
 #include "wire/workers.h"
 #include "world/world.h"
@@ -130,7 +130,7 @@
   wire::JobRecord cancelled{JobStatus::Cancelled, ShardId{2}, s.tasks, WallTime{1700}, s, {}};
   cancelled.delegations.push_back({ShardId{1}, std::nullopt, {}});
   for (std::uint32_t i = 1; i < s.tasks; i += 2) cancelled.delegations[0].tasks.push_back(i);
-  auto value = wire::encodeWithin(cancelled, 2048);
+  auto value = wire::encodeCancelledJob(cancelled, 2048);
   EXPECT_LE(value.size(), 2048U);
   auto back = wire::parseJobRecord(s.id, value);
   ASSERT_TRUE(back && back->spec);
@@ -141,7 +141,7 @@
   EXPECT_TRUE(back->spec->oneZone);
   for (auto i : cancelled.delegations[0].tasks) EXPECT_TRUE(back->delegations.at(0).covers(i));
   // One that fits is kept as it is.
-  EXPECT_EQ(wire::encodeWithin(cancelled, 1 << 20), wire::encodeJobRecord(cancelled));
+  EXPECT_EQ(wire::encodeCancelledJob(cancelled, 1 << 20), wire::encodeJobRecord(cancelled));
 }
 
 TEST(Records, AnotherLayoutIsToldAndNotGuessedAt) {
@@ -155,18 +155,18 @@
 
 TEST(Records, WeightsOfFactsAreUpperBounds) {
   PageRecord r;
-  std::size_t weight = kPageFrame;
+  std::size_t weight = kEmptyPageBytes;
   std::mt19937_64 rng(3);
   for (int j = 0; j < 40; ++j) {
     JobId id{"wk-" + std::to_string(rng() % 100'000'000)};
-    weight += weightOfJob(id);
+    weight += maxBytesOfJob(id);
     auto& f = r.jobs[id];
     for (int i = 0; i < 5; ++i) {
       f.done.push_back(static_cast<std::uint32_t>(rng() % 100'000));
-      weight += weightOfDone(f.done.back());
+      weight += maxBytesOfDoneTask(f.done.back());
       f.placed.push_back(
           {static_cast<std::uint32_t>(rng() % 100'000), Attempt{rng()}, MachineId{"host-000001"}});
-      weight += weightOf(f.placed.back());
+      weight += maxBytesOf(f.placed.back());
     }
   }
   EXPECT_LE(encodePage(r).size(), weight);
@@ -175,7 +175,7 @@
 TEST(Records, GroupFitsTheValueThatItsSizeWasChosenFor) {
   for (std::size_t bytes : {1024U, 4096U, 16384U}) {
     GroupRecord g{ShardId{31}, Epoch{999'999}, "a-machine-type", Zone{"a-zone-name"}, true, WallTime{1}, {}};
-    for (std::size_t i = 0; i < membersIn(bytes); ++i)
+    for (std::size_t i = 0; i < maxGroupMembers(bytes); ++i)
       g.members.push_back({MachineId{"host-000001"}, MachinePhase::Returning, "10.255.255.255:65535"});
     auto text = encodeGroup(g);
     EXPECT_LE(text.size(), bytes);
