--- a/src/base/ids.h
+++ b/src/base/ids.h
@@ -30,6 +30,8 @@
 using Epoch = Strong<struct EpochTag, std::uint64_t>;
 // Of a key in the state service; 0: the key does not exist.
 using Version = Strong<struct VersionTag, std::uint64_t>;
+// Of a controller, granted by the state service.
+using LeaseId = Strong<struct LeaseTag, std::uint64_t>;
 // One life of a worker's lease, counted by the worker; what an earlier one ran is gone.
 using Incarnation = Strong<struct IncarnationTag, std::uint64_t>;
 // Of a worker's heartbeats within one incarnation.
--- a/src/cluster/cluster_view.cpp
+++ b/src/cluster/cluster_view.cpp
@@ -115,7 +115,7 @@
 }
 
 void ClusterView::applyEpoch(const wire::KeyChange& change) {
-  auto counter = change.value ? wire::parseCounter(*change.value) : std::nullopt;
+  auto counter = change.value ? wire::parseEpochCounter(*change.value) : std::nullopt;
   if (!counter) return;
   epoch = *counter;
   epochVersion = change.version;
--- a/src/cluster/controller_lease.cpp
+++ b/src/cluster/controller_lease.cpp
@@ -44,18 +44,18 @@
   state_ = State::Requesting;
   lease_.reset();
   store_.grantLease(settings_.leaseTtl(),
-                    [this, sent = runtime_.now()](std::optional<LeaseId> lease) { granted(sent, lease); });
+                    [this, sent = runtime_.now()](const LeaseGrant& grant) { granted(sent, grant); });
 }
 
-void ControllerLease::granted(Time sent, std::optional<LeaseId> lease) {
-  if (!lease) {
+void ControllerLease::granted(Time sent, const LeaseGrant& grant) {
+  if (!grant.granted()) {
     runtime_.after(kGrantRetryDelay, [this] { requestLease(); });
     return;
   }
-  lease_ = lease;
+  lease_ = grant.lease;
   state_ = State::Joining;
   renewed(sent);
-  join(*lease);
+  join(grant.lease);
 }
 
 // --- join ---
@@ -67,26 +67,26 @@
     return;
   }
   store_.waitUntilCurrent(keys::kControllers,
-                          [this, lease](bool current) { controllersRead(lease, current); });
+                          [this, lease](CatchUp result) { controllersRead(lease, result); });
 }
 
-void ControllerLease::controllersRead(LeaseId lease, bool current) {
-  if (!current) {
+void ControllerLease::controllersRead(LeaseId lease, CatchUp result) {
+  if (result != CatchUp::Current) {
     retryJoin(lease);
     return;
   }
-  store_.waitUntilCurrent(keys::kShards, [this, lease](bool current) { shardsRead(lease, current); });
+  store_.waitUntilCurrent(keys::kShards, [this, lease](CatchUp shards) { shardsRead(lease, shards); });
 }
 
-void ControllerLease::shardsRead(LeaseId lease, bool current) {
+void ControllerLease::shardsRead(LeaseId lease, CatchUp result) {
   if (lease_ != lease) return;
-  if (!current) {
+  if (result != CatchUp::Current) {
     retryJoin(lease);
     return;
   }
   auto conditions = callbacks_.joinConditions();
-  store_.txn(RequestPriority::Lease, joinTransaction(lease, std::move(conditions)), kJoinDeadline,
-             [this, lease](const TxnResult& result) { joinAnswered(lease, result); });
+  store_.transact(RequestPriority::Lease, joinTransaction(lease, std::move(conditions)), kJoinDeadline,
+                  [this, lease](const TransactionResult& result) { joinAnswered(lease, result); });
 }
 
 wire::Transaction ControllerLease::joinTransaction(LeaseId lease,
@@ -100,19 +100,19 @@
   return transaction;
 }
 
-void ControllerLease::joinAnswered(LeaseId lease, const TxnResult& result) {
+void ControllerLease::joinAnswered(LeaseId lease, const TransactionResult& result) {
   if (lease_ != lease) return;
-  if (result.outcome == TxnResult::Outcome::LeaseExpired) {
+  if (result.outcome == TransactionResult::Outcome::LeaseExpired) {
     requestLease();
     return;
   }
-  if (!result.ok()) {
+  if (!result.committed()) {
     retryJoin(lease);
     return;
   }
   state_ = State::Joined;
   joinVersion_ = result.revision;
-  log_->info("controller joined the cluster lease={}", lease);
+  log_->info("controller joined the cluster lease={}", lease.value);
   callbacks_.validityChanged(validity());
   callbacks_.joined();
 }
@@ -137,14 +137,14 @@
 
 void ControllerLease::renewalAnswered(Time sent, LeaseRenewal renewal) {
   switch (renewal) {
-    case LeaseRenewal::Good:
+    case LeaseRenewal::Renewed:
       renewed(sent);
       break;
     case LeaseRenewal::NoAnswer:
       lastRenewal_ = LastRenewal::Unanswered;
       renewAfter(kRenewalRetryDelay);
       break;
-    case LeaseRenewal::Gone:
+    case LeaseRenewal::Expired:
       expired();
       break;
   }
@@ -161,7 +161,7 @@
 }
 
 void ControllerLease::expired() {
-  log_->info("controller lease expired lease={}", *lease_);
+  log_->info("controller lease expired lease={}", lease_->value);
   state_ = State::Requesting;
   lease_.reset();
   validityOnceJoined_.ownsUntil = std::min(validityOnceJoined_.ownsUntil, runtime_.now());
--- a/src/cluster/controller_lease.h
+++ b/src/cluster/controller_lease.h
@@ -62,8 +62,6 @@
   [[nodiscard]] bool mayOwn(Time now) const { return joined() && validity().owns(now); }
 
  private:
-  using LeaseId = std::uint64_t;
-
   enum class State : std::uint8_t {
     Requesting,  // no lease: a grant is on its way, or about to be requested again
     Joining,     // a lease, to which the node/ key is not attached yet
@@ -72,13 +70,13 @@
   enum class LastRenewal : std::uint8_t { Answered, Unanswered };
 
   void requestLease();
-  void granted(Time sent, std::optional<LeaseId> lease);
+  void granted(Time sent, const LeaseGrant& grant);
 
   // The steps of a join, in their order. Each but the last gives up if the lease is not the current one.
   void join(LeaseId lease);
-  void controllersRead(LeaseId lease, bool current);
-  void shardsRead(LeaseId lease, bool current);
-  void joinAnswered(LeaseId lease, const TxnResult& result);
+  void controllersRead(LeaseId lease, CatchUp result);
+  void shardsRead(LeaseId lease, CatchUp result);
+  void joinAnswered(LeaseId lease, const TransactionResult& result);
   void retryJoin(LeaseId lease);
   [[nodiscard]] wire::Transaction joinTransaction(LeaseId lease,
                                                   std::map<std::string, Version> shardVersions) const;
--- a/src/cluster/epoch_allocator.cpp
+++ b/src/cluster/epoch_allocator.cpp
@@ -8,17 +8,17 @@
 // Half the default time to live of a lease; after that the records are read to see what was written.
 constexpr Duration kOwnershipChangeDeadline{1'500};
 
-EpochAllocation::Outcome outcomeOf(const TxnResult& result) {
+EpochAllocation::Outcome outcomeOf(const TransactionResult& result) {
   switch (result.outcome) {
-    case TxnResult::Outcome::Ok:
+    case TransactionResult::Outcome::Committed:
       return EpochAllocation::Outcome::Allocated;
-    case TxnResult::Outcome::Conflict:
-    case TxnResult::Outcome::Refused:
+    case TransactionResult::Outcome::Conflict:
+    case TransactionResult::Outcome::Refused:
       return EpochAllocation::Outcome::Refused;
     // No answer that this small transaction without a lease should get: nothing is concluded from it.
-    case TxnResult::Outcome::LeaseExpired:
-    case TxnResult::Outcome::Rejected:
-    case TxnResult::Outcome::Unknown:
+    case TransactionResult::Outcome::LeaseExpired:
+    case TransactionResult::Outcome::TooLarge:
+    case TransactionResult::Outcome::Unknown:
       break;
   }
   return EpochAllocation::Outcome::InDoubt;
@@ -40,11 +40,11 @@
                               std::function<void(const EpochAllocation&)> done) {
   Epoch next{view_.epoch.value + 1};
   phase_ = Phase::Busy;
-  store_.txn(RequestPriority::Control, transactionFor(change, next), kOwnershipChangeDeadline,
-             [this, next, done = std::move(done)](const TxnResult& result) {
-               done({outcomeOf(result), next, result.revision});
-               readShards();
-             });
+  store_.transact(RequestPriority::Control, transactionFor(change, next), kOwnershipChangeDeadline,
+                  [this, next, done = std::move(done)](const TransactionResult& result) {
+                    done({outcomeOf(result), next, result.revision});
+                    readShards();
+                  });
 }
 
 wire::Transaction EpochAllocator::transactionFor(const OwnershipChange& change, Epoch next) const {
@@ -56,7 +56,7 @@
     transaction.conditions[keys::controller(change.otherController->controller)] =
         change.otherController->version;
   transaction.operations.push_back({change.key, wire::encodeOwnerRecord({change.newOwner, next}), {}});
-  transaction.operations.push_back({keys::kEpoch, wire::encodeCounter(next), {}});
+  transaction.operations.push_back({keys::kEpoch, wire::encodeEpochCounter(next), {}});
   return transaction;
 }
 
@@ -67,16 +67,16 @@
 }
 
 void EpochAllocator::readShards() {
-  store_.waitUntilCurrent(keys::kShards, [this](bool) { readControllers(); });
+  store_.waitUntilCurrent(keys::kShards, [this](CatchUp) { readControllers(); });
 }
 
 void EpochAllocator::readControllers() {
-  store_.waitUntilCurrent(keys::kControllers, [this](bool current) { viewRead(current); });
+  store_.waitUntilCurrent(keys::kControllers, [this](CatchUp result) { viewRead(result); });
 }
 
-void EpochAllocator::viewRead(bool current) {
+void EpochAllocator::viewRead(CatchUp result) {
   phase_ = Phase::Idle;
-  if (current) viewCurrent_();
+  if (result == CatchUp::Current) viewCurrent_();
 }
 
 }  // namespace cherryloft
--- a/src/cluster/epoch_allocator.h
+++ b/src/cluster/epoch_allocator.h
@@ -71,7 +71,7 @@
   [[nodiscard]] wire::Transaction transactionFor(const OwnershipChange& change, Epoch next) const;
   void readShards();
   void readControllers();
-  void viewRead(bool current);
+  void viewRead(CatchUp result);
 
   const Settings& settings_;
   KeyValueStore& store_;
--- a/src/cluster/keys.h
+++ b/src/cluster/keys.h
@@ -1,7 +1,7 @@
 // The keys of the shared records in the state service. These strings are on the wire: they never change.
 //
 // clang-format off
-// | key                    | value (codecs: wire/kvstore.h, wire/cloud.h)              | written by        |
+// | key                    | value (codecs: wire/records.h, wire/cloud.h)              | written by        |
 // | ---------------------- | --------------------------------------------------------- | ----------------- |
 // | job/<job>              | JobRecord: specification, status, delegations             | the shard's owner |
 // | host/<machine>.<epoch> | GroupRecord: machines of one type and zone in one shard   | leader and owners |
--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -112,7 +112,7 @@
   callbacks.unrecordedMachineSeen = [this](const wire::WorkerHeartbeat& heartbeat, const std::string& body) {
     reportUnrecordedMachine(heartbeat, body);
   };
-  callbacks.leaseValidityChanged = [this] { return membership_.leaseValidity(); };
+  callbacks.leaseValidity = [this] { return membership_.leaseValidity(); };
   callbacks.jobsKnownUpTo = [this] { return store_.revisionOf(keys::kJobs); };
   return callbacks;
 }
@@ -327,8 +327,9 @@
   auto tally = store_.takeTally();
   schedulers_.forEach(
       [this](ShardScheduler& scheduler) { log_->info("last minute: {}", scheduler.summarizeLastMinute()); });
-  log_->info("last minute: state service refused={} timed_out={}{}{}", tally.refused, tally.outOfTime,
-             countsByName("requests", tally.requests), countsByName("changes", tally.changes));
+  log_->info("last minute: state service refused={} timed_out={}{}{}", tally.throttled, tally.expired,
+             countsByName("requests", tally.requestsByOperation),
+             countsByName("changes", tally.writesByPrefix));
 }
 
 }  // namespace cherryloft
--- a/src/controller/user_api.cpp
+++ b/src/controller/user_api.cpp
@@ -74,7 +74,8 @@
   if (view_.catalog.empty()) return done(Unavailable{"the machine types are not known yet"});
   if (auto why = policy::neverRuns(spec, settings_, view_.catalog))
     return reject(spec.id, {Rejection::NeverRuns, *why}, std::move(done));
-  if (auto wait = store_.creationsBackedUp()) return done(Overloaded{std::min(*wait, kMaxRetryAfterSeconds)});
+  if (auto wait = store_.creationBacklogDelay())
+    return done(Overloaded{std::min(static_cast<int>(wait->count()), kMaxRetryAfterSeconds)});
   create(std::move(spec), std::move(done));
 }
 
@@ -96,18 +97,18 @@
   if (value.size() > settings_.valueBytes)
     return reject(id, {Rejection::Malformed, "the job's description is too long"}, std::move(done));
   store_.create({keys::job(id), value, {}}, kCreateTimeout,
-                [this, id, value, done = std::move(done)](const TxnResult& result) {
+                [this, id, value, done = std::move(done)](const TransactionResult& result) {
                   handleCreateResult({keys::job(id), value, result.revision}, id, result, done);
                 });
 }
 
-void UserApi::handleCreateResult(const wire::KeyChange& created, const JobId& id, const TxnResult& result,
-                                 const UserResponder& done) {
+void UserApi::handleCreateResult(const wire::KeyChange& created, const JobId& id,
+                                 const TransactionResult& result, const UserResponder& done) {
   switch (result.outcome) {
-    case TxnResult::Outcome::Ok:
+    case TransactionResult::Outcome::Committed:
       callbacks_.recordSeen(created);
       return done(JobAccepted{id});
-    case TxnResult::Outcome::Conflict:
+    case TransactionResult::Outcome::Conflict:
       return strongRead(id, done);
     default:
       // Whether it was taken or not, the retry with the same id finds out.
--- a/src/controller/user_api.h
+++ b/src/controller/user_api.h
@@ -42,7 +42,7 @@
  private:
   [[nodiscard]] const JobEntry* find(const JobId& id) const;
   void create(JobSpec spec, UserResponder done);
-  void handleCreateResult(const wire::KeyChange& created, const JobId& id, const TxnResult& result,
+  void handleCreateResult(const wire::KeyChange& created, const JobId& id, const TransactionResult& result,
                           const UserResponder& done);
   void reject(const JobId& id, JobRejected rejected, UserResponder done);
   void strongRead(const JobId& id, UserResponder done);
--- a/src/mesh/messages.h
+++ b/src/mesh/messages.h
@@ -156,10 +156,10 @@
 // From the leader to a shard's owner: what is to become of one of its machines.
 struct MachineDirective {
   enum Kind : std::int32_t {
-    Return,          // back to the cloud if it is idle
-    Move,            // to another shard if it is idle
-    Drain,           // takes no more work and goes once what ends by itself has ended, unless capacity gets short
-    Keep,            // takes work again after all
+    Return,  // back to the cloud if it is idle
+    Move,    // to another shard if it is idle
+    Drain,   // takes no more work and goes once what ends by itself has ended, unless capacity gets short
+    Keep,    // takes work again after all
     MoveAfterDrain,  // to another shard once what ends by itself has ended
   };
   std::uint32_t shard = 0;
@@ -195,7 +195,8 @@
   }
 };
 
-// So many tasks of a job may go to a zone, or find capacity there. An empty name stands for all zones together.
+// So many tasks of a job may go to a zone, or find capacity there. An empty name stands for all zones
+// together.
 struct ZoneTasks {
   std::string zone;
   std::uint32_t tasks = 0;
@@ -205,8 +206,8 @@
   }
 };
 
-// Waiting tasks of a job that its shard has no capacity for, while others of it are placed or done, or while it
-// must be placed whole.
+// Waiting tasks of a job that its shard has no capacity for, while others of it are placed or done, or while
+// it must be placed whole.
 struct TaskCapacityNeed {
   std::string job;
   std::uint32_t tasks = 0;
--- a/src/scheduler/commit_in_flight.h
+++ b/src/scheduler/commit_in_flight.h
@@ -12,6 +12,7 @@
 #include "base/types.h"
 #include "scheduler/placement_pages.h"
 #include "wire/kvstore.h"
+#include "wire/records.h"
 
 namespace cherryloft {
 
--- a/src/scheduler/commits.cpp
+++ b/src/scheduler/commits.cpp
@@ -11,7 +11,7 @@
 namespace cherryloft {
 namespace {
 
-using wire::kMostWeight;
+using wire::kMaxTransactionBytes;
 
 // Bytes that a page's key and its frame add to a transaction, at most.
 constexpr std::size_t kKeyWeight = 200;
@@ -41,8 +41,9 @@
     const Job* job = state_.job(id);
     if (job && job->status == JobStatus::Open) {
       bool done = job->finished();
-      auto value = done ? wire::encodeJobRecord(doneRecord(*job, takeover_.shard))
-                        : wire::encodeWithin(cancelledRecord(*job, takeover_.shard), settings_.valueBytes);
+      auto value =
+          done ? wire::encodeJobRecord(doneRecord(*job, takeover_.shard))
+               : wire::encodeCancelledJob(cancelledRecord(*job, takeover_.shard), settings_.valueBytes);
       if (!transaction.add({keys::job(id), std::move(value), {}}, job->version)) return;
       commitInFlight_->jobEnds.push_back({id, done ? JobStatus::Done : JobStatus::Cancelled});
     }
@@ -52,7 +53,7 @@
 
 // How many placements and completions one transaction can tell.
 std::size_t ShardScheduler::roundWidth() const {
-  auto pages = std::clamp<std::size_t>(kMostWeight / settings_.valueBytes, 1, settings_.txnOps - 1);
+  auto pages = std::clamp<std::size_t>(kMaxTransactionBytes / settings_.valueBytes, 1, settings_.txnOps - 1);
   return pages * std::max<std::size_t>(settings_.valueBytes / kFactBytes, 1);
 }
 
@@ -130,8 +131,8 @@
     return;
   }
   committing_ = true;
-  store_.txn(RequestPriority::Work, commitInFlight_->transaction, kCommitDeadline,
-             guarded([this](TxnResult result) { committed(result); }));
+  store_.transact(RequestPriority::Work, commitInFlight_->transaction, kCommitDeadline,
+                  guarded([this](TransactionResult result) { committed(result); }));
 }
 
 // Nothing is in flight: lets go of a shard that is to be handed back. From here on this actor decides
@@ -163,11 +164,11 @@
 
 // --- its result ---
 
-void ShardScheduler::committed(const TxnResult& result) {
+void ShardScheduler::committed(const TransactionResult& result) {
   committing_ = false;
-  using Outcome = TxnResult::Outcome;
+  using Outcome = TransactionResult::Outcome;
   switch (result.outcome) {
-    case Outcome::Ok:
+    case Outcome::Committed:
       takeEffect(result.revision);
       return;
     case Outcome::Refused:
@@ -177,14 +178,14 @@
       commitNotBefore_ = runtime_.now() + kRetryPause + Duration{rng_() % kRetryJitterMs};
       runtime_.after(kRetryAfter, guarded([this] { commit(); }));
       return;
-    case Outcome::Rejected:
+    case Outcome::TooLarge:
       log_->error("transaction too large for the state service: shard={}", takeover_.shard.value);
       callbacks_.dropOwnership();
       return;
     case Outcome::Conflict:
     case Outcome::LeaseExpired:
       log_->info("commit conflict: shard={} key={}", takeover_.shard.value,
-                 result.failed.empty() ? "?" : result.failed.front());
+                 result.conflictingKeys.empty() ? "?" : result.conflictingKeys.front());
       callbacks_.dropOwnership();
       return;
   }
--- a/src/scheduler/job_migration.cpp
+++ b/src/scheduler/job_migration.cpp
@@ -77,7 +77,8 @@
     remoteUsage_.takeOver(job.id, *job.spec, job.remote);
   } else if (job.status == JobStatus::Cancelled && job.maxConcurrent) {
     auto record = cleanedUpRecord(job, ownShard_);
-    cleanups_.push_back({job.id, job.version, wire::encodeWithin(std::move(record), settings_.valueBytes)});
+    cleanups_.push_back(
+        {job.id, job.version, wire::encodeCancelledJob(std::move(record), settings_.valueBytes)});
   }
 }
 
--- a/src/scheduler/job_records.h
+++ b/src/scheduler/job_records.h
@@ -6,7 +6,7 @@
 #include "base/types.h"
 #include "cluster/cluster_view.h"
 #include "scheduler/commit_in_flight.h"
-#include "wire/kvstore.h"
+#include "wire/records.h"
 
 namespace cherryloft {
 
--- a/src/scheduler/machine_record_writer.cpp
+++ b/src/scheduler/machine_record_writer.cpp
@@ -46,16 +46,16 @@
   // What this shard sent under its token must have no effect under the next owner's (invariant 5).
   Epoch token{view_.epoch.value + 1};
   if (batch == Batch::Moves)
-    transaction.add({keys::kEpoch, wire::encodeCounter(token), {}}, view_.epochVersion);
+    transaction.add({keys::kEpoch, wire::encodeEpochCounter(token), {}}, view_.epochVersion);
   auto writesBefore = transaction.writes();
   addChanges(transaction, changes, batch, token, now);
   if (transaction.writes() == writesBefore) return;
   addressUnwrittenSince_ = Time{};
   writeInFlight_ = true;
-  store_.txn(RequestPriority::Work, transaction.take(), kWriteDeadline,
-             [this, alive = std::weak_ptr<bool>(alive_)](const TxnResult& result) {
-               if (alive.lock()) written(result);
-             });
+  store_.transact(RequestPriority::Work, transaction.take(), kWriteDeadline,
+                  [this, alive = std::weak_ptr<bool>(alive_)](const TransactionResult& result) {
+                    if (alive.lock()) written(result);
+                  });
 }
 
 MachineRecordWriter::GroupChanges MachineRecordWriter::collectChanges(Time now) {
@@ -155,11 +155,11 @@
   }
 }
 
-void MachineRecordWriter::written(const TxnResult& result) {
+void MachineRecordWriter::written(const TransactionResult& result) {
   writeInFlight_ = false;
   notBefore_ = runtime_.now() + kUntilWriteShows;
   auto shardKey = keys::shard(takeover_.shard);
-  if (std::count(result.failed.begin(), result.failed.end(), shardKey) > 0) shardLost_();
+  if (std::count(result.conflictingKeys.begin(), result.conflictingKeys.end(), shardKey) > 0) shardLost_();
 }
 
 }  // namespace cherryloft
--- a/src/scheduler/machine_record_writer.h
+++ b/src/scheduler/machine_record_writer.h
@@ -57,7 +57,7 @@
   wire::GroupRecord movedGroup(const wire::GroupRecord& group, ShardId to,
                                const std::vector<const Machine*>& machines, Epoch token) const;
   void updateMembers(wire::GroupRecord& group, const GroupChange& change) const;
-  void written(const TxnResult& result);
+  void written(const TransactionResult& result);
 
   const Settings& settings_;
   const Runtime& runtime_;
--- a/src/scheduler/shard_recovery.cpp
+++ b/src/scheduler/shard_recovery.cpp
@@ -37,9 +37,9 @@
 
 void ShardRecovery::waitForView(const std::string& prefix, std::function<void()> next) {
   auto retry = whileAlive([this, prefix, next] { waitForView(prefix, next); });
-  store_.waitUntilCurrent(prefix, [this, alive = std::weak_ptr<bool>(alive_), next, retry](bool current) {
+  store_.waitUntilCurrent(prefix, [this, alive = std::weak_ptr<bool>(alive_), next, retry](CatchUp result) {
     if (!alive.lock()) return;
-    if (current)
+    if (result == CatchUp::Current)
       next();
     else
       runtime_.after(kRetryAfter, retry);
@@ -50,7 +50,7 @@
   store_.list(RequestPriority::Control, keys::placementPages(takeover_.shard),
               [this, alive = std::weak_ptr<bool>(alive_)](const ListResult& pages) {
                 if (!alive.lock()) return;
-                if (pages.ok)
+                if (pages.complete())
                   done_(pages);
                 else
                   runtime_.after(kRetryAfter, whileAlive([this] { readPages(); }));
--- a/src/scheduler/shard_scheduler.cpp
+++ b/src/scheduler/shard_scheduler.cpp
@@ -25,17 +25,17 @@
       state_(settings),
       recovery_(runtime, log_, store, view, takeover, state_),
       failures_(seconds(settings.reportS)),
+      jobMigration_(settings, view, state_, takeover.shard, log_),
+      taskDelegation_(
+          settings, view, state_, takeover.shard,
+          [this](const Job& job, const Zone& zone) { return constraints_.allowsZone(job, zone); }, log_),
+      delegatedTasks_(settings, view, state_, takeover.shard, log_),
       loadReporter_(
           settings, runtime, takeover, state_, failures_,
           {[this](const Job& job) { return constraints_.shouldAvoidSpot(job); },
            [this](const Job& job, const Zone& zone) { return constraints_.allowsZone(job, zone); },
            [this](const Machine& machine) { return movableReplicas(machine).has_value(); }, callbacks_.load}),
-      machineRecordWriter_(settings, runtime, store, view, takeover, state_, callbacks_.dropOwnership),
-      jobMigration_(settings, view, state_, takeover.shard, log_),
-      taskDelegation_(
-          settings, view, state_, takeover.shard,
-          [this](const Job& job, const Zone& zone) { return constraints_.allowsZone(job, zone); }, log_),
-      delegatedTasks_(settings, view, state_, takeover.shard, log_) {}
+      machineRecordWriter_(settings, runtime, store, view, takeover, state_, callbacks_.dropOwnership) {}
 
 void ShardScheduler::start() {
   recovery_.start([this](const ListResult& placementPages) { build(placementPages); });
--- a/src/scheduler/shard_scheduler.h
+++ b/src/scheduler/shard_scheduler.h
@@ -324,7 +324,7 @@
   void composeCommit();
   void transferOwnershipIfAsked();
   void ownershipTransferEnded(bool transferred);
-  void committed(const TxnResult& result);
+  void committed(const TransactionResult& result);
   void endIfFinished(const Job& job);
   void addFinishedJobs(TransactionBuilder& transaction);
   void addPages(TransactionBuilder& transaction);
--- a/src/scheduler/shard_state_pages.cpp
+++ b/src/scheduler/shard_state_pages.cpp
@@ -47,8 +47,8 @@
   std::optional<wire::PlacementEntry> entry;
   if (task.state == TaskState::Placed)
     entry = {id.index, task.machine->placements.at(id).attempt, task.machine->id};
-  std::size_t more = entry ? wire::weightOf(*entry) : wire::weightOfDone(id.index);
-  if (update.record.jobs.count(id.job) == 0) more += wire::weightOfJob(id.job);
+  std::size_t more = entry ? wire::maxBytesOf(*entry) : wire::maxBytesOfDoneTask(id.index);
+  if (update.record.jobs.count(id.job) == 0) more += wire::maxBytesOfJob(id.job);
   if (bytes + more > settings_.valueBytes) return false;
   bytes += more;
   auto& placements = update.record.jobs[id.job];
@@ -68,7 +68,7 @@
   PageUpdate update;
   update.number = pages_.next(taken);
   taken.insert(update.number);
-  std::size_t bytes = wire::kPageFrame;
+  std::size_t bytes = wire::kEmptyPageBytes;
   auto& page = pages_.at(update.number);
   // What is still current of a page that was written under a larger limit may not fit any more: it stays as
   // it is (invariant 20).
--- a/tests/unit/policy_test.cpp
+++ b/tests/unit/policy_test.cpp
@@ -107,7 +107,8 @@
   ASSERT_TRUE(w);
   EXPECT_TRUE(w->offer.spot);
   EXPECT_EQ(w->offer.type, "s");
-  auto none = nextScaleOut(f, t, catalog, {{"s", Zone{"a"}, true}, {"l", Zone{"a"}, true}, {"l", Zone{"b"}, true}});
+  auto none =
+      nextScaleOut(f, t, catalog, {{"s", Zone{"a"}, true}, {"l", Zone{"a"}, true}, {"l", Zone{"b"}, true}});
   ASSERT_TRUE(none);
   EXPECT_FALSE(none->offer.spot);  // ordinary when no spot machine is to be had
   f.spotAllowed.ramPerCore = 3;    // now memory decides: the small type holds few tasks
--- a/tests/unit/shard_recovery_test.cpp
+++ b/tests/unit/shard_recovery_test.cpp
@@ -48,7 +48,7 @@
   ClusterView view_;
   ShardState state_{settings_};
   ShardRecovery recovery_{runtime_, silentLog(), store_, view_, {kShard, Epoch{7}, Version{70}}, state_};
-  ListResult pages_{true, {}, {}};
+  ListResult pages_{ListResult::Outcome::Complete, {}, {}};
 };
 
 TEST_F(ShardRecoveryTest, TasksThatWereDoneStayDone) {
--- a/tests/world/scenario_expectations.cpp
+++ b/tests/world/scenario_expectations.cpp
@@ -146,7 +146,9 @@
       {"outdated-commands", [](const World& w) -> double { return w.checker.commandsOutdated(); }},
       {"given-up", [](const World& w) { return sumOfCounts(w, &cherryloft::ShardCounters::quarantined); }},
       {"looked-per-start",
-       [](const World& w) { return perStart(w, sumOfCounts(w, &cherryloft::ShardCounters::machinesExamined)); }},
+       [](const World& w) {
+         return perStart(w, sumOfCounts(w, &cherryloft::ShardCounters::machinesExamined));
+       }},
       {"writes-per-start",
        [](const World& w) { return perStart(w, static_cast<double>(w.store.writes())); }}};
   return table;
