--- a/src/controller/user_answer.h
+++ b/src/controller/user_answer.h
@@ -58,7 +58,7 @@
 using UserAnswer = std::variant<JobAccepted, JobState, NoSuchJob, JobRejected, Overloaded, Unavailable,
                                 OwnersAnswer, NotTheOwner>;
 // Takes the one answer to a request.
-using UserResponder = std::function<void(UserAnswer)>;
+using UserResponder = std::function<void(const UserAnswer&)>;
 
 // Status, body and Retry-After as users see them. NotTheOwner has status 0 and must not reach a user.
 [[nodiscard]] HttpResponse toHttp(const UserAnswer& answer);
