--- a/src/controller/user_api.cpp
+++ b/src/controller/user_api.cpp
@@ -31,10 +31,10 @@
 class FirstAnswer {
  public:
   explicit FirstAnswer(UserResponder done) : done_(std::make_shared<UserResponder>(std::move(done))) {}
-  void answer(UserAnswer answer) const {
+  void answer(const UserAnswer& answer) const {
     if (!*done_) return;
     auto done = std::exchange(*done_, nullptr);
-    done(std::move(answer));
+    done(answer);
   }
 
  private:
@@ -82,9 +82,9 @@
 // A rejection is given only once the store says that the job was never accepted.
 void UserApi::reject(const JobId& id, JobRejected rejected, UserResponder done) {
   if (find(id)) return poll(id, std::move(done));
-  strongRead(id, [rejected = std::move(rejected), done = std::move(done)](UserAnswer read) {
+  strongRead(id, [rejected = std::move(rejected), done = std::move(done)](const UserAnswer& read) {
     if (std::holds_alternative<NoSuchJob>(read)) return done(rejected);
-    done(std::move(read));
+    done(read);
   });
 }
 
@@ -175,9 +175,9 @@
 
 void UserApi::cancel(const JobId& id, UserResponder done) {
   if (const JobEntry* job = find(id)) return cancelKnown(id, job->shard, std::move(done));
-  strongRead(id, [this, id, done = std::move(done)](UserAnswer read) {
+  strongRead(id, [this, id, done = std::move(done)](const UserAnswer& read) {
     const JobEntry* job = find(id);
-    if (!std::holds_alternative<JobState>(read) || !job) return done(std::move(read));
+    if (!std::holds_alternative<JobState>(read) || !job) return done(read);
     cancelKnown(id, job->shard, done);
   });
 }
