--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -136,7 +136,7 @@
       done(outcome == TransferOutcome::Released);
     });
   };
-  callbacks.answeredElsewhere = [this] { return peers_.mayHaveBeenAnsweredForUntil(); };
+  callbacks.answeredByPeersUntil = [this] { return peers_.mayHaveBeenAnsweredForUntil(); };
   callbacks.requestCapacity = [this, shard](const mesh::CapacityRequest& request) {
     sendToOtherShards(shard, request, &ShardScheduler::handleCapacityRequest);
   };
@@ -216,7 +216,7 @@
   for (const auto& [shard, epoch] : membership_.owned()) {
     const ShardScheduler* scheduler = schedulers_.find(shard);
     if (scheduler && scheduler->knowsCancellations())
-      heartbeat.owns.push_back({shard.value, epoch.value, scheduler->lastCancelled().value});
+      heartbeat.owns.push_back({shard.value, epoch.value, scheduler->lastCancellationVersion().value});
   }
   return heartbeat;
 }
--- a/src/scheduler/command_fence.h
+++ b/src/scheduler/command_fence.h
@@ -68,7 +68,7 @@
   [[nodiscard]] bool showsOwnToken(const wire::WorkerHeartbeat& heartbeat) const;
   // Another owner has the right to the machine by now (invariant 5).
   [[nodiscard]] bool supersededBy(const wire::WorkerHeartbeat& heartbeat) const;
-  // It shows a lower token than the worker has shown: a copy of an earlier heartbeat, or the worker
+  // It shows a lower token than the worker has observed: a copy of an earlier heartbeat, or the worker
   // restarted.
   [[nodiscard]] bool showsLowerToken(const wire::WorkerHeartbeat& heartbeat) const;
   // It may change what is known; anything else is late or a copy (invariants 4 and 12).
@@ -102,7 +102,7 @@
   FencingToken lowestOwnToken_;
   std::uint64_t tokenGeneration_ = 0;
   FencingToken highestTokenSeen_;  // the highest token that an accepted heartbeat showed
-  // Direct commands up to this token may still arrive, until the worker has shown a higher one.
+  // Direct commands up to this token may still arrive, until the worker has observed a higher one.
   std::optional<FencingToken> commandInDoubt_;
   HeartbeatPosition latest_;
   Incarnation expiredIncarnation_;
--- a/src/scheduler/commands.cpp
+++ b/src/scheduler/commands.cpp
@@ -52,7 +52,7 @@
 
 // --- which commands are due ---
 
-void ShardScheduler::addCommands(std::vector<Command>& list, std::vector<Command> more) {
+void ShardScheduler::mergeCommands(std::vector<Command>& list, std::vector<Command> more) {
   std::set<TaskAttempt> named;
   for (const auto& command : list) named.insert({command.task, command.attempt});
   for (auto& command : more) {
@@ -84,7 +84,7 @@
 std::vector<Command> ShardScheduler::commandsInAnswer(Machine& machine,
                                                       const wire::WorkerHeartbeat& heartbeat) {
   std::vector<Command> commands;
-  if (!machine.heard) return commands;
+  if (!machine.registered) return commands;
   auto now = runtime_.now();
   for (auto& [task, placement] : machine.placements) {
     if (commands.size() >= kMaxCommands) break;
@@ -105,7 +105,7 @@
 
 std::vector<Command> ShardScheduler::takeDirectCommands(Machine& machine) {
   std::vector<Command> commands;
-  if (!machine.heard) return commands;
+  if (!machine.registered) return commands;
   auto now = runtime_.now();
   for (auto& [task, placement] : machine.placements) {
     if (commands.size() >= kMaxCommands) break;
@@ -130,13 +130,13 @@
     if (machine.placementOf(reported)) continue;
     if (reported.phase != TaskPhase::Exited)
       commands.push_back(stopCommand(reported.task, reported.attempt));
-    else if (mayForget && !doneIsUncommitted(reported.task))
+    else if (mayForget && !completionUncommitted(reported.task))
       commands.push_back({Command::Verb::Forget, reported.task, reported.attempt, 0});
   }
 }
 
 // Done is committed before the last trace of it is forgotten (invariant 8).
-bool ShardScheduler::doneIsUncommitted(const TaskId& id) {
+bool ShardScheduler::completionUncommitted(const TaskId& id) {
   const Job* job = state_.job(id.job);
   if (!job || id.index >= job->tasks.size()) return false;
   const Task& task = job->tasks[id.index];
@@ -148,24 +148,24 @@
 void ShardScheduler::sendCommands(Machine& machine) {
   if (!owns()) return;
   if (machine.commandInFlight) {
-    machine.sendAgain = true;
+    machine.followUpCommandDue = true;
     return;
   }
-  if (runtime_.now() < machine.sendNotBefore || machine.address.empty()) return;
+  if (runtime_.now() < machine.nextCommandNotBefore || machine.address.empty()) return;
   auto commands = takeDirectCommands(machine);
   bool isProbe = commands.empty();
   if (isProbe && (!probeDue(machine) || probesInFlight_ >= kMaxProbesInFlight)) return;
   if (directCommandsInFlight_ >= maxDirectCommandsInFlight()) {
-    machine.contactDue = true;
+    machine.directCommandDue = true;
     return;
   }
   auto worker = addressOf(machine);
   if (!worker) return;
   machine.commandInFlight = true;
-  machine.sendAgain = false;
+  machine.followUpCommandDue = false;
   ++directCommandsInFlight_;
   if (isProbe) ++probesInFlight_;
-  auto incarnation = machine.heard ? machine.fence.incarnation() : machine.fence.expectedIncarnation();
+  auto incarnation = machine.registered ? machine.fence.incarnation() : machine.fence.expectedIncarnation();
   DirectCommand sent{machine.token(), incarnation, machine.fence.latest(), isProbe};
   auto body = wire::encodeCommands(sent.token, sent.incarnation, commands);
   runtime_.call(*worker, {"POST", "/commands", std::move(body), false}, kDirectCommandTimeout,
@@ -174,9 +174,9 @@
                 }));
 }
 
-// Without commands to send, a machine that was not heard, or not of late, is asked for a heartbeat.
+// Without commands to send, a machine that was not registered, or not of late, is asked for a heartbeat.
 bool ShardScheduler::probeDue(const Machine& machine) const {
-  return !machine.heard || heartbeatOverdue(machine) || machine.sendAgain;
+  return !machine.registered || heartbeatOverdue(machine) || machine.followUpCommandDue;
 }
 
 std::size_t ShardScheduler::maxDirectCommandsInFlight() const {
@@ -218,7 +218,7 @@
   if (!present) return;
   // The first command could not know the incarnation.
   bool wrongIncarnation = heartbeat.incarnation != sent.incarnation;
-  if (wrongIncarnation || present->sendAgain) sendCommands(*present);
+  if (wrongIncarnation || present->followUpCommandDue) sendCommands(*present);
 }
 
 void ShardScheduler::handleCommandUnanswered(Machine& machine, const DirectCommand& sent,
@@ -228,19 +228,19 @@
   bool unreachable = machine.unansweredProbes >= kUnansweredProbesToSuspect;
   if (unreachable) probeThroughPeers(machine);
   if (result.outcome == HttpResult::Outcome::NotSent) {
-    machine.sendNotBefore = now + kBackoffNotSent;
+    machine.nextCommandNotBefore = now + kBackoffNotSent;
     return;
   }
   // It may be executed minutes later. The advanced token shuts it out once the worker has seen it (invariant
   // 3).
   log_->debug("command unanswered: machine={} in_a_row={}", machine.id.value, machine.unansweredProbes);
   machine.fence.commandUnanswered(sent.token);
-  machine.contactDue = true;
+  machine.directCommandDue = true;
   // Where only its heartbeats get through, commands go in their answers: each lost command would shut it out
   // of new work until it has acknowledged the advanced token.
-  bool onlyHeartbeatsArrive = unreachable && now - machine.lastHeard < reportDue();
-  machine.sendNotBefore = now + (onlyHeartbeatsArrive ? kBackoffUnreachable : kBackoffUnanswered);
-  noteTokenUnacknowledged(machine);
+  bool onlyHeartbeatsArrive = unreachable && now - machine.lastHeartbeatAt < heartbeatDueAfter();
+  machine.nextCommandNotBefore = now + (onlyHeartbeatsArrive ? kBackoffUnreachable : kBackoffUnanswered);
+  recordUnacknowledgedToken(machine);
   state_.reindex(machine);
 }
 
--- a/src/scheduler/commit_in_flight.h
+++ b/src/scheduler/commit_in_flight.h
@@ -1,7 +1,7 @@
 // What one transaction of a shard writes, kept until its result is known.
 //
 // Only after the transaction is committed does any of it take effect: commands go out, users are answered,
-// the shard's tables follow (ShardScheduler::takeEffect). After an unclear result the same transaction is
+// the shard's tables follow (ShardScheduler::applyCommit). After an unclear result the same transaction is
 // sent again, so this is not changed once composed.
 #pragma once
 
--- a/src/scheduler/commits.cpp
+++ b/src/scheduler/commits.cpp
@@ -30,14 +30,14 @@
 
 // The end of another shard's job is for its owner to write.
 void ShardScheduler::endIfFinished(const Job& job) {
-  if (job.status == JobStatus::Open && !job.delegation && job.finished()) ending_.insert(job.id);
+  if (job.status == JobStatus::Open && !job.delegation && job.finished()) jobsToEnd_.insert(job.id);
 }
 
 // --- composing a transaction ---
 
 void ShardScheduler::addFinishedJobs(TransactionBuilder& transaction) {
-  while (!ending_.empty()) {
-    const JobId id = *ending_.begin();
+  while (!jobsToEnd_.empty()) {
+    const JobId id = *jobsToEnd_.begin();
     const Job* job = state_.job(id);
     if (job && job->status == JobStatus::Open) {
       bool done = job->finished();
@@ -47,12 +47,12 @@
       if (!transaction.add({keys::job(id), std::move(value), {}}, job->version)) return;
       commitInFlight_->jobEnds.push_back({id, done ? JobStatus::Done : JobStatus::Cancelled});
     }
-    ending_.erase(id);
+    jobsToEnd_.erase(id);
   }
 }
 
 // How many placements and completions one transaction can tell.
-std::size_t ShardScheduler::roundWidth() const {
+std::size_t ShardScheduler::maxTasksPerRound() const {
   auto pages = std::clamp<std::size_t>(kMaxTransactionBytes / settings_.valueBytes, 1, settings_.txnOps - 1);
   return pages * std::max<std::size_t>(settings_.valueBytes / kFactBytes, 1);
 }
@@ -74,12 +74,13 @@
 }
 
 // Deletes a page that nothing stands on any more, if other writes need a transaction anyway.
-void ShardScheduler::addPageDrop(TransactionBuilder& transaction) {
+void ShardScheduler::addPageDeletion(TransactionBuilder& transaction) {
   auto& pages = state_.pages();
-  auto spare = pages.spare({commitInFlight_->pages.begin(), commitInFlight_->pages.end()});
-  if (!spare || transaction.empty()) return;
-  if (transaction.add({keys::page(takeover_.shard, *spare), std::nullopt, {}}, pages.at(*spare).version))
-    commitInFlight_->droppedPages.push_back(*spare);
+  auto surplusPage = pages.surplusPage({commitInFlight_->pages.begin(), commitInFlight_->pages.end()});
+  if (!surplusPage || transaction.empty()) return;
+  if (transaction.add({keys::page(takeover_.shard, *surplusPage), std::nullopt, {}},
+                      pages.at(*surplusPage).version))
+    commitInFlight_->droppedPages.push_back(*surplusPage);
 }
 
 // Leaves nothing in flight if there is nothing to write.
@@ -98,7 +99,7 @@
   // moment. The next owner learns from heartbeats what is done, as nothing is forgotten before it is written
   // (invariant 8), and placements that were not written were not sent.
   if (!transferringTo_) addPages(transaction);
-  addPageDrop(transaction);
+  addPageDeletion(transaction);
   if (transaction.empty())
     commitInFlight_.reset();
   else
@@ -110,8 +111,8 @@
 // While changes are short, what comes within a moment shares a transaction; completions can wait longer.
 // Nothing if the next transaction may be composed now.
 std::optional<Time> ShardScheduler::commitDelayedUntil() const {
-  if (unwrittenTasks_.empty() && ending_.empty()) return std::nullopt;
-  bool urgent = placementsUnwritten_ || !ending_.empty();
+  if (unwrittenTasks_.empty() && jobsToEnd_.empty()) return std::nullopt;
+  bool urgent = placementsUnwritten_ || !jobsToEnd_.empty();
   auto due = lastCommit_ + (urgent ? 1 : 3) * store_.commitInterval();
   if (!store_.writesSaturated() || runtime_.now() >= due) return std::nullopt;
   return due;
@@ -127,7 +128,7 @@
     composeCommit();
   }
   if (!commitInFlight_) {
-    transferOwnershipIfAsked();
+    transferOwnershipIfRequested();
     return;
   }
   committing_ = true;
@@ -137,7 +138,7 @@
 
 // Nothing is in flight: lets go of a shard that is to be handed back. From here on this actor decides
 // nothing, unless the transfer fails.
-void ShardScheduler::transferOwnershipIfAsked() {
+void ShardScheduler::transferOwnershipIfRequested() {
   if (!transferringTo_ || ownershipTransferSent_) return;
   ownershipTransferSent_ = true;
   callbacks_.transferOwnership(takeover_.version, *transferringTo_,
@@ -169,7 +170,7 @@
   using Outcome = TransactionResult::Outcome;
   switch (result.outcome) {
     case Outcome::Committed:
-      takeEffect(result.revision);
+      applyCommit(result.revision);
       return;
     case Outcome::Refused:
     case Outcome::Unknown:
@@ -191,11 +192,11 @@
   }
 }
 
-void ShardScheduler::takeEffect(Version revision) {
+void ShardScheduler::applyCommit(Version revision) {
   auto commit = std::move(*commitInFlight_);
   commitInFlight_.reset();
   for (auto page : commit.pages) state_.pages().at(page).version = revision;
-  for (auto page : commit.droppedPages) state_.pages().drop(page);
+  for (auto page : commit.droppedPages) state_.pages().erase(page);
   for (const auto& task : commit.completions) completionCommitted(task);
   for (const auto& job : commit.migrations) migrationCommitted(job);
   for (const auto& written : commit.delegations) taskDelegation_.committed(written, revision);
@@ -212,7 +213,7 @@
   jobMigration_.committed(id);
   Job* job = state_.job(id);
   if (!job) return;
-  answerCancelWaiters(*job, JobStatus::Open);  // they ask again, and the other owner is told
+  runCancelCallbacks(*job, JobStatus::Open);  // they ask again, and the other owner is told
   failures_.forget(id);
   state_.removeJob(id);
 }
@@ -236,10 +237,10 @@
   auto& placement = found->second;
   if (placement.attempt != written.attempt || placement.committed) return;
   ShardState::commit(placement);
-  latencies_.toCommitted.add(runtime_.now() - placement.placedAt);
-  if (!placement.wanted || !machine->open()) {
+  latencies_.placedToCommitted.add(runtime_.now() - placement.placedAt);
+  if (!placement.desired || !machine->open()) {
     // Never sent, so it is nowhere.
-    taskLost(*machine, written.task);
+    handleTaskLost(*machine, written.task);
     requestRound(true);
     return;
   }
@@ -258,18 +259,18 @@
   log_->info("job ended: job={} status={}", end.job.value,
              end.status == JobStatus::Done ? "done" : "aborted");
   callbacks_.jobEnded(end.job, end.status, revision);
-  answerCancelWaiters(*job, end.status);
+  runCancelCallbacks(*job, end.status);
   if (end.status == JobStatus::Cancelled) {
-    lastCancelled_ = std::max(lastCancelled_, revision);
+    lastCancellationVersion_ = std::max(lastCancellationVersion_, revision);
     job->waiting.clear();
     stopTasks(*job, machines);
   }
   // Stopping its last task may have removed it.
-  if (Job* remaining = state_.job(end.job)) cleanUp(*remaining);
+  if (Job* remaining = state_.job(end.job)) removeFinishedJob(*remaining);
 }
 
-void ShardScheduler::answerCancelWaiters(Job& job, JobStatus status) {
-  auto waiters = std::exchange(job.cancelWaiters, {});
+void ShardScheduler::runCancelCallbacks(Job& job, JobStatus status) {
+  auto waiters = std::exchange(job.cancelCallbacks, {});
   for (auto& answer : waiters) answer(status);
 }
 
@@ -293,7 +294,7 @@
 
 // A job that is over leaves the shard state once none of its tasks can be on a machine of this shard. What
 // pages say of it is of no more use then, and goes when they are written anew.
-void ShardScheduler::cleanUp(Job& job) {
+void ShardScheduler::removeFinishedJob(Job& job) {
   if (job.status == JobStatus::Open || job.placed > 0) return;
   auto id = job.id;
   jobMigration_.jobOver(job);
--- a/src/scheduler/delegated_tasks.cpp
+++ b/src/scheduler/delegated_tasks.cpp
@@ -18,10 +18,10 @@
                                ShardId ownShard, Log log)
     : settings_(settings), view_(view), state_(state), ownShard_(ownShard), log_(std::move(log)) {}
 
-bool DelegatedTasks::returnedSince(const JobId& job, Version shown) {
+bool DelegatedTasks::returnedSince(const JobId& job, Version observed) {
   auto found = returnedAt_.find(job);
   if (found == returnedAt_.end()) return false;
-  if (shown < found->second) return true;
+  if (observed < found->second) return true;
   returnedAt_.erase(found);
   return false;
 }
@@ -30,8 +30,8 @@
 // found no capacity for long or is asked back. Of a gang, as soon as none is placed.
 std::vector<std::uint32_t> DelegatedTasks::returnable(const Job& job, Time now) const {
   bool over = job.placed == 0 && job.waiting.empty();
-  bool inVain = now - std::max(job.since, job.placedLast) >= kReturnsAfter;
-  bool gangEnded = job.delegation->attempt && job.begun && job.placed == 0;
+  bool inVain = now - std::max(job.since, job.lastPlacedAt) >= kReturnsAfter;
+  bool gangEnded = job.delegation->attempt && job.started && job.placed == 0;
   bool givesUpWaiting = !job.waiting.empty() && (inVain || job.recalling || gangEnded);
   std::vector<std::uint32_t> tasks;
   if (!over && !givesUpWaiting) return tasks;
--- a/src/scheduler/eviction_planner.cpp
+++ b/src/scheduler/eviction_planner.cpp
@@ -35,18 +35,18 @@
 bool EvictionPlanner::isEligibleVictim(const Job& job, const policy::Preemptor& preemptor,
                                        const Placement& placement) const {
   // What this very round placed is not stopped by it: the two jobs would displace each other for ever.
-  if (!placement.committed || !placement.wanted) return false;
+  if (!placement.committed || !placement.desired) return false;
   const auto& spec = *placement.job->spec;
   const Team* team = settings_.team(spec.team);
   bool teamAboveGuarantee =
-      team && state_.teamUse(spec.team).cores - spec.each.cores >= team->cores - kResourceSlack;
+      team && state_.teamUsage(spec.team).cores - spec.each.cores >= team->cores - kResourceSlack;
   return policy::mayPreempt(preemptor, {spec.priority, spec.team == job.spec->team, teamAboveGuarantee});
 }
 
 // The progress that stopping the task loses, counting what its kind makes more costly.
 double EvictionPlanner::lostSeconds(const Placement& placement) const {
   const auto& spec = *placement.job->spec;
-  bool isRunning = placement.shown && placement.phase == wire::TaskPhase::Running;
+  bool isRunning = placement.observed && placement.phase == wire::TaskPhase::Running;
   double seconds = isRunning ? inSeconds(now_ - placement.runningSince) : 0;
   if (placement.job->isGang()) {
     double perMember =
@@ -76,7 +76,7 @@
   const policy::Preemptor preemptor{job.spec->priority, false};
   if (!state_.mayPreempt(preemptor.priority, preemptor.withinGuarantee)) return false;
   unsigned examined = 0;
-  for (const auto& [_, machine] : *job.holders) {
+  for (const auto& [_, machine] : *job.imageHolders) {
     if (!constraints_.allowsMachine(job, *machine)) continue;
     ++examined;
     if (examined > settings_.tuning.sampleSize) return false;
@@ -89,13 +89,13 @@
 
 std::vector<Machine*> EvictionPlanner::sampleMachines(const Job& job, std::mt19937_64& rng) const {
   std::vector<Machine*> machines;
-  for (const auto& [_, machine] : *job.holders) {
+  for (const auto& [_, machine] : *job.imageHolders) {
     if (machines.size() >= settings_.tuning.sampleSize) break;
     if (constraints_.allowsMachine(job, *machine)) machines.push_back(machine);
   }
   const auto& open = state_.openMachines();
   for (auto index : policy::sampleIndices(open.size(), settings_.tuning.sampleSize, rng)) {
-    bool isHolder = job.holders->count(open[index]->no) > 0;
+    bool isHolder = job.imageHolders->count(open[index]->no) > 0;
     if (!isHolder && constraints_.allowsMachine(job, *open[index])) machines.push_back(open[index]);
   }
   return machines;
@@ -167,8 +167,8 @@
   if (pending.orderKey.withinGuarantee && settings_.guaranteeWithinS)
     startWithin = std::min(startWithin.value_or(*settings_.guaranteeWithinS), *settings_.guaranteeWithinS);
   if (!startWithin) return true;
-  bool isHolder = pending.job->holders->count(machine.no) > 0;
-  double fetchSeconds = isHolder ? 0 : machine.fetchS(spec);
+  bool isHolder = pending.job->imageHolders->count(machine.no) > 0;
+  double fetchSeconds = isHolder ? 0 : machine.imageFetchSeconds(spec);
   double slackSeconds = *startWithin - pending.orderKey.ageSeconds - fetchSeconds - kStopToStartSeconds;
   return slackSeconds < 0 || victim.checkpointSeconds <= slackSeconds;
 }
--- a/src/scheduler/gangs.cpp
+++ b/src/scheduler/gangs.cpp
@@ -21,7 +21,7 @@
     if (fits)
       zone->second.fetchSeconds = std::min(zone->second.fetchSeconds, spec.imageGb / pool.fetchGbPerS);
   }
-  for (const auto& [_, machine] : *job.holders) {
+  for (const auto& [_, machine] : *job.imageHolders) {
     auto zone = zones.find(machine->zone());
     if (zone == zones.end() || !constraints_.allowsMachine(job, *machine)) continue;
     auto& members = zone->second.capacityOnHolders;
@@ -36,12 +36,12 @@
 
 bool ShardScheduler::placeGang(Job& job) {
   if (job.placed > 0 || job.recalling) return true;  // what is left of an earlier try must go first
-  if (job.delegation && job.begun) return true;      // its attempt was tried: it goes back to its owner
+  if (job.delegation && job.started) return true;    // its attempt was tried: it goes back to its owner
   if (!job.spec->oneZone) return placeAllMembers(job);
   for (const auto& zone : policy::zonesToTry(gangZones(job), job.waiting.size())) {
-    job.onlyZone = zone;
+    job.requiredZone = zone;
     bool placed = placeAllMembers(job);
-    job.onlyZone.reset();
+    job.requiredZone.reset();
     if (placed) return true;
   }
   return false;
@@ -49,18 +49,18 @@
 
 bool ShardScheduler::placeAllMembers(Job& job) {
   auto members = static_cast<unsigned>(job.waiting.size());
-  auto placedLast = job.placedLast;
-  bool begun = job.begun;
+  auto lastPlacedAt = job.lastPlacedAt;
+  bool started = job.started;
   auto unwrittenBefore = unwrittenTasks_.size();
   if (placeTasks(job, members) == members) return true;
   // Undo: the gang waits on as if it had not been tried.
   unwrittenTasks_.resize(unwrittenBefore);
   for (std::uint32_t index = 0; index < job.tasks.size(); ++index)
     if (Machine* machine = job.tasks[index].machine)
-      state_.markGone(*machine, TaskId{job.id, index}, runtime_.now());
+      state_.requeueLostTask(*machine, TaskId{job.id, index}, runtime_.now());
   std::sort(job.waiting.begin(), job.waiting.end());
-  job.placedLast = placedLast;
-  job.begun = begun;
+  job.lastPlacedAt = lastPlacedAt;
+  job.started = started;
   return false;
 }
 
@@ -84,7 +84,7 @@
   for (const auto& member : members) {
     Machine* machine = state_.machine(member.machine);
     auto placement = machine->placements.find(member.task);
-    if (placement == machine->placements.end() || !placement->second.wanted) continue;
+    if (placement == machine->placements.end() || !placement->second.desired) continue;
     if (checkpoint == GangCheckpoint::Skipped) placement->second.skipCheckpoint = true;
     stop(*machine, member.task, placement->second);
     machinesToCommand.insert(member.machine);
@@ -93,7 +93,7 @@
 }
 
 void ShardScheduler::completeGangIfDone(Job& job) {
-  if (job.gangDone()) ShardState::doneWaiting(job);
+  if (job.gangDone()) ShardState::markWaitingDone(job);
 }
 
 void ShardScheduler::restoreGang(Job& job) {
--- a/src/scheduler/heartbeats.cpp
+++ b/src/scheduler/heartbeats.cpp
@@ -25,7 +25,7 @@
 // it refuses shows.
 bool startMissed(const Placement& placement, const wire::WorkerHeartbeat& heartbeat) {
   bool answerCarriedStart = placement.startSentWith.value > 0;
-  return placement.wanted && !placement.shown && answerCarriedStart &&
+  return placement.desired && !placement.observed && answerCarriedStart &&
          heartbeat.sequence > placement.startSentWith;
 }
 
@@ -39,16 +39,16 @@
 // The heartbeat lacks the task: whether that proves that the task is gone (invariant 2).
 bool absenceProvesGone(const Machine& machine, const Placement& placement,
                        const wire::WorkerHeartbeat& heartbeat, HeartbeatSource source) {
-  if (placement.shown) return true;
+  if (placement.observed) return true;
   // No start of a former owner can act under our token.
   if (placement.restored && !placement.startSent) return true;
-  return placement.startSent && !placement.wanted && !startMayArrive(machine, placement, heartbeat, source);
+  return placement.startSent && !placement.desired && !startMayArrive(machine, placement, heartbeat, source);
 }
 
 // The task ends by itself before the cloud takes the machine.
 bool endsWithin(const Placement& placement, double secondsLeft, Time now) {
   const auto& spec = *placement.job->spec;
-  bool running = placement.shown && placement.phase == TaskPhase::Running;
+  bool running = placement.observed && placement.phase == TaskPhase::Running;
   double ranSeconds = running ? inSeconds(now - placement.runningSince) : 0;
   return spec.kind != JobKind::Service && spec.expectedRunSeconds - ranSeconds < secondsLeft;
 }
@@ -74,18 +74,19 @@
   machine = state_.machine(heartbeat.machine);
   if (!machine) return {kHttpUnavailable, R"({"error":"unknown machine"})"};
   // Until it has acknowledged our token, a former owner may be answering it as well (invariant 6).
-  if (!machine->heard) machine->aliveUntil = std::max(machine->aliveUntil, now + leaseAfterAnswer());
+  if (!machine->registered)
+    machine->leaseExpiresAt = std::max(machine->leaseExpiresAt, now + leaseAfterAnswer());
   // What is cancelled ends with every answer: its lease must not go on without (invariant 16).
   auto commands = view_.stopCommandsForCancelled(heartbeat);
   // A late copy gets no other commands: whoever waits for its answer, the present machine does not (invariant
   // 12).
   if (owns() && result == ReconcileResult::Accepted)
-    addCommands(commands, commandsInAnswer(*machine, heartbeat));
+    mergeCommands(commands, commandsInAnswer(*machine, heartbeat));
   return {kHttpOk, wire::encodeHeartbeatAnswer(machine->token(), commands)};
 }
 
-// The worker's lease must not run out while we load; build() counts the time from its own, later, moment.
-// What the former owner cancelled may be unknown to us, for so long only (invariant 16).
+// The worker's lease must not run out while we load; finishLoading() counts the time from its own, later,
+// moment. What the former owner cancelled may be unknown to us, for so long only (invariant 16).
 ShardScheduler::HeartbeatAnswer ShardScheduler::answerWhileLoading(
     const wire::WorkerHeartbeat& heartbeat) const {
   if (runtime_.now() >= store_.currentAsOf(keys::kJobs) + settings_.blindFor())
@@ -106,7 +107,7 @@
 ShardScheduler::ReconcileResult ShardScheduler::reconcile(Machine& machine,
                                                           const wire::WorkerHeartbeat& heartbeat,
                                                           HeartbeatSource source) {
-  if (!machine.heard && !machine.fence.showsOwnToken(heartbeat)) {
+  if (!machine.registered && !machine.fence.showsOwnToken(heartbeat)) {
     reconcileUnproven(machine, heartbeat, source);
     return ReconcileResult::Ignored;
   }
@@ -114,28 +115,29 @@
     // It is late, or a copy of the former worker's (invariants 4 and 12). Or the machine's worker restarted
     // and counts from one again: its own answer to a question tells.
     if (machine.fence.showsLowerToken(heartbeat) && source == HeartbeatSource::WorkerReport) {
-      machine.sendAgain = true;
-      machine.contactDue = true;
+      machine.followUpCommandDue = true;
+      machine.directCommandDue = true;
     }
     return ReconcileResult::Ignored;
   }
   auto change = acceptHeartbeat(machine, heartbeat, source);
-  bool nothingNew =
-      !change.any() && !machine.contactDue && heartbeat.tasks == machine.reported && !heartbeat.reclaimInS;
+  bool nothingNew = !change.any() && !machine.directCommandDue && heartbeat.tasks == machine.reported &&
+                    !heartbeat.reclaimInS;
   if (nothingNew) {
     state_.reindex(machine);
-    bool hasFreeCores = machine.indexedFree && *machine.indexedFree > 0;
+    bool hasFreeCores = machine.indexedFreeCores && *machine.indexedFreeCores > 0;
     if (hasFreeCores) requestRound(false, &machine.id);
     return ReconcileResult::Accepted;
   }
   auto placementsBefore = machine.placements.size();
   reconcileReportedTasks(machine, heartbeat);
   reconcileMissingTasks(machine, heartbeat, source);
-  machine.heard = true;
+  machine.registered = true;
   machine.reported = heartbeat.tasks;
   if (!heartbeat.address.empty()) machine.address = heartbeat.address;
   handleReclaimNotice(machine, heartbeat);
-  machine.contactDue = machine.anyPending() || machine.sendAgain || !machine.noCommandInDoubt();
+  machine.directCommandDue =
+      machine.anyPending() || machine.followUpCommandDue || !machine.noCommandInDoubt();
   state_.reindex(machine);
   bool capacityFreed =
       machine.placements.size() < placementsBefore || change.firstHeartbeat || change.cordonLifted;
@@ -151,10 +153,10 @@
   if (machine.address.empty()) machine.address = heartbeat.address;
   for (const auto& reported : heartbeat.tasks) {
     if (reported.phase != TaskPhase::Exited || reported.cause != ExitCause::Done) continue;
-    if (machine.placementOf(reported)) taskEnded(machine, reported);
+    if (machine.placementOf(reported)) handleTaskEnded(machine, reported);
   }
-  if (source == HeartbeatSource::WorkerReport) noteTokenUnacknowledged(machine);
-  machine.contactDue = true;
+  if (source == HeartbeatSource::WorkerReport) recordUnacknowledgedToken(machine);
+  machine.directCommandDue = true;
   requestRound(false);
 }
 
@@ -167,11 +169,11 @@
   change.newIncarnation = machine.fence.startsIncarnation(heartbeat);
   if (change.newIncarnation) beginIncarnation(machine);
   machine.fence.accept(heartbeat);
-  machine.lastHeard = now;
+  machine.lastHeartbeatAt = now;
   // The answer to this heartbeat, and to any older one, renews its lease until then at the latest.
-  machine.aliveUntil = now + leaseAfterAnswer();
+  machine.leaseExpiresAt = now + leaseAfterAnswer();
   change.cordonLifted = std::exchange(machine.cordoned, false);
-  change.firstHeartbeat = !machine.heard;
+  change.firstHeartbeat = !machine.registered;
   // It lost its lease although it was answered. It gets new work once it shows that it hears us.
   bool lostAnsweredLease =
       !change.firstHeartbeat && change.newIncarnation && source == HeartbeatSource::WorkerReport;
@@ -179,7 +181,7 @@
   if (machine.noCommandInDoubt())
     machine.tokenUnacknowledgedSince.reset();
   else
-    noteTokenUnacknowledged(machine);
+    recordUnacknowledgedToken(machine);
   return change;
 }
 
@@ -190,13 +192,13 @@
     Placement* placement = machine.placementOf(reported);
     if (!placement) continue;
     if (reported.phase == TaskPhase::Exited) {
-      taskEnded(machine, reported);
+      handleTaskEnded(machine, reported);
       continue;
     }
-    if (placement->shown && placement->phase == reported.phase) continue;
-    if (!placement->shown && !placement->restored) latencies_.toShown.add(now - placement->placedAt);
+    if (placement->observed && placement->phase == reported.phase) continue;
+    if (!placement->observed && !placement->restored) latencies_.placedToShown.add(now - placement->placedAt);
     state_.setPhase(*placement, reported.phase, now);
-    state_.cached(machine, placement->job->spec->image, placement->job->spec->imageGb);
+    state_.recordImageUse(machine, placement->job->spec->image, placement->job->spec->imageGb);
   }
 }
 
@@ -214,7 +216,7 @@
     if (absenceProvesGone(machine, placement, heartbeat, source)) lostTasks.push_back(task);
   }
   countMissedStart(machine, missed);
-  tasksLost(machine, lostTasks);
+  handleTasksLost(machine, lostTasks);
 }
 
 // Once a start was missed too often, the machine must show a higher token before it gets more (invariant 11).
@@ -222,11 +224,11 @@
   machine.missedStarts = missed ? machine.missedStarts + 1 : 0;
   if (machine.missedStarts < kMissedStartsToAdvanceToken || !machine.noCommandInDoubt()) return;
   machine.fence.advanceToken();
-  noteTokenUnacknowledged(machine);
+  recordUnacknowledgedToken(machine);
 }
 
 // Heartbeats come, but they do not show that our answers arrive (invariant 11).
-void ShardScheduler::noteTokenUnacknowledged(Machine& machine) {
+void ShardScheduler::recordUnacknowledgedToken(Machine& machine) {
   if (!machine.tokenUnacknowledgedSince) machine.tokenUnacknowledgedSince = runtime_.now();
 }
 
@@ -240,40 +242,40 @@
   machine.fence.restart(answer);
   machine.reported.clear();
   for (auto& [_, placement] : machine.placements) {
-    if (placement.shown && placement.phase == TaskPhase::Running) --placement.job->running;
-    placement.shown = false;
+    if (placement.observed && placement.phase == TaskPhase::Running) --placement.job->running;
+    placement.observed = false;
     placement.restored = false;
     placement.startSent = true;
-    placement.wanted = false;
+    placement.desired = false;
     placement.startSentWith = machine.fence.latest().sequence;
   }
-  machine.contactDue = true;
+  machine.directCommandDue = true;
 }
 
 // The worker killed and forgot everything of the incarnation before (invariant 2).
 void ShardScheduler::beginIncarnation(Machine& machine) {
   machine.fence.forgetCommandInDoubt();
   machine.reported.clear();
-  tasksLost(machine, machine.tasksWhere([](const Placement& placement) {
+  handleTasksLost(machine, machine.tasksWhere([](const Placement& placement) {
     return placement.startSent || placement.restored;
   }));
 }
 
 // --- tasks that are gone ---
 
-void ShardScheduler::taskLost(Machine& machine, const TaskId& task) {
+void ShardScheduler::handleTaskLost(Machine& machine, const TaskId& task) {
   auto found = machine.placements.find(task);
   if (found == machine.placements.end()) return;  // went together with another member of its gang
   Job& job = *found->second.job;
-  state_.markGone(machine, task, runtime_.now());
+  state_.requeueLostTask(machine, task, runtime_.now());
   completeGangIfDone(job);
   endIfFinished(job);
   handleGangMemberLost(job);
-  cleanUp(job);
+  removeFinishedJob(job);
 }
 
-void ShardScheduler::tasksLost(Machine& machine, const std::vector<TaskId>& tasks) {
-  for (const auto& task : tasks) taskLost(machine, task);
+void ShardScheduler::handleTasksLost(Machine& machine, const std::vector<TaskId>& tasks) {
+  for (const auto& task : tasks) handleTaskLost(machine, task);
 }
 
 void ShardScheduler::handleReclaimNotice(Machine& machine, const wire::WorkerHeartbeat& heartbeat) {
@@ -285,7 +287,7 @@
   if (!firstNotice) return;
   log_->info("cloud reclaims machine: machine={} in_seconds={}", machine.id.value, secondsLeft);
   auto tasksToMove = machine.tasksWhere([secondsLeft, now](const Placement& placement) {
-    return placement.wanted && !endsWithin(placement, secondsLeft, now);
+    return placement.desired && !endsWithin(placement, secondsLeft, now);
   });
   for (const auto& task : tasksToMove) {
     auto found = machine.placements.find(task);
@@ -302,10 +304,10 @@
 }
 
 void ShardScheduler::stop(Machine& machine, const TaskId& task, Placement& placement) {
-  placement.wanted = false;
-  machine.contactDue = true;
+  placement.desired = false;
+  machine.directCommandDue = true;
   if (!placement.committed || placement.startSent || placement.restored) return;
-  taskLost(machine, task);  // committed but never sent: it is nowhere
+  handleTaskLost(machine, task);  // committed but never sent: it is nowhere
 }
 
 }  // namespace cherryloft
--- a/src/scheduler/job.h
+++ b/src/scheduler/job.h
@@ -38,29 +38,29 @@
   JobId id;
   std::shared_ptr<const JobSpec> spec;
   const Team* team = nullptr;
-  MachineSet* holders = nullptr;  // machines that are taken to cache its image
+  MachineSet* imageHolders = nullptr;  // machines that are taken to cache its image
   Version version;
   WallTime submitted;
   JobStatus status = JobStatus::Open;  // as committed
   bool cancelRequested = false;
-  std::vector<std::function<void(JobStatus)>> cancelWaiters;
+  std::vector<std::function<void(JobStatus)>> cancelCallbacks;
   std::vector<Task> tasks;
   std::deque<std::uint32_t> waiting;  // indices of tasks to place, next first
   std::map<Zone, unsigned> zones;     // its tasks by zone, as the placement rules count them
   std::uint32_t done = 0;
   std::uint32_t placed = 0;
-  std::uint32_t running = 0;     // of those placed, that a heartbeat showed as running
-  std::uint32_t committed = 0;   // of those placed, whose attempt is written
-  Time since{};                  // when this controller learnt of it
-  Time placedLast{};             // when a task of it was placed last
-  bool begun = false;            // a task of it was placed once
-  bool avoidSpot = false;        // in this turn
-  std::optional<Zone> onlyZone;  // of a gang, in this turn: the zone that all its members are tried in
-  unsigned lost = 0;             // tasks that were to go on and are gone
-  Time notBefore{};              // no task of it is placed before
+  std::uint32_t running = 0;         // of those placed, that a heartbeat showed as running
+  std::uint32_t committed = 0;       // of those placed, whose attempt is written
+  Time since{};                      // when this controller learnt of it
+  Time lastPlacedAt{};               // when a task of it was placed last
+  bool started = false;              // a task of it was placed once
+  bool avoidSpot = false;            // in this turn
+  std::optional<Zone> requiredZone;  // of a gang, in this turn: the zone that all its members are tried in
+  unsigned lost = 0;                 // tasks that were to go on and are gone
+  Time notBefore{};                  // no task of it is placed before
   std::optional<std::uint32_t>
-      maxConcurrent;     // of a job of another shard's team: its tasks that may be placed at a time
-  Time anyStartUntil{};  // till then it does not wait for room on machines that have its image
+      maxConcurrent;  // of a job of another shard's team: its tasks that may be placed at a time
+  Time ignoreImageAffinityUntil{};  // till then it does not wait for room on machines that have its image
   // Invariant 18. Of a job that this shard owns: what other shards have of it, as committed.
   std::vector<Delegation> delegations;
   // Of a job that another shard owns: what this shard has of it. All its other tasks are Remote.
--- a/src/scheduler/job_migration.cpp
+++ b/src/scheduler/job_migration.cpp
@@ -63,7 +63,7 @@
 
 bool JobMigration::add(TransactionBuilder& transaction, const PlannedMigration& migration) const {
   const Job* job = state_.job(migration.job);
-  bool untouched = job && job->open() && job->placed == 0 && job->done == 0 && job->cancelWaiters.empty();
+  bool untouched = job && job->open() && job->placed == 0 && job->done == 0 && job->cancelCallbacks.empty();
   if (!untouched) return false;
   auto record = migratedRecord(*job, migration, settings_.shardOfTeam(job->spec->team));
   wire::Write write{keys::job(job->id), wire::encodeJobRecord(record), {}};
--- a/src/scheduler/liveness.cpp
+++ b/src/scheduler/liveness.cpp
@@ -28,35 +28,38 @@
 }
 
 Duration ShardScheduler::timeSinceHeartbeat(const Machine& machine) const {
-  return runtime_.now() - std::max(machine.lastHeard, resumed_);
+  return runtime_.now() - std::max(machine.lastHeartbeatAt, lastStallEnd_);
 }
 
-Duration ShardScheduler::reportDue() const { return seconds(settings_.reportS * kOverdueAfterHeartbeats); }
+Duration ShardScheduler::heartbeatDueAfter() const {
+  return seconds(settings_.reportS * kOverdueAfterHeartbeats);
+}
 
 bool ShardScheduler::heartbeatOverdue(const Machine& machine) const {
-  return timeSinceHeartbeat(machine) > reportDue() + kOverdueMargin;
+  return timeSinceHeartbeat(machine) > heartbeatDueAfter() + kOverdueMargin;
 }
 
 // --- leases ---
 
 void ShardScheduler::checkLiveness(Machine& machine, Time now) {
-  bool silent = now > machine.aliveUntil && (machine.heard || !machine.placements.empty());
-  if (silent && now > callbacks_.answeredElsewhere() + leaseAfterAnswer()) expireLease(machine);
+  bool silent = now > machine.leaseExpiresAt && (machine.registered || !machine.placements.empty());
+  if (silent && now > callbacks_.answeredByPeersUntil() + leaseAfterAnswer()) expireLease(machine);
   if (!machine.cordoned &&
       timeSinceHeartbeat(machine) > seconds(settings_.reportS * kCordonAfterHeartbeats)) {
     machine.cordoned = true;
     state_.reindex(machine);
   }
-  if (!machine.heard || heartbeatOverdue(machine)) machine.contactDue = true;
+  if (!machine.registered || heartbeatOverdue(machine)) machine.directCommandDue = true;
 }
 
 // Its worker has killed all its tasks, whatever happened (invariant 2).
 void ShardScheduler::expireLease(Machine& machine) {
   log_->info("lease of machine expired: machine={} tasks={}", machine.id.value, machine.placements.size());
   machine.fence.expireIncarnation();
-  machine.heard = false;
+  machine.registered = false;
   machine.reported.clear();
-  tasksLost(machine, machine.tasksWhere([](const Placement& placement) { return placement.committed; }));
+  handleTasksLost(machine,
+                  machine.tasksWhere([](const Placement& placement) { return placement.committed; }));
   requestRound(true);
 }
 
@@ -65,26 +68,26 @@
 bool ShardScheduler::suspected(const Machine& machine, Time now) const {
   if (machine.known.record.phase != wire::MachinePhase::InUse) return false;
   if (tokenUnacknowledgedTooLong(machine, now)) return true;
-  // One that was never heard is still booting, which the leader watches.
-  if (!machine.heard && machine.placements.empty()) return false;
+  // One that was never registered is still booting, which the leader watches.
+  if (!machine.registered && machine.placements.empty()) return false;
   return machine.unansweredProbes >= kUnansweredProbesToSuspect &&
-         timeSinceHeartbeat(machine) > reportDue() + kNextController;
+         timeSinceHeartbeat(machine) > heartbeatDueAfter() + kNextController;
 }
 
 // We hear it, and it does not show that it hears us (invariant 11).
 bool ShardScheduler::tokenUnacknowledgedTooLong(const Machine& machine, Time now) const {
   if (!machine.tokenUnacknowledgedSince) return false;
-  auto unacknowledgedFor = now - std::max(*machine.tokenUnacknowledgedSince, resumed_);
+  auto unacknowledgedFor = now - std::max(*machine.tokenUnacknowledgedSince, lastStallEnd_);
   return unacknowledgedFor > seconds(settings_.reportS * kUnacknowledgedHeartbeats) + kUnacknowledgedMargin;
 }
 
 void ShardScheduler::returnSuspected(Time now) {
-  auto survey = surveySuspects(now);
-  noteMassSuspicion(survey, now);
-  if (recentlyNoted(massSuspicionAt_, now)) return;
+  auto survey = countSuspects(now);
+  recordMassSuspicion(survey, now);
+  if (isRecent(massSuspicionAt_, now)) return;
   for (Machine* machine : survey.suspected) {
     auto zone = massSuspicionInZoneAt_.find(machine->zone());
-    bool zoneFault = zone != massSuspicionInZoneAt_.end() && recentlyNoted(zone->second, now);
+    bool zoneFault = zone != massSuspicionInZoneAt_.end() && isRecent(zone->second, now);
     if (machine->returnNow || zoneFault) continue;
     log_->info("returning suspected machine: machine={} reason={}", machine->id.value,
                machine->tokenUnacknowledgedSince ? "token_unacknowledged" : "no_heartbeat");
@@ -96,11 +99,11 @@
 
 // Counts all that are late, not the suspected alone: machines behind a network cut become suspected one after
 // the other, over a whole report interval, and the first must not be returned before the rest shows.
-ShardScheduler::SuspicionSurvey ShardScheduler::surveySuspects(Time now) {
-  SuspicionSurvey survey;
+ShardScheduler::SuspicionCounts ShardScheduler::countSuspects(Time now) {
+  SuspicionCounts survey;
   for (auto& [_, machine] : state_.machines()) {
     bool isSuspected = suspected(machine, now);
-    bool everUp = machine.heard || !machine.known.record.address.empty();
+    bool everUp = machine.registered || !machine.known.record.address.empty();
     if (!isSuspected && !everUp) continue;
     auto& zone = survey.zones[machine.zone()];
     ++zone.machines;
@@ -113,15 +116,15 @@
   return survey;
 }
 
-void ShardScheduler::noteMassSuspicion(const SuspicionSurvey& survey, Time now) {
+void ShardScheduler::recordMassSuspicion(const SuspicionCounts& survey, Time now) {
   if (survey.shard.moreThan(kSuspectedFraction)) massSuspicionAt_ = now;
   for (const auto& [zone, count] : survey.zones)
     if (count.moreThan(kSuspectedFractionOfZone)) massSuspicionInZoneAt_[zone] = now;
 }
 
 // When such a fault ends, the machines come back one after the other as well.
-bool ShardScheduler::recentlyNoted(std::optional<Time> noted, Time now) const {
-  return noted && now - *noted < reportDue() + kNextController;
+bool ShardScheduler::isRecent(std::optional<Time> noted, Time now) const {
+  return noted && now - *noted < heartbeatDueAfter() + kNextController;
 }
 
 }  // namespace cherryloft
--- a/src/scheduler/load_reporter.cpp
+++ b/src/scheduler/load_reporter.cpp
@@ -61,7 +61,7 @@
 void LoadReporter::countBootingMachines() {
   for (auto& pool : state_.pools()) pool.booting = 0;
   for (auto& [_, machine] : state_.machines())
-    machine.pool->booting += !machine.heard && machine.known.record.address.empty() &&
+    machine.pool->booting += !machine.registered && machine.known.record.address.empty() &&
                              machine.known.record.phase == wire::MachinePhase::InUse;
 }
 
@@ -95,7 +95,7 @@
   const auto& each = spec.each;
   auto& demand = demandOf(load, spec.spotAllowed);
   double coresWithinQuota =
-      job.team ? std::max(0.0, job.team->coreQuota - state_.teamUse(spec.team).cores) : 0;
+      job.team ? std::max(0.0, job.team->coreQuota - state_.teamUsage(spec.team).cores) : 0;
   auto waiting = tasksWantingCapacity(job, now);
   auto& waitingDemand = callbacks_.avoidsSpot(job) ? load.onDemandOnly : demand;
   waitingDemand.waiting += std::min(each.cores * static_cast<double>(waiting), coresWithinQuota);
@@ -122,7 +122,7 @@
 
 std::optional<std::vector<std::string>> LoadReporter::stuckZones(const Job& job, Time now) const {
   std::vector<std::string> allowed;
-  bool waitedLong = now - std::max(job.since, job.placedLast) > kZoneFullAfter;
+  bool waitedLong = now - std::max(job.since, job.lastPlacedAt) > kZoneFullAfter;
   for (const auto& zone : settings_.zones) {
     if (!callbacks_.zoneAllows(job, zone)) continue;
     if (zoneMayTake(zone, job, waitedLong)) return std::nullopt;
@@ -134,7 +134,7 @@
 // Whether a machine in the zone could ever take a task of the job or, once the job has waited long, can now.
 bool LoadReporter::zoneMayTake(const Zone& zone, const Job& job, bool waitedLong) const {
   const auto& spec = *job.spec;
-  auto mayTake = [&](const Pool& pool) {
+  auto mayTake = [&](const MachinePool& pool) {
     bool fits = pool.zone == zone && spec.allowsType(pool.type) && spec.each.fitsIn(pool.size) &&
                 (!pool.spot || spec.spotAllowed);
     if (!fits) return false;
--- a/src/scheduler/machine_drain.cpp
+++ b/src/scheduler/machine_drain.cpp
@@ -61,7 +61,7 @@
 const Machine* ShardScheduler::targetForReplica(const Job& job, const Machine& from,
                                                 ReplicaMoves& moves) const {
   unsigned examined = 0;
-  for (const auto& [number, candidate] : *job.holders) {
+  for (const auto& [number, candidate] : *job.imageHolders) {
     if (candidate == &from || !candidate->open()) continue;
     ++examined;
     if (examined > settings_.tuning.sampleSize) continue;
@@ -78,12 +78,12 @@
 
 // Arrays end by themselves; then the replicas are moved. Once the machine is empty, the leader says where it
 // goes.
-void ShardScheduler::progressDrain(Machine& machine) {
+void ShardScheduler::advanceDrain(Machine& machine) {
   if (!machine.draining || machine.decommissioning || machine.placements.empty()) return;
   bool onlyReplicas =
       std::all_of(machine.placements.begin(), machine.placements.end(), [](const auto& entry) {
         const Placement& placement = entry.second;
-        return placement.job->spec->kind == JobKind::Service && placement.wanted;
+        return placement.job->spec->kind == JobKind::Service && placement.desired;
       });
   if (!onlyReplicas) return;
   auto replicas = movableReplicas(machine);
--- a/src/scheduler/machine_pool.cpp
+++ b/src/scheduler/machine_pool.cpp
@@ -4,8 +4,8 @@
 
 namespace cherryloft {
 
-bool Pool::hasCapacity(const Resources& each, unsigned mostExamined,
-                       const std::function<bool(const Machine&)>& allows) const {
+bool MachinePool::hasCapacity(const Resources& each, unsigned mostExamined,
+                              const std::function<bool(const Machine&)>& allows) const {
   unsigned examined = 0;
   for (auto at = withFreeCores(each.cores); at != byFreeCores.end() && examined < mostExamined; ++at) {
     const Machine& machine = *at->second;
--- a/src/scheduler/machine_pool.h
+++ b/src/scheduler/machine_pool.h
@@ -1,4 +1,5 @@
-// Pool: a shard's machines of one type in one zone, ordinary or spot, by the cores that are free on them.
+// MachinePool: a shard's machines of one type in one zone, ordinary or spot, by the cores that are free on
+// them.
 #pragma once
 
 #include <cstdint>
@@ -13,14 +14,14 @@
 
 struct Machine;
 
-struct Pool {
+struct MachinePool {
   std::string type;
   Zone zone;
   bool spot = false;
   Resources size;            // of each machine; nothing while the type is not in the catalog
   double fetchGbPerS = 0;    // at which a machine fetches images
   std::size_t machines = 0;  // open or not
-  std::size_t booting = 0;   // never heard yet, when last counted
+  std::size_t booting = 0;   // never registered yet, when last counted
   // Only machines that take new work, by free cores and number. Kept by ShardState::reindex.
   using ByFreeCores = std::map<std::pair<double, std::uint32_t>, Machine*>;
   ByFreeCores byFreeCores;
--- a/src/scheduler/machine_record_writer.cpp
+++ b/src/scheduler/machine_record_writer.cpp
@@ -68,7 +68,7 @@
     } else if (mayLeave(machine)) {
       ShardId to{static_cast<std::uint32_t>(*machine.moveTarget)};
       changes[machine.known.group].movedToShard[to].push_back(&machine);
-    } else if (machine.heard && machine.address != record.address) {
+    } else if (machine.registered && machine.address != record.address) {
       if (addressUnwrittenSince_ == Time{}) addressUnwrittenSince_ = now;
       if (now - addressUnwrittenSince_ >= kAddressesGatheredFor) changes.try_emplace(machine.known.group);
     }
--- a/src/scheduler/machine_record_writer.h
+++ b/src/scheduler/machine_record_writer.h
@@ -1,5 +1,5 @@
 // MachineRecordWriter: brings the stored records of a shard's machines up to date with what the shard decided
-// and heard: addresses, machines that go back to the cloud, machines that move to another shard.
+// and registered: addresses, machines that go back to the cloud, machines that move to another shard.
 //
 // Machines are recorded in groups, as a fleet boots and goes in groups: one write tells of many machines. At
 // most one transaction is in flight. It requires the shard's key unchanged, so that a former owner writes
--- a/src/scheduler/pending_jobs.cpp
+++ b/src/scheduler/pending_jobs.cpp
@@ -24,7 +24,7 @@
     key.slackSeconds = *spec.deadlineSeconds - key.ageSeconds - spec.expectedRunSeconds;
   key.remainingCoreSeconds = job.unfinished().cores * spec.expectedRunSeconds;
   key.objectiveFeasible = objectiveFeasible(job, settings, key.ageSeconds);
-  key.firstStartOverdue = !job.begun && key.ageSeconds > kFirstStartOverdueSeconds;
+  key.firstStartOverdue = !job.started && key.ageSeconds > kFirstStartOverdueSeconds;
   return key;
 }
 
@@ -35,15 +35,15 @@
   std::vector<PendingJob> pending;
   for (const auto& [teamId, jobs] : state.teams()) {
     const Team* team = settings.team(teamId);
-    Resources wanted;  // by the team's jobs up to this one, oldest first
+    Resources desired;  // by the team's jobs up to this one, oldest first
     for (const auto& [_, job] : jobs) {
       if (!job->open()) continue;
-      wanted += job->unfinished();
+      desired += job->unfinished();
       if (job->waiting.empty() || now < job->notBefore) continue;
       auto key = orderKeyOf(*job, settings, wallTime);
       // Only the owner of a delegated job knows what its team takes in all.
       key.withinGuarantee = team && !job->delegation &&
-                            Resources{wanted.cores, wanted.gpus, 0}.fitsIn({team->cores, team->gpus, 0});
+                            Resources{desired.cores, desired.gpus, 0}.fitsIn({team->cores, team->gpus, 0});
       pending.push_back({job, key});
     }
   }
--- a/src/scheduler/placement_constraints.cpp
+++ b/src/scheduler/placement_constraints.cpp
@@ -15,7 +15,7 @@
 bool PlacementConstraints::allowsZone(const Job& job, const Zone& zone, unsigned planned) const {
   const auto& spec = *job.spec;
   if (spec.zone && *spec.zone != zone) return false;
-  if (job.onlyZone && *job.onlyZone != zone) return false;
+  if (job.requiredZone && *job.requiredZone != zone) return false;
   // The owner's shard keeps to the rules about zones (invariant 18).
   if (job.delegation) return !job.delegation->zone || *job.delegation->zone == zone;
   if (spec.oneZone && !job.zones.empty()) {
@@ -27,7 +27,7 @@
   return (tasksThere == job.zones.end() ? 0 : tasksThere->second) + planned + 1 <= (spec.tasks + 1) / 2;
 }
 
-bool PlacementConstraints::allowsPool(const Job& job, const Pool& pool) const {
+bool PlacementConstraints::allowsPool(const Job& job, const MachinePool& pool) const {
   const auto& spec = *job.spec;
   if (!spec.allowsType(pool.type)) return false;
   if (pool.spot && (!spec.spotAllowed || job.avoidSpot)) return false;
@@ -46,7 +46,7 @@
 }
 
 bool PlacementConstraints::hasCapacity(const Job& job) const {
-  return std::any_of(state_.pools().begin(), state_.pools().end(), [&](const Pool& pool) {
+  return std::any_of(state_.pools().begin(), state_.pools().end(), [&](const MachinePool& pool) {
     return allowsPool(job, pool) &&
            pool.hasCapacity(job.spec->each, settings_.tuning.sampleSize,
                             [&](const Machine& machine) { return allowsMachine(job, machine); });
@@ -54,7 +54,7 @@
 }
 
 bool PlacementConstraints::hasFreeCores(const Job& job) const {
-  return std::any_of(state_.pools().begin(), state_.pools().end(), [&](const Pool& pool) {
+  return std::any_of(state_.pools().begin(), state_.pools().end(), [&](const MachinePool& pool) {
     if (pool.byFreeCores.empty()) return false;
     double mostFreeCores = pool.byFreeCores.rbegin()->first.first;
     return mostFreeCores >= job.spec->each.cores - kResourceSlack && allowsPool(job, pool);
@@ -63,7 +63,8 @@
 
 bool PlacementConstraints::fetchMissesStartObjective(const Job& job, const Machine& machine) const {
   auto startWithin = settings_.startWithin(job.spec->jobClass);
-  return startWithin && job.holders->count(machine.no) == 0 && machine.fetchS(*job.spec) > *startWithin;
+  return startWithin && job.imageHolders->count(machine.no) == 0 &&
+         machine.imageFetchSeconds(*job.spec) > *startWithin;
 }
 
 bool PlacementConstraints::shouldAvoidSpot(const Job& job) const {
--- a/src/scheduler/placement_constraints.h
+++ b/src/scheduler/placement_constraints.h
@@ -20,7 +20,7 @@
   // already.
   [[nodiscard]] bool allowsZone(const Job& job, const Zone& zone, unsigned planned = 0) const;
   // Machine type, spot or on demand, and zone, for all machines of a pool at once.
-  [[nodiscard]] bool allowsPool(const Job& job, const Pool& pool) const;
+  [[nodiscard]] bool allowsPool(const Job& job, const MachinePool& pool) const;
   // Machine type, spot or on demand, and the job's failures there; not the zone.
   [[nodiscard]] bool allowsMachineKind(const Job& job, const Machine& machine) const;
   // Everything but free capacity: the machine takes work, and its zone and kind are allowed.
--- a/src/scheduler/placement_pages.cpp
+++ b/src/scheduler/placement_pages.cpp
@@ -26,7 +26,7 @@
   return created;
 }
 
-std::optional<PageNumber> PlacementPages::spare(const std::set<PageNumber>& taken) const {
+std::optional<PageNumber> PlacementPages::surplusPage(const std::set<PageNumber>& taken) const {
   std::size_t empty = 0;
   // clang 14 can't compile std::views::reverse with libstdc++ 12, which modernize-loop-convert asks for.
   // NOLINTNEXTLINE(modernize-loop-convert)
--- a/src/scheduler/placement_pages.h
+++ b/src/scheduler/placement_pages.h
@@ -31,13 +31,13 @@
   // The emptiest page that is not taken, or a new one while all are more than a quarter full.
   PageNumber next(const std::set<PageNumber>& taken);
   // One that holds nothing any more, if there are so many that it is not worth keeping.
-  std::optional<PageNumber> spare(const std::set<PageNumber>& taken) const;
+  std::optional<PageNumber> surplusPage(const std::set<PageNumber>& taken) const;
   // The page's key was deleted.
-  void drop(PageNumber number) { pages_.erase(number); }
+  void erase(PageNumber number) { pages_.erase(number); }
   std::size_t count() const { return pages_.size(); }
 
  private:
-  // A new page is begun while all hold more than one live fact for so many bytes, about a quarter of what
+  // A new page is started while all hold more than one live fact for so many bytes, about a quarter of what
   // fits. The emptier the page that is written anew, the more new facts one change tells.
   static constexpr std::size_t kBytesPerLiveFact = 160;
   std::size_t mostLiveToRewrite_;
--- a/src/scheduler/placement_rounds.cpp
+++ b/src/scheduler/placement_rounds.cpp
@@ -42,7 +42,8 @@
     auto unwrittenBefore = unwrittenTasks_.size();
     placePendingJobs();
     ++latencies_.rounds;
-    latencies_.widest = std::max(latencies_.widest, unwrittenTasks_.size() - unwrittenBefore);
+    latencies_.maxPlacementsPerRound =
+        std::max(latencies_.maxPlacementsPerRound, unwrittenTasks_.size() - unwrittenBefore);
   }
   commit();
 }
@@ -67,7 +68,7 @@
   std::vector<PendingJob> blocked;
   std::map<TeamId, unsigned> teamTurns;
   // What does not fit into one transaction forms the next round.
-  while (!pending.empty() && unwrittenTasks_.size() < roundWidth()) {
+  while (!pending.empty() && unwrittenTasks_.size() < maxTasksPerRound()) {
     for (auto& job : pending) job.orderKey.teamTurns = teamTurns[job.job->spec->team];
     auto next = firstInOrder(pending);
     Job& job = *next->job;
@@ -85,7 +86,7 @@
     auto most = static_cast<unsigned>(std::min<std::size_t>(kTasksPerTurn, job.waiting.size()));
     auto placed = placeTasks(job, most);
     ++teamTurns[job.spec->team];
-    next->orderKey.firstStartOverdue = false;  // it has begun, or there is no capacity for it
+    next->orderKey.firstStartOverdue = false;  // it has started, or there is no capacity for it
     if (placed == most && !job.waiting.empty()) continue;
     if (placed < most && state_.withinLimit(job)) blocked.push_back(*next);
     pending.erase(next);
@@ -94,7 +95,7 @@
 }
 
 void ShardScheduler::placeProbeTask(Job& job) {
-  if (job.placed == 0 || runtime_.now() - job.placedLast >= kProbeInterval) placeTasks(job, 1);
+  if (job.placed == 0 || runtime_.now() - job.lastPlacedAt >= kProbeInterval) placeTasks(job, 1);
 }
 
 unsigned ShardScheduler::placeTasks(Job& job, unsigned most) {
@@ -130,11 +131,11 @@
   auto index = job.waiting.front();
   job.waiting.pop_front();
   state_.place(job, index, machine, attempt, runtime_.now());
-  state_.cached(machine, job.spec->image, job.spec->imageGb);
-  machine.contactDue = true;
+  state_.recordImageUse(machine, job.spec->image, job.spec->imageGb);
+  machine.directCommandDue = true;
   unwrittenTasks_.push_back({job.id, index});
   placementsUnwritten_ = true;
-  latencies_.toPlaced.add(runtime_.now() - job.since);
+  latencies_.arrivalToPlaced.add(runtime_.now() - job.since);
   ++latencies_.counts.starts;
   log_->debug("task placed task={}/{} machine={}", job.id.value, index, machine.id.value);
 }
--- a/src/scheduler/placement_turn.cpp
+++ b/src/scheduler/placement_turn.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr double kSameCores = 1e-9;  // sums of cores that differ by less are equal
-// Machines examined for each that may be found: some are holders, short of memory, or rejected before.
+// Machines examined for each that may be found: some are imageHolders, short of memory, or rejected before.
 constexpr unsigned kExaminedPerMachineFound = 4;
 
 unsigned tasksInZone(const Job& job, const Zone& zone) {
@@ -43,8 +43,8 @@
 
 // A walk over a pool's machines, by free cores.
 struct PoolCursor {
-  const Pool* pool;
-  Pool::ByFreeCores::const_iterator position;
+  const MachinePool* pool;
+  MachinePool::ByFreeCores::const_iterator position;
 };
 
 }  // namespace
@@ -54,8 +54,8 @@
       scope_(scope),
       job_(job),
       hasStartObjective_(context.settings.startWithin(job.spec->jobClass).has_value()) {
-  context_.counters.machinesExamined += job_.holders->size();
-  for (const auto& [_, machine] : *job_.holders)
+  context_.counters.machinesExamined += job_.imageHolders->size();
+  for (const auto& [_, machine] : *job_.imageHolders)
     if (hasCapacityFor(*machine)) holders_.push_back(machine);
   std::sort(holders_.begin(), holders_.end(),
             [&](const Machine* left, const Machine* right) { return isBetterMachine(job_, *left, *right); });
@@ -105,7 +105,7 @@
 // a machine that has the image. A gang starts with its slowest member: it is placed whole on what there is.
 bool PlacementTurn::shouldWaitForHolder(const Machine& bestOther) const {
   auto now = context_.runtime.now();
-  if (now < job_.anyStartUntil || job_.isGang()) return false;
+  if (now < job_.ignoreImageAffinityUntil || job_.isGang()) return false;
   if (!context_.constraints.fetchMissesStartObjective(job_, bestOther)) return false;
   return EvictionPlanner(context_.settings, context_.state, context_.constraints, now)
       .isHolderWorthPreempting(job_);
@@ -136,7 +136,7 @@
     if (first != pool.byFreeCores.end()) cursors.push_back({&pool, first});
   }
   auto orderOf = [&](const PoolCursor& cursor) {
-    const Pool& pool = *cursor.pool;
+    const MachinePool& pool = *cursor.pool;
     double fetchSeconds = hasStartObjective_ && pool.fetchGbPerS > 0 ? spec.imageGb / pool.fetchGbPerS : 0;
     return std::tuple(fetchSeconds, !pool.spot, cursor.position->first);
   };
@@ -157,7 +157,7 @@
 }
 
 bool PlacementTurn::isOtherWithCapacity(const Machine& machine) const {
-  if (job_.holders->count(machine.no) > 0 || rejected_.count(machine.no) > 0) return false;
+  if (job_.imageHolders->count(machine.no) > 0 || rejected_.count(machine.no) > 0) return false;
   return hasCapacityFor(machine);
 }
 
@@ -165,8 +165,8 @@
 void PlacementTurn::sortOthers(std::vector<Machine*>& machines) const {
   const auto& spec = *job_.spec;
   std::stable_sort(machines.begin(), machines.end(), [&](const Machine* left, const Machine* right) {
-    double leftFetch = hasStartObjective_ ? left->fetchS(spec) : 0;
-    double rightFetch = hasStartObjective_ ? right->fetchS(spec) : 0;
+    double leftFetch = hasStartObjective_ ? left->imageFetchSeconds(spec) : 0;
+    double rightFetch = hasStartObjective_ ? right->imageFetchSeconds(spec) : 0;
     if (leftFetch != rightFetch) return leftFetch < rightFetch;
     return isBetterMachine(job_, *left, *right);
   });
@@ -184,15 +184,15 @@
   context_.counters.machinesExamined += sampled.size();
   if (sampled.empty()) return {};
   double withCapacity = 0;
-  double holders = 0;
+  double imageHolders = 0;
   for (auto index : sampled) {
     const Machine& machine = *open[index];
     if (!hasCapacityFor(machine)) continue;
     ++withCapacity;
-    if (job_.holders->count(machine.no) > 0) ++holders;
+    if (job_.imageHolders->count(machine.no) > 0) ++imageHolders;
   }
   auto sampleSize = static_cast<double>(sampled.size());
-  return {holders / sampleSize, withCapacity / sampleSize * static_cast<double>(open.size())};
+  return {imageHolders / sampleSize, withCapacity / sampleSize * static_cast<double>(open.size())};
 }
 
 policy::ImageLocality PlacementTurn::localityOf(const Machine& machine) {
@@ -206,7 +206,7 @@
 const std::set<Zone>& PlacementTurn::holderZones() {
   if (!holderZones_) {
     holderZones_.emplace();
-    for (const auto& [_, machine] : *job_.holders)
+    for (const auto& [_, machine] : *job_.imageHolders)
       if (machine->open()) holderZones_->insert(machine->zone());
   }
   return *holderZones_;
--- a/src/scheduler/placement_turn.h
+++ b/src/scheduler/placement_turn.h
@@ -31,8 +31,8 @@
   ShardCounters& counters;
 };
 
-// Looks up once what the whole turn uses: the holders of the image in order, and the estimates for the draw.
-// To be discarded when the turn ends, or when the job's constraints change.
+// Looks up once what the whole turn uses: the imageHolders of the image in order, and the estimates for the
+// draw. To be discarded when the turn ends, or when the job's constraints change.
 class PlacementTurn {
  public:
   PlacementTurn(const PlacementContext& context, const RoundScope& scope, const Job& job);
--- a/src/scheduler/preemption.cpp
+++ b/src/scheduler/preemption.cpp
@@ -14,7 +14,7 @@
 // Part of its start objective that a job waits before it preempts: in a large fleet capacity comes free all
 // the time, and what is stopped is lost.
 constexpr double kWaitPart = 0.25;
-// For how long a job whose holders are promised already takes machines without its image.
+// For how long a job whose imageHolders are promised already takes machines without its image.
 constexpr Duration kAnyStartPeriod{3'000};
 
 }  // namespace
@@ -67,7 +67,7 @@
   Job& job = *pending.job;
   const auto& spec = *job.spec;
   const EvictionPlanner planner(settings_, state_, constraints_, runtime_.now());
-  double quotaLeft = job.team ? job.team->coreQuota - state_.teamUse(spec.team).cores : 0;
+  double quotaLeft = job.team ? job.team->coreQuota - state_.teamUsage(spec.team).cores : 0;
   auto machines = planner.sampleMachines(job, rng_);
   for (std::size_t task = 0; task < job.waiting.size() && round.plans < kMaxPlansPerRound; ++task) {
     quotaLeft -= spec.each.cores;
@@ -75,10 +75,10 @@
     ++round.plans;
     auto eviction = planner.planForTask(pending, machines, round.forecast);
     if (!eviction) return;
-    // The holders are promised already: the rest need not wait for them.
+    // The imageHolders are promised already: the rest need not wait for them.
     if (constraints_.fetchMissesStartObjective(job, *eviction->machine))
-      job.anyStartUntil = runtime_.now() + kAnyStartPeriod;
-    carryOut(*eviction, pending, round);
+      job.ignoreImageAffinityUntil = runtime_.now() + kAnyStartPeriod;
+    executeEviction(*eviction, pending, round);
   }
 }
 
@@ -89,11 +89,11 @@
   const EvictionPlanner planner(settings_, state_, constraints_, runtime_.now());
   auto plan = planner.planForGang(pending, planner.sampleMachines(job, rng_), round.forecast);
   if (!plan) return;
-  for (const auto& eviction : *plan) carryOut(eviction, pending, round);
+  for (const auto& eviction : *plan) executeEviction(eviction, pending, round);
 }
 
-void ShardScheduler::carryOut(const PlannedEviction& eviction, const PendingJob& pending,
-                              PreemptionRound& round) {
+void ShardScheduler::executeEviction(const PlannedEviction& eviction, const PendingJob& pending,
+                                     PreemptionRound& round) {
   const Job& job = *pending.job;
   Machine& machine = *eviction.machine;
   const EvictionPlanner planner(settings_, state_, constraints_, runtime_.now());
@@ -105,7 +105,7 @@
     Placement& placement = victim->second;
     round.forecast.of(machine) += placement.job->spec->each;
     bool skipCheckpoint = !planner.leavesTimeForCheckpoint(pending, machine, *placement.job->spec);
-    ++latencies_.evicted;
+    ++latencies_.evictedTasks;
     if (placement.job->isGang()) {
       stopGang(*placement.job, skipCheckpoint ? GangCheckpoint::Skipped : GangCheckpoint::Allowed);
       continue;
--- a/src/scheduler/remote_capacity.cpp
+++ b/src/scheduler/remote_capacity.cpp
@@ -2,8 +2,8 @@
 // other shards, and it offers its own to other shards.
 //
 // The owner of a job that has waited long in vain asks the owners of all other shards for capacity. A job of
-// which nothing has begun then migrates whole to the best offer (JobMigration); of the others some tasks are
-// delegated (task_delegation_owner.cpp).
+// which nothing has started then migrates whole to the best offer (JobMigration); of the others some tasks
+// are delegated (task_delegation_owner.cpp).
 #include <algorithm>
 #include <cmath>
 #include <tuple>
@@ -26,26 +26,26 @@
 // --- which jobs need capacity elsewhere ---
 
 // It has been open, with tasks to place, for kRequestAfter without a start.
-bool ShardScheduler::waitsLong(const Job& job, Time now) const {
+bool ShardScheduler::hasWaitedLong(const Job& job, Time now) const {
   return job.open() && !job.waiting.empty() && !job.delegation && !job.recalling && now >= job.notBefore &&
-         now - std::max(job.since, job.placedLast) >= kRequestAfter;
+         now - std::max(job.since, job.lastPlacedAt) >= kRequestAfter;
 }
 
 // Its team is within its quota, and no machine of ours could take a task of it, or all of a gang.
-bool ShardScheduler::unplaceable(const Job& job) const {
+bool ShardScheduler::isUnplaceable(const Job& job) const {
   if (!state_.withinLimit(job)) return false;
   if (job.isGang()) return job.placed == 0 && capacityFor(job) < job.waiting.size();
   return !constraints_.hasCapacity(job);
 }
 
-// The oldest jobs that have waited long in vain, at most kMaxRequested. Those to migrate have nothing begun;
-// those to delegate tasks of have some tasks begun, or must be placed whole.
+// The oldest jobs that have waited long in vain, at most kMaxRequested. Those to migrate have nothing
+// started; those to delegate tasks of have some tasks started, or must be placed whole.
 std::vector<Job*> ShardScheduler::oldestUnplaceable(RemotePlacement purpose, Time now) {
   std::vector<Job*> waiting;
   for (auto& [_, job] : state_.jobs()) {
-    if (!waitsLong(job, now)) continue;
-    bool begun = job.placed > 0 || job.done > 0 || job.remote > 0;
-    bool suits = purpose == RemotePlacement::Migration ? !begun : begun || job.isGang();
+    if (!hasWaitedLong(job, now)) continue;
+    bool started = job.placed > 0 || job.done > 0 || job.remote > 0;
+    bool suits = purpose == RemotePlacement::Migration ? !started : started || job.isGang();
     if (suits) waiting.push_back(&job);
   }
   auto examined = std::min(waiting.size(), kMaxExamined);
@@ -56,7 +56,7 @@
   waiting.resize(examined);
   std::vector<Job*> oldest;
   for (Job* job : waiting)
-    if (oldest.size() < kMaxRequested && unplaceable(*job)) oldest.push_back(job);
+    if (oldest.size() < kMaxRequested && isUnplaceable(*job)) oldest.push_back(job);
   return oldest;
 }
 
@@ -98,7 +98,7 @@
   const auto& spec = *job.spec;
   if (job.maxConcurrent) return *job.maxConcurrent - std::min(*job.maxConcurrent, job.placed + job.remote);
   if (!job.team) return 0;
-  auto use = state_.teamUse(spec.team);
+  auto use = state_.teamUsage(spec.team);
   auto tasksIn = [&](double unused, double each) {
     return each > 0 ? std::floor((unused + kResourceSlack) / each) : static_cast<double>(spec.tasks);
   };
--- a/src/scheduler/remote_usage.cpp
+++ b/src/scheduler/remote_usage.cpp
@@ -15,13 +15,13 @@
 void RemoteUsage::reserve(const JobId& job, const JobSpec& spec, std::uint32_t tasks) {
   auto sum = sumOf(spec, tasks);
   entries_[job] = {spec.team, sum, Stage::Reserved, std::nullopt};
-  state_.countRemoteUsage(spec.team, sum);
+  state_.addRemoteUsage(spec.team, sum);
 }
 
 void RemoteUsage::dropReservation(const JobId& job) {
   auto found = entries_.find(job);
   if (found == entries_.end()) return;
-  state_.uncountRemoteUsage(found->second.team, found->second.sum);
+  state_.subtractRemoteUsage(found->second.team, found->second.sum);
   entries_.erase(found);
 }
 
@@ -48,7 +48,7 @@
       ++position;
       continue;
     }
-    state_.uncountRemoteUsage(entry.team, entry.sum);
+    state_.subtractRemoteUsage(entry.team, entry.sum);
     position = entries_.erase(position);
     ++released;
   }
--- a/src/scheduler/shard_recovery.cpp
+++ b/src/scheduler/shard_recovery.cpp
@@ -125,9 +125,9 @@
   auto& placement = state_.place(*job, task.index, *machine, attempt.entry.attempt, runtime_.now());
   ShardState::commit(placement);
   placement.restored = true;
-  placement.wanted = job->open();
+  placement.desired = job->open();
   state_.restored(task, attempt.page);
-  state_.cached(*machine, job->spec->image, job->spec->imageGb);
+  state_.recordImageUse(*machine, job->spec->image, job->spec->imageGb);
 }
 
 }  // namespace cherryloft
--- a/src/scheduler/shard_scheduler.cpp
+++ b/src/scheduler/shard_scheduler.cpp
@@ -38,14 +38,14 @@
       machineRecordWriter_(settings, runtime, store, view, takeover, state_, callbacks_.dropOwnership) {}
 
 void ShardScheduler::start() {
-  recovery_.start([this](const ListResult& placementPages) { build(placementPages); });
+  recovery_.start([this](const ListResult& placementPages) { finishLoading(placementPages); });
 }
 
 // --- loading ---
 
-void ShardScheduler::build(const ListResult& placementPages) {
+void ShardScheduler::finishLoading(const ListResult& placementPages) {
   for (const auto& [id, known] : view_.machines)
-    if (known.record.shard == takeover_.shard) admit(id, known);
+    if (known.record.shard == takeover_.shard) addOwnedMachine(id, known);
   for (const auto& [id, known] : view_.jobs) addKnownJob(id, known);
   recovery_.restorePlacements(placementPages);
   for (auto& [_, machine] : state_.machines()) state_.reindex(machine);
@@ -63,7 +63,7 @@
   if (known.shard == takeover_.shard && known.status == JobStatus::Open && known.spec)
     state_.addJob(id, known).since = runtime_.now();
   else if (known.shard == takeover_.shard && known.status == JobStatus::Cancelled)
-    lastCancelled_ = std::max(lastCancelled_, known.version);
+    lastCancellationVersion_ = std::max(lastCancellationVersion_, known.version);
   else if (const auto* delegation = findDelegation(known.delegations, takeover_.shard))
     restoreDelegation(id, known, *delegation);
 }
@@ -72,7 +72,7 @@
   if (known.status == JobStatus::Open && known.spec)
     acceptDelegation(id, known, delegation);
   else if (known.status == JobStatus::Cancelled)
-    lastCancelled_ = std::max(lastCancelled_, known.version);
+    lastCancellationVersion_ = std::max(lastCancellationVersion_, known.version);
 }
 
 // Goes on with a job whose placements are restored.
@@ -90,16 +90,17 @@
   std::vector<JobId> over;
   for (const auto& [id, job] : state_.jobs())
     if (job.status == JobStatus::Cancelled && job.placed == 0) over.push_back(id);
-  for (const auto& id : over) cleanUp(*state_.job(id));
+  for (const auto& id : over) removeFinishedJob(*state_.job(id));
 }
 
-// A machine that is this shard's from now on. Its token is ours, and it gets no new work before it is heard.
-Machine& ShardScheduler::admit(const MachineId& id, const MachineEntry& known) {
+// A machine that is this shard's from now on. Its token is ours, and it gets no new work before it is
+// registered.
+Machine& ShardScheduler::addOwnedMachine(const MachineId& id, const MachineEntry& known) {
   auto now = runtime_.now();
   auto& machine = state_.addMachine(id, known, findType(view_.catalog, known.record.type), now);
   machine.fence = CommandFence{tokenOf(std::max(known.record.token, takeover_.epoch))};
   // The former owner may have answered it until the end of its grace.
-  machine.aliveUntil = now + takeover_.formerAnswers + leaseAfterAnswer();
+  machine.leaseExpiresAt = now + takeover_.formerAnswers + leaseAfterAnswer();
   return machine;
 }
 
@@ -119,7 +120,7 @@
   // Our own commit may show here before its answer comes, and keep-alive proxies must have seen it as well
   // (invariant 15).
   if (known->second.status == JobStatus::Cancelled)
-    lastCancelled_ = std::max(lastCancelled_, known->second.version);
+    lastCancellationVersion_ = std::max(lastCancellationVersion_, known->second.version);
   if (Job* job = state_.job(id)) return ownedJobChanged(*job, known->second);
   const auto& k = known->second;
   if (k.status != JobStatus::Open || !k.spec) return;
@@ -143,7 +144,7 @@
     return;
   }
   if (!h) {
-    sendCommands(admit(id, known->second));
+    sendCommands(addOwnedMachine(id, known->second));
     return;
   }
   if (h->known.version >= known->second.version) return;
@@ -158,7 +159,7 @@
   bool held = !h->placements.empty();
   while (!h->placements.empty()) {
     auto task = h->placements.begin()->first;
-    taskLost(*h, task);
+    handleTaskLost(*h, task);
   }
   roundScope_.machines.erase(id);
   failures_.forget(id);
@@ -186,9 +187,9 @@
     done(j->status);
     return true;
   }
-  j->cancelWaiters.push_back(std::move(done));
+  j->cancelCallbacks.push_back(std::move(done));
   if (!j->finished()) j->cancelRequested = true;
-  ending_.insert(id);
+  jobsToEnd_.insert(id);
   requestRound(false);
   return true;
 }
@@ -209,9 +210,9 @@
     checkLiveness(h, now);
     if (!owns()) continue;
     if (h.size.cores <= 0)
-      if (const auto* type = findType(view_.catalog, h.known.record.type)) state_.learnType(h, *type);
-    progressDrain(h);
-    if (h.contactDue) sendCommands(h);
+      if (const auto* type = findType(view_.catalog, h.known.record.type)) state_.setMachineType(h, *type);
+    advanceDrain(h);
+    if (h.directCommandDue) sendCommands(h);
   }
   if (!owns()) return;
   returnSuspected(now);
@@ -224,7 +225,7 @@
     return !j.second.waiting.empty() && j.second.notBefore > now - 2 * kTick && j.second.notBefore <= now;
   });
   if (due) requestRound(true);
-  bool toWrite = !unwrittenTasks_.empty() || !ending_.empty() || jobMigration_.cleanupsPlanned() ||
+  bool toWrite = !unwrittenTasks_.empty() || !jobsToEnd_.empty() || jobMigration_.cleanupsPlanned() ||
                  taskDelegation_.anyPlanned();
   if (toWrite || delegatedTasks_.anyReturnable(now)) requestRound(false);
 }
@@ -232,13 +233,13 @@
 // Whoever stood still hears first what has been waiting, and judges nobody before. What went unanswered
 // meanwhile is our own doing.
 bool ShardScheduler::stoodStill(Time now) {
-  bool still = ticked_ != Time{} && now - ticked_ > kStandstill;
+  bool still = lastTickAt_ != Time{} && now - lastTickAt_ > kStandstill;
   if (still) {
-    log_->info("share {}: stood still for {} ms", takeover_.shard.value, (now - ticked_).count());
-    resumed_ = now;
+    log_->info("share {}: stood still for {} ms", takeover_.shard.value, (now - lastTickAt_).count());
+    lastStallEnd_ = now;
     for (auto& [_, h] : state_.machines()) h.unansweredProbes = 0;
   }
-  ticked_ = now;
+  lastTickAt_ = now;
   return still;
 }
 
--- a/src/scheduler/shard_scheduler.h
+++ b/src/scheduler/shard_scheduler.h
@@ -44,7 +44,7 @@
     std::function<void(const std::string& address, std::function<void(const std::string& body)> done)> probe;
     std::function<void(Version, const ControllerId&, std::function<void(bool)>)> transferOwnership;
     // The latest moment at which a sibling may have answered our workers in our name (invariant 15).
-    std::function<Time()> answeredElsewhere;
+    std::function<Time()> answeredByPeersUntil;
     std::function<void(const mesh::CapacityRequest&)> requestCapacity;  // to the owners of all other shards
     std::function<void(const mesh::CapacityOffer&)> offerCapacity;  // to the owner of the shard that asked
     std::function<void(const mesh::TaskCapacityRequest&)>
@@ -90,7 +90,7 @@
   bool knowsCancellations() const { return loaded_ && delegatedTasks_.none(); }
   ShardId shard() const { return takeover_.shard; }
   // The revision of the shard's latest cancellation.
-  Version lastCancelled() const { return lastCancelled_; }
+  Version lastCancellationVersion() const { return lastCancellationVersion_; }
   // What was decided since the last call, for operators.
   std::string summarizeLastMinute() { return summarizeShard(shard(), state_, latencies_); }
   const ShardCounters& counts() const { return latencies_.counts; }
@@ -106,12 +106,12 @@
   bool owns() const { return leaseValidity_.owns(runtime_.now()); }
 
   // Loading (invariant 7).
-  void build(const ListResult& placementPages);
+  void finishLoading(const ListResult& placementPages);
   void addKnownJob(const JobId& id, const JobEntry& known);
   void restoreDelegation(const JobId& id, const JobEntry& known, const Delegation& delegation);
   void resumeJob(Job& job);
   void cleanUpCancelled();
-  Machine& admit(const MachineId& id, const MachineEntry& known);
+  Machine& addOwnedMachine(const MachineId& id, const MachineEntry& known);
 
   // Heartbeats (heartbeats.cpp).
   enum class ReconcileResult : std::uint8_t {
@@ -120,7 +120,8 @@
   };
   // What an accepted heartbeat changed about the machine itself.
   struct MachineChange {
-    bool firstHeartbeat = false;  // of a machine that was not heard before, or not since its lease ran out
+    bool firstHeartbeat =
+        false;  // of a machine that was not registered before, or not since its lease ran out
     bool cordonLifted = false;
     bool newIncarnation = false;
     [[nodiscard]] bool any() const { return firstHeartbeat || cordonLifted || newIncarnation; }
@@ -136,24 +137,24 @@
   void reconcileMissingTasks(Machine& machine, const wire::WorkerHeartbeat& heartbeat,
                              HeartbeatSource source);
   void countMissedStart(Machine& machine, bool missed);
-  void noteTokenUnacknowledged(Machine& machine);
+  void recordUnacknowledgedToken(Machine& machine);
   void handleWorkerRestart(Machine& machine, const wire::WorkerHeartbeat& answer);
   void beginIncarnation(Machine& machine);
   void handleReclaimNotice(Machine& machine, const wire::WorkerHeartbeat& heartbeat);
   // The task is known gone from the machine: drops its placement, and all that follows from that for its job.
-  void taskLost(Machine& machine, const TaskId& task);
-  void tasksLost(Machine& machine, const std::vector<TaskId>& tasks);
+  void handleTaskLost(Machine& machine, const TaskId& task);
+  void handleTasksLost(Machine& machine, const std::vector<TaskId>& tasks);
   // Until when at the latest a worker kills its tasks that gets no answer after one given now.
   Duration leaseAfterAnswer() const;
   // The task is to end; its placement is dropped at once if no start of it was ever sent.
   void stop(Machine& machine, const TaskId& task, Placement& placement);
 
   // Failed tasks (task_failures.cpp).
-  void taskEnded(Machine& machine, const wire::ReportedTask& reported);
-  void taskSucceeded(Machine& machine, const TaskId& task);
-  void taskFailed(Machine& machine, const wire::ReportedTask& reported);
-  const Machine* machineWhereJobWorks(const Job& job, Time now) const;
-  void quarantineFaulty(const JobId& job);
+  void handleTaskEnded(Machine& machine, const wire::ReportedTask& reported);
+  void handleTaskSucceeded(Machine& machine, const TaskId& task);
+  void handleTaskFailed(Machine& machine, const wire::ReportedTask& reported);
+  const Machine* findMachineRunning(const Job& job, Time now) const;
+  void quarantineFaultyMachines(const JobId& job);
   void reviewFailures(Time now);
 
   // Commands (commands.cpp).
@@ -172,16 +173,16 @@
   // Entries of the last heartbeat that the shard state does not place on the machine: ends them, and lets the
   // worker forget them once they have ended.
   void addCommandsForUnknownTasks(Machine& machine, std::vector<wire::Command>& commands);
-  bool doneIsUncommitted(const TaskId& id);
+  bool completionUncommitted(const TaskId& id);
   wire::Command stopCommandFor(const TaskId& task, const Placement& placement, Time now) const;
   bool mayCheckpoint(const Placement& placement, Time now) const;
   // How long a task that was stopped may take to save. A member of a gang that has saved waits for the
   // others.
   Duration maxCheckpointTime(const Job& job) const;
   // Appends what concerns attempts that the list does not name yet.
-  static void addCommands(std::vector<wire::Command>& list, std::vector<wire::Command> more);
-  // Sends the machine what it is to do, or a probe if it is to be heard; one such call at a time, and none
-  // during the pause after one that failed.
+  static void mergeCommands(std::vector<wire::Command>& list, std::vector<wire::Command> more);
+  // Sends the machine what it is to do, or a probe if it is to be registered; one such call at a time, and
+  // none during the pause after one that failed.
   void sendCommands(Machine& machine);
   // Machines that are gone from the shard state by now are left out.
   void sendCommandsToAll(const std::set<MachineId>& machines);
@@ -205,33 +206,33 @@
     // So many of them that the fault is likely not theirs.
     [[nodiscard]] bool moreThan(double fraction) const;
   };
-  struct SuspicionSurvey {
+  struct SuspicionCounts {
     SuspectCount shard;
     std::map<Zone, SuspectCount> zones;
     std::vector<Machine*> suspected;
   };
   // After this long without a heartbeat the next should have been here, a quarter of an interval included.
-  Duration reportDue() const;
-  // How long it has had the chance to be heard and was not: our own standstill does not count.
+  Duration heartbeatDueAfter() const;
+  // How long it has had the chance to be registered and was not: our own standstill does not count.
   Duration timeSinceHeartbeat(const Machine& machine) const;
   bool heartbeatOverdue(const Machine& machine) const;
   void checkLiveness(Machine& machine, Time now);
   void expireLease(Machine& machine);
-  // It is silent though it was probed, or heard without a sign that it hears us (invariant 11).
+  // It is silent though it was probed, or registered without a sign that it hears us (invariant 11).
   bool suspected(const Machine& machine, Time now) const;
   bool tokenUnacknowledgedTooLong(const Machine& machine, Time now) const;
   // Returns suspected machines to the cloud, whose confirmation that they are gone frees their tasks at once.
   // Where much of the shard or of a zone is suspected the fault is likely not theirs, and leases decide.
   void returnSuspected(Time now);
-  SuspicionSurvey surveySuspects(Time now);
-  void noteMassSuspicion(const SuspicionSurvey& survey, Time now);
-  bool recentlyNoted(std::optional<Time> noted, Time now) const;
+  SuspicionCounts countSuspects(Time now);
+  void recordMassSuspicion(const SuspicionCounts& survey, Time now);
+  bool isRecent(std::optional<Time> noted, Time now) const;
 
   // Upkeep.
   void tick();
   bool stoodStill(Time now);
   void decommission(Machine& machine, std::int32_t moveTarget);
-  void progressDrain(Machine& machine);
+  void advanceDrain(Machine& machine);
   std::optional<std::vector<TaskId>> movableReplicas(const Machine& machine) const;
   // What a plan to move replicas leaves free on machines, by their number, and how many of a job it moves
   // into a zone.
@@ -283,7 +284,7 @@
   void preempt(const std::vector<PendingJob>& blocked);
   void preemptForTasks(const PendingJob& pending, PreemptionRound& round);
   void preemptForGang(const PendingJob& pending, PreemptionRound& round);
-  void carryOut(const PlannedEviction& eviction, const PendingJob& pending, PreemptionRound& round);
+  void executeEviction(const PlannedEviction& eviction, const PendingJob& pending, PreemptionRound& round);
   // How long the job still waits for others to end by themselves.
   Duration timeUntilPreemption(const PendingJob& pending) const;
   void schedulePreemption(Duration wait);
@@ -293,8 +294,8 @@
   void reviewMigrations(Time now);
   bool planMigration(const Job& job);
   bool migrationPlanned(const JobId& id) const;
-  bool waitsLong(const Job& job, Time now) const;
-  bool unplaceable(const Job& job) const;
+  bool hasWaitedLong(const Job& job, Time now) const;
+  bool isUnplaceable(const Job& job) const;
   std::vector<Job*> oldestUnplaceable(RemotePlacement purpose, Time now);
   bool mayOfferCapacity(Time lastOffer) const;
   const JobEntry* openJobOf(ShardId shard, const JobId& id) const;
@@ -322,22 +323,22 @@
   std::optional<Time> commitDelayedUntil() const;
   void commitAt(Time due);
   void composeCommit();
-  void transferOwnershipIfAsked();
+  void transferOwnershipIfRequested();
   void ownershipTransferEnded(bool transferred);
   void committed(const TransactionResult& result);
   void endIfFinished(const Job& job);
   void addFinishedJobs(TransactionBuilder& transaction);
   void addPages(TransactionBuilder& transaction);
-  void addPageDrop(TransactionBuilder& transaction);
-  void takeEffect(Version revision);
+  void addPageDeletion(TransactionBuilder& transaction);
+  void applyCommit(Version revision);
   void migrationCommitted(const JobId& id);
   void completionCommitted(const TaskId& id);
   void placementCommitted(const PlacementWrite& written, std::set<MachineId>& machines);
   void jobEndCommitted(const JobEnd& end, Version revision, std::set<MachineId>& machines);
-  std::size_t roundWidth() const;
+  std::size_t maxTasksPerRound() const;
   void stopTasks(const Job& job, std::set<MachineId>& machines);
-  void cleanUp(Job& job);
-  void answerCancelWaiters(Job& job, JobStatus status);
+  void removeFinishedJob(Job& job);
+  void runCancelCallbacks(Job& job, JobStatus status);
 
   const Settings& settings_;
   Runtime& runtime_;
@@ -356,7 +357,7 @@
   PlacementConstraints constraints_{settings_, state_, failures_, runtime_};
   Time failuresReviewed_{};
   bool loaded_ = false;
-  Version lastCancelled_;
+  Version lastCancellationVersion_;
   std::uint64_t attempts_ = 0;
   std::optional<ControllerId> transferringTo_;
   bool ownershipTransferSent_ = false;
@@ -368,7 +369,7 @@
   Time lastPreemption_{};
   std::optional<Time> preemptionDue_;  // when a round is to preempt next
   std::deque<TaskId> unwrittenTasks_;  // tasks whose placement or completion is to be written
-  std::set<JobId> ending_;             // jobs to write as done or cancelled
+  std::set<JobId> jobsToEnd_;          // jobs to write as done or cancelled
   bool committing_ = false;
   Time commitNotBefore_{}, lastCommit_{};
   bool commitScheduled_ = false;
@@ -380,8 +381,8 @@
   // When so many machines were last suspected that the fault was likely not theirs: of the shard, of a zone.
   std::optional<Time> massSuspicionAt_;
   std::map<Zone, Time> massSuspicionInZoneAt_;
-  Time ticked_{};
-  Time resumed_{};  // the end of our own last standstill
+  Time lastTickAt_{};
+  Time lastStallEnd_{};  // the end of our own last standstill
 
   JobCapacityOffers jobOffers_;
   JobMigration jobMigration_;
--- a/src/scheduler/shard_state.cpp
+++ b/src/scheduler/shard_state.cpp
@@ -19,7 +19,7 @@
 Resources Machine::capacityBeingFreed() const {
   Resources r;
   for (const auto& [_, p] : placements)
-    if (!p.wanted) r += p.job->spec->each;
+    if (!p.desired) r += p.job->spec->each;
   return r;
 }
 
@@ -30,7 +30,7 @@
   job.id = id;
   job.spec = known.spec;
   job.team = settings_.team(job.spec->team);
-  job.holders = &holders_[job.spec->image];
+  job.imageHolders = &holders_[job.spec->image];
   job.version = known.version;
   job.submitted = known.submitted;
   job.status = known.status;
@@ -51,7 +51,7 @@
   job.delegations = known.delegations;
   for (const auto& delegation : known.delegations)
     for (auto index : delegation.tasks)
-      if (index < job.tasks.size()) makeRemote(job, index, delegation.zone);
+      if (index < job.tasks.size()) markRemote(job, index, delegation.zone);
   for (auto index : known.doneRemotely) {
     if (index >= job.tasks.size() || job.tasks[index].state != TaskState::Waiting) continue;
     job.tasks[index].state = TaskState::Done;
@@ -69,14 +69,14 @@
   }
 }
 
-void ShardState::makeRemote(Job& job, std::uint32_t index, const std::optional<Zone>& zone) {
+void ShardState::markRemote(Job& job, std::uint32_t index, const std::optional<Zone>& zone) {
   job.tasks[index].state = TaskState::Remote;
   ++job.remote;
   if (zone) ++job.zones[*zone];
   usageByTeam_[job.spec->team] += job.spec->each;
 }
 
-void ShardState::remoteBack(Job& job, std::uint32_t index, const std::optional<Zone>& zone, bool done) {
+void ShardState::takeBackRemote(Job& job, std::uint32_t index, const std::optional<Zone>& zone, bool done) {
   --job.remote;
   if (zone) {
     auto count = job.zones.find(*zone);
@@ -121,18 +121,18 @@
   }
   machine.pool = &poolFor(machine);
   ++machine.pool->machines;
-  machine.lastHeard = now;
+  machine.lastHeartbeatAt = now;
   machine.idleSince = now;
   return machine;
 }
 
-Pool& ShardState::poolFor(const Machine& machine) {
+MachinePool& ShardState::poolFor(const Machine& machine) {
   const auto& record = machine.known.record;
-  auto found = std::find_if(pools_.begin(), pools_.end(), [&](const Pool& pool) {
+  auto found = std::find_if(pools_.begin(), pools_.end(), [&](const MachinePool& pool) {
     return pool.type == record.type && pool.zone == record.zone && pool.spot == record.spot;
   });
   if (found != pools_.end()) return *found;
-  Pool pool;
+  MachinePool pool;
   pool.type = record.type;
   pool.zone = record.zone;
   pool.spot = record.spot;
@@ -141,7 +141,7 @@
   return pools_.emplace_back(std::move(pool));
 }
 
-void ShardState::learnType(Machine& machine, const MachineType& type) {
+void ShardState::setMachineType(Machine& machine, const MachineType& type) {
   machine.size = type.size;
   machine.fetchGbPerS = type.fetchGbPerS;
   machine.images = ImageCache(type.cacheGb);
@@ -157,7 +157,7 @@
   machine.decommissioning = true;
   reindex(machine);
   --machine.pool->machines;
-  for (auto& [_, holders] : holders_) holders.erase(machine.no);
+  for (auto& [_, imageHolders] : holders_) imageHolders.erase(machine.no);
   machines_.erase(found);
 }
 
@@ -169,11 +169,11 @@
 void ShardState::reindex(Machine& machine) {
   std::optional<double> freeCores;  // nothing: it is not to be in the index
   if (machine.open()) freeCores = machine.free().cores;
-  if (machine.indexedFree == freeCores) return;
+  if (machine.indexedFreeCores == freeCores) return;
   auto& index = machine.pool->byFreeCores;
-  if (machine.indexedFree) index.erase({*machine.indexedFree, machine.no});
+  if (machine.indexedFreeCores) index.erase({*machine.indexedFreeCores, machine.no});
   if (freeCores) index[{*freeCores, machine.no}] = &machine;
-  if (!machine.indexedFree) {
+  if (!machine.indexedFreeCores) {
     machine.openAt = open_.size();
     open_.push_back(&machine);
   } else if (!freeCores) {
@@ -182,10 +182,10 @@
     open_[machine.openAt]->openAt = machine.openAt;
     open_.pop_back();
   }
-  machine.indexedFree = freeCores;
+  machine.indexedFreeCores = freeCores;
 }
 
-void ShardState::cached(Machine& machine, const ImageId& image, double sizeGb) {
+void ShardState::recordImageUse(Machine& machine, const ImageId& image, double sizeGb) {
   for (const auto& evicted : machine.images.touch(image, sizeGb)) holders_[evicted].erase(machine.no);
   holders_[image][machine.no] = &machine;
 }
@@ -207,8 +207,8 @@
   task.state = TaskState::Placed;
   task.machine = &machine;
   ++job.placed;
-  job.begun = true;
-  job.placedLast = now;
+  job.started = true;
+  job.lastPlacedAt = now;
   reindex(machine);
   return placement;
 }
@@ -225,7 +225,7 @@
   if (--zone->second == 0) job.zones.erase(zone);
   --job.placed;
   if (released.committed) --job.committed;
-  if (released.phase == wire::TaskPhase::Running && released.shown) --job.running;
+  if (released.phase == wire::TaskPhase::Running && released.observed) --job.running;
   job.tasks[id.index].machine = nullptr;
   machine.placements.erase(placement);
   if (machine.placements.empty()) {
@@ -237,11 +237,11 @@
   reindex(machine);
 }
 
-void ShardState::markGone(Machine& machine, const TaskId& task, Time now) {
+void ShardState::requeueLostTask(Machine& machine, const TaskId& task, Time now) {
   auto placement = machine.placements.find(task);
   if (placement == machine.placements.end()) return;
   Job& job = *placement->second.job;
-  if (placement->second.shown && machine.spot()) ++job.lost;
+  if (placement->second.observed && machine.spot()) ++job.lost;
   release(machine, placement, now);
   auto& lost = job.tasks[task.index];
   lost.state = TaskState::Waiting;
@@ -250,7 +250,7 @@
   job.waiting.push_front(task.index);
 }
 
-void ShardState::taskDone(Machine& machine, const TaskId& task, Time now) {
+void ShardState::markTaskDone(Machine& machine, const TaskId& task, Time now) {
   auto placement = machine.placements.find(task);
   if (placement == machine.placements.end()) return;
   Job& job = *placement->second.job;
@@ -265,7 +265,7 @@
   ++placement.job->committed;
 }
 
-void ShardState::doneWaiting(Job& job) {
+void ShardState::markWaitingDone(Job& job) {
   for (auto index : job.waiting) job.tasks[index].state = TaskState::Done;
   job.done += static_cast<std::uint32_t>(job.waiting.size());
   job.waiting.clear();
@@ -273,20 +273,20 @@
 
 void ShardState::setPhase(Placement& placement, wire::TaskPhase phase, Time now) {
   using wire::TaskPhase;
-  bool ranBefore = placement.shown && placement.phase == TaskPhase::Running;
+  bool ranBefore = placement.observed && placement.phase == TaskPhase::Running;
   bool runsNow = phase == TaskPhase::Running;
   if (runsNow && !ranBefore) {
     ++placement.job->running;
     placement.runningSince = now;
   }
   if (ranBefore && !runsNow) --placement.job->running;
-  placement.shown = true;
+  placement.observed = true;
   placement.phase = phase;
 }
 
 // --- quotas ---
 
-Resources ShardState::teamUse(const TeamId& team) const {
+Resources ShardState::teamUsage(const TeamId& team) const {
   auto usage = usageByTeam_.find(team);
   return usage == usageByTeam_.end() ? Resources{} : usage->second;
 }
@@ -296,13 +296,13 @@
   if (job.delegation) return true;  // the owner's shard counts it (invariant 18)
   if (job.maxConcurrent)
     return job.placed + job.remote < *job.maxConcurrent;  // its team's own shard counts it (invariant 17)
-  auto sum = teamUse(job.spec->team) + job.spec->each;
+  auto sum = teamUsage(job.spec->team) + job.spec->each;
   sum.ram = 0;
   return sum.fitsIn({job.team->coreQuota, job.team->gpuQuota, 0});
 }
 
 bool ShardState::aboveGuarantee(const Team& team) const {
-  return teamUse(team.name).cores > team.cores + kResourceSlack;
+  return teamUsage(team.name).cores > team.cores + kResourceSlack;
 }
 
 bool ShardState::mayPreempt(PriorityClass claimant, bool guaranteed) const {
--- a/src/scheduler/shard_state.h
+++ b/src/scheduler/shard_state.h
@@ -32,19 +32,19 @@
 //
 // What moves it (invariants 2, 3 and 8 say when a placement may be dropped):
 //
-//   placed        wanted; its attempt is not written yet
+//   placed        desired; its attempt is not written yet
 //     | the commit of its attempt succeeds, or it is read from the store: restored
 //     v
 //   committed     awaitsStart(), unless restored: a former owner may have sent its start
 //     | a command with its start goes out: startSent
 //     v
-//   starting      repeated in answers to heartbeats until it is shown
-//     | a heartbeat of the worker's present incarnation lists it: shown
+//   starting      repeated in answers to heartbeats until it is observed
+//     | a heartbeat of the worker's present incarnation lists it: observed
 //     v
-//   shown         in the phase that the worker says, until a heartbeat says that it ended
-//     | preemption, drain, cancellation, a broken gang: no longer wanted (from any state above)
+//   observed         in the phase that the worker says, until a heartbeat says that it ended
+//     | preemption, drain, cancellation, a broken gang: no longer desired (from any state above)
 //     v
-//   stopping      awaitsStop() if it is shown; else it waits until no start can arrive any more
+//   stopping      awaitsStop() if it is observed; else it waits until no start can arrive any more
 //     | a heartbeat shows it ended, or lacks it and no start of it can arrive; the worker's incarnation
 //     | is over; or the machine's record is gone. One whose start was never sent is gone at once
 //     v
@@ -53,23 +53,23 @@
   Job* job = nullptr;
   Attempt attempt;
   bool committed = false;       // its attempt is written
-  bool wanted = true;           // false: it is to be stopped
+  bool desired = true;          // false: it is to be stopped
   bool skipCheckpoint = false;  // it is to be stopped at once, as others wait for its room
   bool restored = false;        // read from the store: a former owner may have sent its start
   bool startSent = false;       // a command of ours carried its start
-  bool shown = false;           // a heartbeat of the worker's present incarnation listed it
-  wire::TaskPhase phase = wire::TaskPhase::Fetching;  // as last shown
+  bool observed = false;        // a heartbeat of the worker's present incarnation listed it
+  wire::TaskPhase phase = wire::TaskPhase::Fetching;  // as last observed
   SequenceNumber startSentWith;                       // the last heartbeat whose answer carried its start
   Time placedAt{};
   Time runningSince{};
   Time stopSent{};  // when its first stop, or its last direct one, went out
 
   // What we want and what the worker shows differ.
-  [[nodiscard]] bool pending() const { return !wanted || !shown; }
+  [[nodiscard]] bool pending() const { return !desired || !observed; }
   // Its start is ours to send, and the worker does not show it yet.
-  [[nodiscard]] bool awaitsStart() const { return committed && wanted && !shown && !restored; }
+  [[nodiscard]] bool awaitsStart() const { return committed && desired && !observed && !restored; }
   // The worker is to be told to stop it.
-  [[nodiscard]] bool awaitsStop() const { return !wanted && shown; }
+  [[nodiscard]] bool awaitsStop() const { return !desired && observed; }
 };
 
 // A machine of the shard, as its owner knows it, and the dealings with the worker on it.
@@ -77,20 +77,20 @@
 // What moves it:
 //
 // clang-format off
-//   booting       not heard, and no address in its record
+//   booting       not registered, and no address in its record
 //     | a heartbeat that shows our token (invariants 7 and 12)
 //     v
-//   heard         open() for new work, unless one of these holds:
+//   registered         open() for new work, unless one of these holds:
 //     |             cordoned          no heartbeat of late; the next one ends it
 //     |             command in doubt  an unanswered command may still arrive (CommandFence);
 //     |                               a heartbeat with a higher token ends it
 //     |             reclaimAt         the cloud has announced that it takes the machine
 //     |             draining          leaves when it is empty; may be called off
 //     |             decommissioning   takes no more work, for good
-//     | silent for its whole lease (aliveUntil)
+//     | silent for its whole lease (leaseExpiresAt)
 //     v
-//   not heard     its incarnation is over and all its tasks are known gone; the next heartbeat of a
-//                 new incarnation makes it heard again
+//   not registered     its incarnation is over and all its tasks are known gone; the next heartbeat of a
+//                 new incarnation makes it registered again
 //
 //   returnNow     suspected (ShardScheduler::suspected) or faulty: it goes to the cloud whatever is
 //                 on it, and is removed with its record
@@ -99,7 +99,7 @@
   MachineId id;
   std::uint32_t no = 0;  // in the shard state; gives walks their order
   MachineEntry known;    // its record
-  Pool* pool = nullptr;
+  MachinePool* pool = nullptr;
   Resources size, used;
   double fetchGbPerS = 0;
   double replicaCores = 0;  // of services
@@ -107,21 +107,21 @@
   ImageCache images;
 
   // --- hearing the worker ---
-  bool heard = false;     // a heartbeat with our token came (invariant 7), and its lease is not over since
-  bool cordoned = false;  // not heard of late: it gets no new work
-  Time lastHeard{};
-  Time aliveUntil{};  // beyond this its worker has ended its incarnation (invariant 2)
+  bool registered = false;  // a heartbeat with our token came (invariant 7), and its lease is not over since
+  bool cordoned = false;    // not registered of late: it gets no new work
+  Time lastHeartbeatAt{};
+  Time leaseExpiresAt{};  // beyond this its worker has ended its incarnation (invariant 2)
   CommandFence fence;
   std::vector<wire::ReportedTask> reported;  // the tasks in the last accepted heartbeat
   std::string address;                       // as it says itself
   std::optional<Time> reclaimAt;             // when the cloud takes it, as announced
 
-  // --- being heard by it ---
-  bool contactDue = true;         // it has commands to get, or is to be asked for a heartbeat
-  bool commandInFlight = false;   // a direct command has neither an answer nor timed out
-  bool sendAgain = false;         // another direct command is to follow that one
-  Time sendNotBefore{};           // the next direct command
-  unsigned unansweredProbes = 0;  // direct commands in a row without an answer
+  // --- being registered by it ---
+  bool directCommandDue = true;     // it has commands to get, or is to be asked for a heartbeat
+  bool commandInFlight = false;     // a direct command has neither an answer nor timed out
+  bool followUpCommandDue = false;  // another direct command is to follow that one
+  Time nextCommandNotBefore{};      // the next direct command
+  unsigned unansweredProbes = 0;    // direct commands in a row without an answer
   // Heartbeats in a row that lack a task that an answer to an earlier one should have started.
   unsigned missedStarts = 0;
   std::optional<Time> tokenUnacknowledgedSince;  // heartbeats come, but none shows our token (invariant 11)
@@ -134,7 +134,7 @@
   Time idleSince{};
 
   // Where the index has it.
-  std::optional<double> indexedFree;
+  std::optional<double> indexedFreeCores;
   std::size_t openAt = 0;
 
   [[nodiscard]] FencingToken token() const { return fence.token(); }
@@ -142,10 +142,12 @@
   bool spot() const { return known.record.spot; }
   const Zone& zone() const { return known.record.zone; }
   Resources free() const { return size - used; }
-  double fetchS(const JobSpec& job) const { return fetchGbPerS > 0 ? job.imageGb / fetchGbPerS : 0; }
+  double imageFetchSeconds(const JobSpec& job) const {
+    return fetchGbPerS > 0 ? job.imageGb / fetchGbPerS : 0;
+  }
   // It takes new work.
   bool open() const {
-    return heard && !cordoned && !decommissioning && !draining && !reclaimAt &&
+    return registered && !cordoned && !decommissioning && !draining && !reclaimAt &&
            known.record.phase == wire::MachinePhase::InUse && noCommandInDoubt() && size.cores > 0;
   }
   // The placement of this very attempt; null if the task is not placed here.
@@ -195,9 +197,9 @@
 
   // --- machines ---
 
-  // Without a type (it is not in the catalog yet) the machine takes no work until learnType() is called.
+  // Without a type (it is not in the catalog yet) the machine takes no work until setMachineType() is called.
   Machine& addMachine(const MachineId& id, const MachineEntry& known, const MachineType* type, Time now);
-  void learnType(Machine& machine, const MachineType& type);
+  void setMachineType(Machine& machine, const MachineType& type);
   // Nothing may be on the machine any more.
   void removeMachine(const MachineId& id);
   // Null if there is none.
@@ -208,9 +210,9 @@
   // on has changed.
   void reindex(Machine& machine);
   // The image, of that size, was used on the machine just now.
-  void cached(Machine& machine, const ImageId& image, double sizeGb);
-  const std::list<Pool>& pools() const { return pools_; }
-  std::list<Pool>& pools() { return pools_; }
+  void recordImageUse(Machine& machine, const ImageId& image, double sizeGb);
+  const std::list<MachinePool>& pools() const { return pools_; }
+  std::list<MachinePool>& pools() { return pools_; }
   // Machines that take new work, in no particular order.
   const std::vector<Machine*>& openMachines() const { return open_; }
 
@@ -220,26 +222,26 @@
   // limits from now on (invariant 1).
   Placement& place(Job& job, std::uint32_t index, Machine& machine, Attempt attempt, Time now);
   // The task is known gone (invariant 2): it waits again, before tasks that never ran.
-  void markGone(Machine& machine, const TaskId& task, Time now);
-  void taskDone(Machine& machine, const TaskId& task, Time now);
+  void requeueLostTask(Machine& machine, const TaskId& task, Time now);
+  void markTaskDone(Machine& machine, const TaskId& task, Time now);
   // A waiting task goes to another shard: it counts toward the team's quota and the zones' rules as if placed
   // there, until it is back.
-  void makeRemote(Job& job, std::uint32_t index, const std::optional<Zone>& zone);
-  void remoteBack(Job& job, std::uint32_t index, const std::optional<Zone>& zone, bool done);
+  void markRemote(Job& job, std::uint32_t index, const std::optional<Zone>& zone);
+  void takeBackRemote(Job& job, std::uint32_t index, const std::optional<Zone>& zone, bool done);
   // The placement's attempt is written.
   static void commit(Placement& placement);
   // All tasks that wait are done though no machine that is left can tell.
-  static void doneWaiting(Job& job);
+  static void markWaitingDone(Job& job);
   // A heartbeat showed the task in this phase.
   void setPhase(Placement& placement, wire::TaskPhase phase, Time now);
 
   // --- quotas ---
 
   // What the team's tasks take, on this shard's machines and on others'.
-  Resources teamUse(const TeamId& team) const;
+  Resources teamUsage(const TeamId& team) const;
   // What tasks of the team take on another shard's machines, or may take.
-  void countRemoteUsage(const TeamId& team, const Resources& sum) { usageByTeam_[team] += sum; }
-  void uncountRemoteUsage(const TeamId& team, const Resources& sum) { usageByTeam_[team] -= sum; }
+  void addRemoteUsage(const TeamId& team, const Resources& sum) { usageByTeam_[team] += sum; }
+  void subtractRemoteUsage(const TeamId& team, const Resources& sum) { usageByTeam_[team] -= sum; }
   // Whether one more task of the job keeps its team within the quota.
   bool withinLimit(const Job& job) const;
   // The team uses more cores than it is guaranteed.
@@ -261,7 +263,7 @@
  private:
   void addOwnTasks(Job& job, const JobEntry& known);
   void addDelegatedTasks(Job& job, const Delegation& delegation);
-  Pool& poolFor(const Machine& machine);
+  MachinePool& poolFor(const Machine& machine);
   void release(Machine& machine, std::map<TaskId, Placement>::iterator placement, Time now);
   // The page that holds the task's state holds an outdated one from now on.
   void detachFromPage(Task& task);
@@ -276,7 +278,7 @@
   std::map<JobId, Job> jobs_;
   std::map<TeamId, TeamJobs> byTeam_;
   std::map<MachineId, Machine> machines_;
-  std::list<Pool> pools_;
+  std::list<MachinePool> pools_;
   std::vector<Machine*> open_;
   std::unordered_map<ImageId, MachineSet> holders_;  // machines that are taken to cache the image
   std::unordered_map<TeamId, Resources> usageByTeam_;
--- a/src/scheduler/shard_summary.cpp
+++ b/src/scheduler/shard_summary.cpp
@@ -21,9 +21,9 @@
       ++decommissioning;
     else if (machine.draining)
       ++draining;
-    else if (!machine.heard && record.address.empty())
+    else if (!machine.registered && record.address.empty())
       ++booting;
-    else if (!machine.heard || machine.cordoned)
+    else if (!machine.registered || machine.cordoned)
       ++silent;
     else
       ++suspected;
@@ -49,12 +49,13 @@
       shard.value, openJobs, waitingTasks, state.machines().size(), state.openMachines().size(),
       closed.booting, closed.silent, closed.suspected, closed.draining, closed.decommissioning,
       state.pages().count());
-  auto minute = latencies.takeMinute();
+  auto minute = latencies.takeRoundCounters();
   return fmt::format("{} starts={} rounds={} widest_round={} machines_examined={} preempted={} {} {} {}",
-                     work, minute.starts, minute.rounds, minute.widest, minute.machinesExamined,
-                     minute.evicted, latencies.toPlaced.take("arrival_to_placed"),
-                     latencies.toCommitted.take("placed_to_committed"),
-                     latencies.toShown.take("placed_to_shown"));
+                     work, minute.starts, minute.rounds, minute.maxPlacementsPerRound,
+                     minute.machinesExamined, minute.evictedTasks,
+                     latencies.arrivalToPlaced.take("arrival_to_placed"),
+                     latencies.placedToCommitted.take("placed_to_committed"),
+                     latencies.placedToShown.take("placed_to_shown"));
 }
 
 }  // namespace cherryloft
--- a/src/scheduler/start_latencies.cpp
+++ b/src/scheduler/start_latencies.cpp
@@ -35,13 +35,13 @@
   return line;
 }
 
-RoundCounters StartLatencies::takeMinute() {
+RoundCounters StartLatencies::takeRoundCounters() {
   RoundCounters minute;
   minute.starts = counts.starts - countsAtLastTake.starts;
   minute.machinesExamined = counts.machinesExamined - countsAtLastTake.machinesExamined;
   minute.rounds = std::exchange(rounds, 0);
-  minute.widest = std::exchange(widest, 0);
-  minute.evicted = std::exchange(evicted, 0);
+  minute.maxPlacementsPerRound = std::exchange(maxPlacementsPerRound, 0);
+  minute.evictedTasks = std::exchange(evictedTasks, 0);
   countsAtLastTake = counts;
   return minute;
 }
--- a/src/scheduler/start_latencies.h
+++ b/src/scheduler/start_latencies.h
@@ -42,24 +42,24 @@
   std::size_t starts = 0;
   std::size_t machinesExamined = 0;
   std::size_t rounds = 0;
-  std::size_t widest = 0;   // placements of the round that made most
-  std::size_t evicted = 0;  // tasks preempted
+  std::size_t maxPlacementsPerRound = 0;  // placements of the round that made most
+  std::size_t evictedTasks = 0;           // tasks preempted
 };
 
 // From a task's arrival to the round that placed it, to its commit, and to the heartbeat that showed it.
 struct StartLatencies {
-  LatencyHistogram toPlaced;
-  LatencyHistogram toCommitted;
-  LatencyHistogram toShown;
+  LatencyHistogram arrivalToPlaced;
+  LatencyHistogram placedToCommitted;
+  LatencyHistogram placedToShown;
   ShardCounters counts;
-  // Since the last takeMinute().
+  // Since the last takeRoundCounters().
   std::size_t rounds = 0;
-  std::size_t widest = 0;
-  std::size_t evicted = 0;
+  std::size_t maxPlacementsPerRound = 0;
+  std::size_t evictedTasks = 0;
   ShardCounters countsAtLastTake;
 
   // What was counted since the last call.
-  RoundCounters takeMinute();
+  RoundCounters takeRoundCounters();
 };
 
 }  // namespace cherryloft
--- a/src/scheduler/task_delegation.cpp
+++ b/src/scheduler/task_delegation.cpp
@@ -25,7 +25,7 @@
   while (delegation.tasks.size() < most && (!offer.zone || zoneAllows_(job, *offer.zone))) {
     auto index = job.waiting.front();
     job.waiting.pop_front();
-    state_.makeRemote(job, index, offer.zone);
+    state_.markRemote(job, index, offer.zone);
     delegation.tasks.push_back(index);
   }
   if (delegation.tasks.empty()) return 0;
@@ -55,7 +55,7 @@
 
 void TaskDelegation::letWaitAgain(Job& job, const DelegationWrite& plan) {
   for (const auto& delegation : plan.planned)
-    for (auto index : delegation.tasks) state_.remoteBack(job, index, delegation.zone, false);
+    for (auto index : delegation.tasks) state_.takeBackRemote(job, index, delegation.zone, false);
   std::sort(job.waiting.begin(), job.waiting.end());
 }
 
@@ -69,7 +69,7 @@
   if (found == view_.jobs.end()) return std::nullopt;
   const auto& entry = found->second;
   bool current = entry.version == job.version && entry.status == JobStatus::Open;
-  if (!current || !job.open() || !job.cancelWaiters.empty()) return std::nullopt;
+  if (!current || !job.open() || !job.cancelCallbacks.empty()) return std::nullopt;
   return recordAfterDelegation(job, entry, ownShard_, change);
 }
 
@@ -107,7 +107,7 @@
 
 // --- what the record says ---
 
-// The cluster view may have shown it before the answer came, and what the delegates wrote since.
+// The cluster view may have observed it before the answer came, and what the delegates wrote since.
 void TaskDelegation::committed(const DelegationWrite& written, Version version) {
   Job* job = state_.job(written.job);
   if (!job || job->version >= version) return;
@@ -127,7 +127,7 @@
       bool stillDelegated = now && now->covers(index);
       if (stillDelegated || job.tasks[index].state != TaskState::Remote) continue;
       bool done = std::binary_search(entry.doneRemotely.begin(), entry.doneRemotely.end(), index);
-      state_.remoteBack(job, index, before.zone, done);
+      state_.takeBackRemote(job, index, before.zone, done);
       (done ? returned.done : returned.unfinished).push_back(index);
     }
   }
--- a/src/scheduler/task_delegation_delegate.cpp
+++ b/src/scheduler/task_delegation_delegate.cpp
@@ -40,7 +40,7 @@
   job.since = runtime_.now();
   delegatedTasks_.add(id);
   // A gang's attempt is tried once; whether a former owner of this shard did is not known.
-  if (!loaded_ && delegation.attempt) job.begun = true;
+  if (!loaded_ && delegation.attempt) job.started = true;
   if (loaded_ && delegation.recalled) recallDelegated(job);  // else once what is placed is restored
   return job;
 }
@@ -60,7 +60,7 @@
   if (!job->delegation || job->status != JobStatus::Open) return;
   job->version = std::max(job->version, entry.version);
   if (entry.status == JobStatus::Cancelled) {
-    lastCancelled_ = std::max(lastCancelled_, entry.version);
+    lastCancellationVersion_ = std::max(lastCancellationVersion_, entry.version);
     cancelDelegated(*job);
   } else if (delegation && delegation->recalled) {
     recallDelegated(*job);
@@ -84,7 +84,7 @@
   job.waiting.clear();
   std::set<MachineId> machines;
   stopTasks(job, machines);
-  if (Job* remaining = state_.job(id)) cleanUp(*remaining);
+  if (Job* remaining = state_.job(id)) removeFinishedJob(*remaining);
   sendCommandsToAll(machines);
   requestRound(true);
 }
--- a/src/scheduler/task_delegation_owner.cpp
+++ b/src/scheduler/task_delegation_owner.cpp
@@ -82,7 +82,7 @@
   bool any = taskDelegation_.planned(job.id);
   bool gangIncomplete = gang && remaining > 0;
   if (any && !gangIncomplete) {
-    job.placedLast = now;  // the rest waits anew
+    job.lastPlacedAt = now;  // the rest waits anew
     return true;
   }
   job.gangAttempt.reset();  // the next try, wherever it is, has an attempt of its own
--- a/src/scheduler/task_failures.cpp
+++ b/src/scheduler/task_failures.cpp
@@ -13,43 +13,43 @@
 constexpr Duration kRetryAfterUnknownEnd{1'000};
 }  // namespace
 
-void ShardScheduler::taskEnded(Machine& machine, const wire::ReportedTask& reported) {
+void ShardScheduler::handleTaskEnded(Machine& machine, const wire::ReportedTask& reported) {
   if (reported.cause == ExitCause::Done)
-    taskSucceeded(machine, reported.task);
+    handleTaskSucceeded(machine, reported.task);
   else
-    taskFailed(machine, reported);
+    handleTaskFailed(machine, reported);
 }
 
-void ShardScheduler::taskSucceeded(Machine& machine, const TaskId& task) {
+void ShardScheduler::handleTaskSucceeded(Machine& machine, const TaskId& task) {
   auto now = runtime_.now();
   Job& job = *machine.placements.at(task).job;
-  state_.cached(machine, job.spec->image, job.spec->imageGb);
-  state_.taskDone(machine, task, now);
+  state_.recordImageUse(machine, job.spec->image, job.spec->imageGb);
+  state_.markTaskDone(machine, task, now);
   loadReporter_.workDone(now, job.spec->each.cores, job.spec->spotAllowed);
   failures_.completed(job.id, machine.id, now);
-  quarantineFaulty(job.id);
+  quarantineFaultyMachines(job.id);
   if (job.status == JobStatus::Open) {
     unwrittenTasks_.push_back(task);
     completeGangIfDone(job);
     endIfFinished(job);
   }
-  cleanUp(job);
+  removeFinishedJob(job);
 }
 
-void ShardScheduler::taskFailed(Machine& machine, const wire::ReportedTask& reported) {
+void ShardScheduler::handleTaskFailed(Machine& machine, const wire::ReportedTask& reported) {
   auto now = runtime_.now();
   const auto& placement = machine.placements.at(reported.task);
   Job& job = *placement.job;
-  bool ran = placement.shown && placement.phase == TaskPhase::Running;
+  bool ran = placement.observed && placement.phase == TaskPhase::Running;
   auto ranFor = ran ? now - placement.runningSince : Duration{};
-  state_.markGone(machine, reported.task, now);
+  state_.requeueLostTask(machine, reported.task, now);
   log_->debug("task ended without success task={} machine={} cause={}", wire::encodeTask(reported.task),
               machine.id.value, static_cast<int>(reported.cause));
   switch (reported.cause) {
     case ExitCause::Error:
       if (auto wait = failures_.failed(reported.task, machine.id, ranFor, state_.machines().size(), now))
         job.notBefore = now + *wait;
-      quarantineFaulty(job.id);
+      quarantineFaultyMachines(job.id);
       break;
     case ExitCause::NoRoom:
     case ExitCause::Busy:
@@ -64,11 +64,11 @@
   completeGangIfDone(job);
   endIfFinished(job);
   handleGangMemberLost(job);
-  cleanUp(job);
+  removeFinishedJob(job);
 }
 
 // Machines whose failures of the job, beside its success elsewhere, show that the fault is theirs.
-void ShardScheduler::quarantineFaulty(const JobId& job) {
+void ShardScheduler::quarantineFaultyMachines(const JobId& job) {
   for (const auto& id : failures_.faulty(job, runtime_.now())) {
     Machine* machine = state_.machine(id);
     if (!machine || machine->decommissioning) continue;
@@ -85,24 +85,24 @@
   for (const auto& id : failures_.undecided()) {
     const Job* job = state_.job(id);
     if (!job) continue;
-    const Machine* machine = machineWhereJobWorks(*job, now);
+    const Machine* machine = findMachineRunning(*job, now);
     if (!machine) continue;
     failures_.keptRunning(id, machine->id, now);
-    quarantineFaulty(id);
+    quarantineFaultyMachines(id);
     requestRound(true);
   }
 }
 
-// One that has kept a task of the job running for long enough, and was heard of late.
-const Machine* ShardScheduler::machineWhereJobWorks(const Job& job, Time now) const {
+// One that has kept a task of the job running for long enough, and was registered of late.
+const Machine* ShardScheduler::findMachineRunning(const Job& job, Time now) const {
   auto longEnough = failures_.contrastAfter(job.id);
   for (std::uint32_t index = 0; index < job.tasks.size(); ++index) {
     const Machine* machine = job.tasks[index].machine;
     if (!machine) continue;
     const auto& placement = machine->placements.at({job.id, index});
-    bool running = placement.shown && placement.phase == TaskPhase::Running;
+    bool running = placement.observed && placement.phase == TaskPhase::Running;
     if (!running || now - placement.runningSince < longEnough) continue;
-    if (timeSinceHeartbeat(*machine) <= reportDue()) return machine;
+    if (timeSinceHeartbeat(*machine) <= heartbeatDueAfter()) return machine;
   }
   return nullptr;
 }
--- a/tests/unit/eviction_planner_test.cpp
+++ b/tests/unit/eviction_planner_test.cpp
@@ -73,7 +73,7 @@
 TEST_F(EvictionPlannerTest, CapacityOfTasksBeingStoppedIsForecast) {
   auto& machine = addMachine("machine");
   auto& batch = addBatch("batch", 8);
-  runTask(batch, machine, 500).wanted = false;
+  runTask(batch, machine, 500).desired = false;
   auto& job = addPreemptor(1, 8);
   auto eviction = planner().planForTask({&job, {}}, {&machine}, forecast_);
   ASSERT_TRUE(eviction);
--- a/tests/unit/load_reporter_test.cpp
+++ b/tests/unit/load_reporter_test.cpp
@@ -32,7 +32,7 @@
     entry.record.zone = settings_.zones.at(0);
     entry.record.address = "10.1.0.2:9000";
     auto& machine = state_.addMachine(MachineId{id}, entry, &type, runtime_.now());
-    machine.heard = true;
+    machine.registered = true;
     state_.reindex(machine);
     return machine;
   }
--- a/tests/unit/machine_record_writer_test.cpp
+++ b/tests/unit/machine_record_writer_test.cpp
@@ -21,7 +21,7 @@
     view_.machines[MachineId{id}] = entry;
     view_.groups[group].push_back(MachineId{id});
     auto& machine = state_.addMachine(MachineId{id}, entry, nullptr, runtime_.now());
-    machine.heard = true;
+    machine.registered = true;
     return machine;
   }
   static void decommission(Machine& machine, std::int32_t target) {
--- a/tests/unit/placement_fixture.h
+++ b/tests/unit/placement_fixture.h
@@ -24,7 +24,7 @@
     entry.record.spot = spot;
     entry.record.phase = wire::MachinePhase::InUse;
     auto& machine = state_.addMachine(MachineId{id}, entry, &type_, runtime_.now());
-    machine.heard = true;
+    machine.registered = true;
     state_.reindex(machine);
     return machine;
   }
@@ -54,7 +54,7 @@
   }
 
   void cacheImage(Machine& machine, const Job& job) {
-    state_.cached(machine, job.spec->image, job.spec->imageGb);
+    state_.recordImageUse(machine, job.spec->image, job.spec->imageGb);
   }
 
   // A task of the job that runs there since `ranSeconds`.
@@ -63,7 +63,7 @@
     job.waiting.pop_front();
     auto& placement = state_.place(job, index, machine, Attempt{++attempts_}, runtime_.now());
     ShardState::commit(placement);
-    placement.shown = true;
+    placement.observed = true;
     state_.setPhase(placement, wire::TaskPhase::Running, runtime_.now());
     placement.runningSince = runtime_.now() - seconds(ranSeconds);
     return placement;
--- a/tests/unit/placement_pages_test.cpp
+++ b/tests/unit/placement_pages_test.cpp
@@ -11,6 +11,6 @@
   PlacementPages pages(std::size_t{16} * 1024);
   auto number = pages.next({});
   pages.at(number).version = Version{5};
-  pages.drop(number);
+  pages.erase(number);
   EXPECT_NE(pages.next({}), number);
 }
--- a/tests/unit/placement_turn_test.cpp
+++ b/tests/unit/placement_turn_test.cpp
@@ -68,7 +68,7 @@
   for (int task = 0; task < 8; ++task) runTask(batch, holder, 10);
   auto& other = addMachine("other");
   EXPECT_EQ(turnOf(job).nextMachine(), nullptr);
-  job.anyStartUntil = runtime_.now() + Duration{1000};
+  job.ignoreImageAffinityUntil = runtime_.now() + Duration{1000};
   EXPECT_EQ(turnOf(job).nextMachine(), &other);
 }
 
--- a/tests/unit/remote_usage_test.cpp
+++ b/tests/unit/remote_usage_test.cpp
@@ -25,7 +25,7 @@
     spec_.each = {2, 1, 0.5};
   }
 
-  double coresInUse() const { return state_.teamUse(kTeam).cores; }
+  double coresInUse() const { return state_.teamUsage(kTeam).cores; }
   // What the cluster view shows of the job.
   JobEntry& show(JobStatus status, ShardId shard) {
     auto& entry = view_.jobs[kJob];
@@ -102,7 +102,7 @@
 }
 
 TEST_F(RemoteUsageTest, WhatTheShardStateCountsAlreadyIsNotCountedTwice) {
-  state_.countRemoteUsage(kTeam, spec_.each * 3);
+  state_.addRemoteUsage(kTeam, spec_.each * 3);
   usage_.takeOver(kJob, spec_, 3);
   EXPECT_DOUBLE_EQ(coresInUse(), 6);
   show(JobStatus::Done, kOwnShard);
--- a/tests/unit/shard_recovery_test.cpp
+++ b/tests/unit/shard_recovery_test.cpp
@@ -68,7 +68,7 @@
   const auto& placement = state_.machine(kMachine)->placements.at({kJob, 2});
   EXPECT_TRUE(placement.committed);
   EXPECT_TRUE(placement.restored);
-  EXPECT_TRUE(placement.wanted);
+  EXPECT_TRUE(placement.desired);
   EXPECT_EQ(placement.attempt, Attempt{5});
   EXPECT_EQ(job.placed, 1U);
 }
@@ -98,7 +98,7 @@
   addPage("0", {{}, {{2, Attempt{5}, kMachine}}});
   recovery_.restorePlacements(pages_);
   ASSERT_NE(state_.job(kJob), nullptr);
-  EXPECT_FALSE(state_.machine(kMachine)->placements.at({kJob, 2}).wanted);
+  EXPECT_FALSE(state_.machine(kMachine)->placements.at({kJob, 2}).desired);
 }
 
 TEST_F(ShardRecoveryTest, APageOfAnotherLayoutIsLeftAlone) {
--- a/tests/unit/start_latencies_test.cpp
+++ b/tests/unit/start_latencies_test.cpp
@@ -24,9 +24,9 @@
   StartLatencies latencies;
   latencies.counts.starts = 5;
   latencies.rounds = 2;
-  EXPECT_EQ(latencies.takeMinute().starts, 5U);
+  EXPECT_EQ(latencies.takeRoundCounters().starts, 5U);
   latencies.counts.starts = 7;
-  auto minute = latencies.takeMinute();
+  auto minute = latencies.takeRoundCounters();
   EXPECT_EQ(minute.starts, 2U);
   EXPECT_EQ(minute.rounds, 0U);
 }
--- a/tests/unit/task_delegation_test.cpp
+++ b/tests/unit/task_delegation_test.cpp
@@ -65,7 +65,7 @@
 TEST_F(TaskDelegationTest, PlannedTasksCountAsPlacedAndNoLongerWait) {
   EXPECT_EQ(plan(3), 3U);
   EXPECT_EQ(waiting(), Tasks{3});
-  EXPECT_DOUBLE_EQ(state_.teamUse(kTeam).cores, 6);
+  EXPECT_DOUBLE_EQ(state_.teamUsage(kTeam).cores, 6);
 }
 
 TEST_F(TaskDelegationTest, NoMoreIsPlannedThanTheOwnerGivesAndTheZoneAllows) {
@@ -79,7 +79,7 @@
   delegation_.dropPlan(job());
   EXPECT_EQ(waiting(), (Tasks{0, 1, 2, 3}));
   EXPECT_FALSE(delegation_.planned(kJob));
-  EXPECT_DOUBLE_EQ(state_.teamUse(kTeam).cores, 0);
+  EXPECT_DOUBLE_EQ(state_.teamUsage(kTeam).cores, 0);
 }
 
 // A write from the outdated record would undo what a delegate has written since.
