--- a/src/scheduler/image_cache.cpp
+++ b/src/scheduler/image_cache.cpp
@@ -6,10 +6,10 @@
   entries_.remove_if([&](const Entry& entry) { return entry.image == image; });
   entries_.push_front({image, sizeGb});
   std::vector<ImageId> evicted;
-  double sumGb = 0;
+  double usedGb = 0;
   for (auto entry = entries_.begin(); entry != entries_.end();) {
-    sumGb += entry->sizeGb;
-    if (sumGb <= capacityGb_ || entry == entries_.begin()) {
+    usedGb += entry->sizeGb;
+    if (usedGb <= capacityGb_ || entry == entries_.begin()) {
       ++entry;
       continue;
     }
--- a/src/scheduler/image_cache.h
+++ b/src/scheduler/image_cache.h
@@ -1,5 +1,6 @@
-// ImageCache: which images a machine is taken to have on its disk. Machines do not tell; they keep the most
-// recently used ones, so that what was started there tells it.
+// ImageCache: an estimate of the container images on a machine's disk. Workers do not report their cached
+// images, but they evict in least-recently-used order, so the images can be derived from the tasks started
+// there.
 #pragma once
 
 #include <list>
@@ -13,8 +14,8 @@
  public:
   explicit ImageCache(double capacityGb = 0) : capacityGb_(capacityGb) {}
 
-  // The image was used just now. Returns the images that were evicted for it, the least recently used of all;
-  // never the image itself, even if it is larger than the cache.
+  // Records a use of the image and returns the least recently used images evicted to make room for it. The
+  // image itself is never evicted, even if it is larger than the cache.
   std::vector<ImageId> touch(const ImageId& image, double sizeGb);
 
  private:
--- a/src/scheduler/job_records.cpp
+++ b/src/scheduler/job_records.cpp
@@ -7,8 +7,8 @@
 namespace cherryloft {
 namespace {
 
-// Bytes, at most, that a task by itself takes in a list of a job's record.
-constexpr std::size_t kTaskBytes = 16;
+// Maximum encoded size of one task index in a list of a job record.
+constexpr std::size_t kMaxTaskIndexBytes = 16;
 
 std::uint32_t taskCount(const Job& job) { return static_cast<std::uint32_t>(job.tasks.size()); }
 
@@ -66,7 +66,7 @@
 std::size_t maxSizeAfterReturns(const wire::JobRecord& record) {
   std::size_t tasks = 0;
   for (const auto& delegation : record.delegations) tasks += delegation.tasks.size();
-  return wire::encodeJobRecord(record).size() + tasks * kTaskBytes;
+  return wire::encodeJobRecord(record).size() + tasks * kMaxTaskIndexBytes;
 }
 
 }  // namespace cherryloft
--- a/src/scheduler/job_records.h
+++ b/src/scheduler/job_records.h
@@ -1,5 +1,5 @@
-// The records by which a shard changes a job in the state service. Pure functions of what is known of the
-// job.
+// Builds the job records that a shard writes to the state service. Pure functions of the in-memory job and
+// its entry in the cluster view.
 #pragma once
 
 #include "base/job.h"
@@ -12,25 +12,26 @@
 
 struct Job;
 
-// The job is done; the record needs no description any more.
+// Record of a completed job; it omits the job description, which is no longer needed.
 wire::JobRecord doneRecord(const Job& job, ShardId owner);
-// The job is cancelled; what is known of migration and delegations stays, as other shards may have tasks.
+// Record of a cancelled job. It keeps the migration limit and the delegations, as other shards may still have
+// tasks of it.
 wire::JobRecord cancelledRecord(const Job& job, ShardId owner);
-// A cancelled job of another shard's team of which nothing is on any machine any more (invariant 17).
+// Record of a cancelled job of another shard's team that has no task on any machine any more (invariant 17).
 wire::JobRecord cleanedUpRecord(const Job& job, ShardId owner);
-// The job goes to another shard (invariant 17). teamShard: the shard of its team, which counts the job toward
-// the team's quota while another shard has it.
+// Record of a job that migrates to another shard (invariant 17). teamShard: the shard of its team, which
+// counts the job toward the team's quota while another shard has it.
 wire::JobRecord migratedRecord(const Job& job, const PlannedMigration& migration, ShardId teamShard);
 
-// The owner's change to the job's delegations, applied to the record that the cluster view shows (invariant
-// 18). What pages tell of tasks that were done elsewhere is dropped from it.
+// Applies the owner's change of the job's delegations to the record in the cluster view (invariant 18).
+// Removes remotely completed tasks whose completion is already committed on a placement page.
 wire::JobRecord recordAfterDelegation(const Job& job, const JobEntry& entry, ShardId owner,
                                       const DelegationWrite& change);
-// What a delegate gives back, applied to the record that the cluster view shows (invariant 18): tasks that
-// are done go to its list of those done remotely.
+// Applies a delegate's return of tasks to the record in the cluster view (invariant 18). Completed tasks are
+// added to the record's list of remotely completed ones.
 wire::JobRecord recordAfterReturn(const Job& job, const JobEntry& entry, const DelegationReturn& change);
 
-// An upper bound of the encoded record's bytes, whatever its delegates give back, done or not.
+// Upper bound of the encoded record's size after any returns by its delegates.
 std::size_t maxSizeAfterReturns(const wire::JobRecord& record);
 
 }  // namespace cherryloft
--- a/src/scheduler/machine_pool.cpp
+++ b/src/scheduler/machine_pool.cpp
@@ -4,11 +4,12 @@
 
 namespace cherryloft {
 
-bool MachinePool::hasCapacity(const Resources& each, unsigned mostExamined,
+bool MachinePool::hasCapacity(const Resources& each, unsigned maxExamined,
                               const std::function<bool(const Machine&)>& allows) const {
   unsigned examined = 0;
-  for (auto at = withFreeCores(each.cores); at != byFreeCores.end() && examined < mostExamined; ++at) {
-    const Machine& machine = *at->second;
+  for (auto candidate = withFreeCores(each.cores); candidate != byFreeCores.end() && examined < maxExamined;
+       ++candidate) {
+    const Machine& machine = *candidate->second;
     if (each.fitsIn(machine.free()) && allows(machine)) return true;
     ++examined;
   }
--- a/src/scheduler/machine_pool.h
+++ b/src/scheduler/machine_pool.h
@@ -1,5 +1,5 @@
-// MachinePool: a shard's machines of one type in one zone, ordinary or spot, by the cores that are free on
-// them.
+// MachinePool: a shard's machines of one type, zone and pricing model (on-demand or spot), indexed by free
+// cores.
 #pragma once
 
 #include <cstdint>
@@ -18,20 +18,20 @@
   std::string type;
   Zone zone;
   bool spot = false;
-  Resources size;            // of each machine; nothing while the type is not in the catalog
-  double fetchGbPerS = 0;    // at which a machine fetches images
-  std::size_t machines = 0;  // open or not
-  std::size_t booting = 0;   // never registered yet, when last counted
-  // Only machines that take new work, by free cores and number. Kept by ShardState::reindex.
+  Resources size;            // of each machine; zero while the type is not in the catalog
+  double fetchGbPerS = 0;    // image download rate of a machine
+  std::size_t machines = 0;  // all machines, open for new work or not
+  std::size_t booting = 0;   // machines without a first heartbeat, as of the last load report
+  // Machines open for new work, by free cores and machine number. Maintained by ShardState::reindex().
   using ByFreeCores = std::map<std::pair<double, std::uint32_t>, Machine*>;
   ByFreeCores byFreeCores;
 
-  // The fullest machine that has so many cores free; those after it have more.
+  // The machine with the fewest free cores that still has this many; later entries have more.
   ByFreeCores::const_iterator withFreeCores(double cores) const {
     return byFreeCores.lower_bound({cores - kResourceSlack, 0});
   }
-  // Whether a machine has room for such a task and is allowed for it, with at most so many examined.
-  bool hasCapacity(const Resources& each, unsigned mostExamined,
+  // Whether one of the first `maxExamined` candidates has room for such a task and satisfies `allows`.
+  bool hasCapacity(const Resources& each, unsigned maxExamined,
                    const std::function<bool(const Machine&)>& allows) const;
 };
 
--- a/src/scheduler/pending_jobs.cpp
+++ b/src/scheduler/pending_jobs.cpp
@@ -5,14 +5,14 @@
 namespace cherryloft {
 namespace {
 
-constexpr double kFirstStartOverdueSeconds = 90;  // so that no large job starves behind small ones
-// Part of the expected run that must fit: owners' estimates are often wrong by half.
-constexpr double kLeastRunPart = 0.5;
+constexpr double kFirstStartOverdueSeconds = 90;  // keeps large jobs from starving behind small ones
+// Fraction of the expected run time that must fit: users' estimates are often wrong by half.
+constexpr double kMinRunFraction = 0.5;
 
 bool objectiveFeasible(const Job& job, const Settings& settings, double ageSeconds) {
   const auto& spec = *job.spec;
   auto finishWithin = spec.deadlineSeconds ? spec.deadlineSeconds : settings.finishWithin(spec.jobClass);
-  return !finishWithin || ageSeconds + kLeastRunPart * spec.expectedRunSeconds <= *finishWithin;
+  return !finishWithin || ageSeconds + kMinRunFraction * spec.expectedRunSeconds <= *finishWithin;
 }
 
 policy::PlacementOrderKey orderKeyOf(const Job& job, const Settings& settings, WallTime wallTime) {
@@ -35,15 +35,16 @@
   std::vector<PendingJob> pending;
   for (const auto& [teamId, jobs] : state.teams()) {
     const Team* team = settings.team(teamId);
-    Resources desired;  // by the team's jobs up to this one, oldest first
+    Resources requested;  // by the team's jobs up to this one, oldest first
     for (const auto& [_, job] : jobs) {
       if (!job->open()) continue;
-      desired += job->unfinished();
+      requested += job->unfinished();
       if (job->waiting.empty() || now < job->notBefore) continue;
       auto key = orderKeyOf(*job, settings, wallTime);
-      // Only the owner of a delegated job knows what its team takes in all.
-      key.withinGuarantee = team && !job->delegation &&
-                            Resources{desired.cores, desired.gpus, 0}.fitsIn({team->cores, team->gpus, 0});
+      // Only the owner of a delegated job knows its team's total usage.
+      key.withinGuarantee =
+          team && !job->delegation &&
+          Resources{requested.cores, requested.gpus, 0}.fitsIn({team->cores, team->gpus, 0});
       pending.push_back({job, key});
     }
   }
--- a/src/scheduler/pending_jobs.h
+++ b/src/scheduler/pending_jobs.h
@@ -1,4 +1,4 @@
-// The jobs of a shard that wait for placement, with what decides on their order.
+// The jobs of a shard that wait for placement, with the keys that order them.
 #pragma once
 
 #include <vector>
@@ -13,12 +13,12 @@
   policy::PlacementOrderKey orderKey;
 };
 
-// Jobs with waiting tasks that may be tried now, in no particular order. Teams' guarantees go to their oldest
-// jobs first.
+// Jobs with waiting tasks whose backoff has passed, in no particular order. A team's guaranteed capacity is
+// attributed to its oldest jobs first.
 [[nodiscard]] std::vector<PendingJob> collectPendingJobs(const ShardState& state, const Settings& settings,
                                                          Time now, WallTime wallTime);
 
-// The one that is to be placed next; the end of the list if it is empty.
+// The job to place next; pending.end() if the list is empty.
 [[nodiscard]] std::vector<PendingJob>::iterator firstInOrder(std::vector<PendingJob>& pending);
 
 }  // namespace cherryloft
--- a/src/scheduler/placement_pages.h
+++ b/src/scheduler/placement_pages.h
@@ -1,6 +1,6 @@
-// PlacementPages: the stored pages (run/<shard>/<page>) that tell which tasks of a shard are placed or done,
-// and how many facts of each page still hold. A page whose facts have mostly become outdated is the next to
-// be written, and so takes in new ones at the cost of one change.
+// PlacementPages: the stored pages (run/<shard>/<page>) that record the placed and completed tasks of a
+// shard, with the number of entries on each page that are still current. The page with the fewest current
+// entries is rewritten first, so that one write stores as many new entries as possible.
 #pragma once
 
 #include <algorithm>
@@ -19,30 +19,31 @@
 class PlacementPages {
  public:
   struct Page {
-    Version version;              // 0: not written yet
-    std::vector<TaskId> members;  // whose state it held when last written
-    std::size_t live = 0;         // of those, whose latest state it still is
+    Version version;              // 0: not stored yet
+    std::vector<TaskId> members;  // tasks whose state it held when last written
+    std::size_t live = 0;         // members whose latest state is still on this page
   };
-  // valueBytes: how large a page's value may be.
-  explicit PlacementPages(std::size_t valueBytes) : mostLiveToRewrite_(valueBytes / kBytesPerLiveFact) {}
+  // valueBytes: size limit of a page's value.
+  explicit PlacementPages(std::size_t valueBytes) : maxLiveToRewrite_(valueBytes / kBytesPerLiveEntry) {}
 
-  // The page with that number, which is created if there is none.
+  // The page with that number; creates it if it does not exist.
   Page& at(PageNumber number);
-  // The emptiest page that is not taken, or a new one while all are more than a quarter full.
-  PageNumber next(const std::set<PageNumber>& taken);
-  // One that holds nothing any more, if there are so many that it is not worth keeping.
+  // The page to write next: the one outside `taken` with the fewest live entries, or a new one if all are
+  // more than about a quarter full.
+  PageNumber selectForWrite(const std::set<PageNumber>& taken);
+  // An empty page that can be deleted; nothing while few enough pages are empty to be kept for reuse.
   std::optional<PageNumber> surplusPage(const std::set<PageNumber>& taken) const;
-  // The page's key was deleted.
+  // Forgets a page whose key was deleted.
   void erase(PageNumber number) { pages_.erase(number); }
   std::size_t count() const { return pages_.size(); }
 
  private:
-  // A new page is started while all hold more than one live fact for so many bytes, about a quarter of what
-  // fits. The emptier the page that is written anew, the more new facts one change tells.
-  static constexpr std::size_t kBytesPerLiveFact = 160;
-  std::size_t mostLiveToRewrite_;
+  // A page is rewritten only while it holds at most one live entry per this many bytes, which is about a
+  // quarter of what fits. Rewriting emptier pages stores more new entries with each write.
+  static constexpr std::size_t kBytesPerLiveEntry = 160;
+  std::size_t maxLiveToRewrite_;
   std::map<PageNumber, Page> pages_;
-  // Never one that was dropped: its first write may be carried out again, late.
+  // Numbers of deleted pages are not reused: a delayed retry of a page's first write could recreate its key.
   PageNumber nextNumber_ = 0;
 };
 
--- a/src/scheduler/shard_recovery.cpp
+++ b/src/scheduler/shard_recovery.cpp
@@ -5,9 +5,9 @@
 
 namespace cherryloft {
 namespace {
-constexpr Duration kRetryAfter{150};
+constexpr Duration kRetryDelay{150};
 
-// "run/<shard>/<page>"; nothing if the key is of another layout.
+// Parses "run/<shard>/<page>"; nothing if the key has a different layout.
 std::optional<PageNumber> parsePageKey(const std::string& key, const std::string& prefix) {
   PageNumber number = 0;
   const char* end = key.data() + key.size();
@@ -31,7 +31,7 @@
 void ShardRecovery::start(std::function<void(const ListResult& pages)> done) {
   startedAt_ = runtime_.now();
   done_ = std::move(done);
-  // What was seen once stays in view, so each step is repeated by itself.
+  // A completed step stays valid, so each step is retried on its own.
   waitForView(keys::kJobs, [this] { waitForView(keys::kMachines, [this] { readPages(); }); });
 }
 
@@ -42,7 +42,7 @@
     if (result == CatchUp::Current)
       next();
     else
-      runtime_.after(kRetryAfter, retry);
+      runtime_.after(kRetryDelay, retry);
   });
 }
 
@@ -53,7 +53,7 @@
                 if (pages.complete())
                   done_(pages);
                 else
-                  runtime_.after(kRetryAfter, whileAlive([this] { readPages(); }));
+                  runtime_.after(kRetryDelay, whileAlive([this] { readPages(); }));
               });
 }
 
@@ -81,7 +81,7 @@
   for (const auto& [task, attempt] : attempts) restorePlaced(task, attempt);
 }
 
-// Enters what is done; of what was placed, the latest attempt of each task is gathered.
+// Restores the done tasks, and collects the latest attempt of each placed task.
 void ShardRecovery::restorePage(PageNumber number, const wire::PageRecord& page, LatestAttempts& attempts) {
   for (const auto& [id, tasks] : page.jobs) {
     Job* job = findOrAddCancelled(id);
@@ -95,7 +95,7 @@
   }
 }
 
-// A cancelled job's tasks may still be somewhere: they count until they are known gone.
+// Tasks of a cancelled job may still run and count toward all limits until they are known to be gone.
 Job* ShardRecovery::findOrAddCancelled(const JobId& id) {
   if (Job* job = state_.job(id)) return job;
   auto found = view_.jobs.find(id);
@@ -103,7 +103,7 @@
   const JobEntry& entry = found->second;
   if (entry.status != JobStatus::Cancelled || !entry.spec) return nullptr;
   if (entry.shard == takeover_.shard) return &state_.addJob(id, entry);
-  // Of another shard's job a delegation may have been given back in part: all that pages name counts.
+  // A delegation of another shard's job may have been returned in part, so every task on the pages counts.
   Delegation all{takeover_.shard, std::nullopt, {}};
   for (std::uint32_t index = 0; index < entry.tasks; ++index) all.tasks.push_back(index);
   return &state_.addJob(id, entry, &all);
@@ -114,19 +114,19 @@
   job.tasks[index].state = TaskState::Done;
   job.tasks[index].doneCommitted = true;
   ++job.done;
-  state_.restored({job.id, index}, page);
+  state_.attachToPage({job.id, index}, page);
 }
 
 void ShardRecovery::restorePlaced(const TaskId& task, const LatestAttempt& attempt) {
   Job* job = state_.job(task.job);
   Machine* machine = state_.machine(attempt.entry.machine);
-  // A machine without a record was returned, and the cloud said so.
+  // A machine without a record was returned, as confirmed by the cloud.
   if (!job || !machine || job->tasks[task.index].state != TaskState::Waiting) return;
   auto& placement = state_.place(*job, task.index, *machine, attempt.entry.attempt, runtime_.now());
   ShardState::commit(placement);
   placement.restored = true;
   placement.desired = job->open();
-  state_.restored(task, attempt.page);
+  state_.attachToPage(task, attempt.page);
   state_.recordImageUse(*machine, job->spec->image, job->spec->imageGb);
 }
 
--- a/src/scheduler/shard_recovery.h
+++ b/src/scheduler/shard_recovery.h
@@ -1,9 +1,10 @@
-// ShardRecovery: reads what a shard's former owners committed, when a controller takes the shard over
-// (invariant 7).
+// ShardRecovery: restores a shard's state from what its former owners committed, when a controller takes over
+// the shard (invariant 7).
 //
-// All that was committed before the takeover must be seen; what a former owner sends later fails on the
-// shard's version. So first the cluster view catches up with jobs and machines, then the pages of placements
-// are read. Steps that fail are repeated for ever: a shard without its state is of no use.
+// It must see everything that was committed before the takeover; later writes of a former owner fail on the
+// shard's version check. So it first waits for the cluster view to catch up with jobs and machines, then
+// reads the placement pages. Failed steps are retried indefinitely: a shard cannot be served without its
+// state.
 #pragma once
 
 #include <functional>
@@ -27,18 +28,18 @@
   ShardRecovery(Runtime& runtime, Log log, KeyValueStore& store, const ClusterView& view,
                 ShardTakeover takeover, ShardState& state);
 
-  // Calls done with the pages once they are read and the cluster view shows all that was committed.
+  // Calls done with the placement pages once the cluster view is current and the pages are read.
   void start(std::function<void(const ListResult& pages)> done);
-  // How long ago that was.
+  // Time since start() was called.
   Duration sinceStart() const { return runtime_.now() - startedAt_; }
 
-  // Enters into the state what the pages tell of done and placed tasks. The shard's open jobs and machines
-  // must be there already; cancelled jobs of which tasks may still be on machines are added. Unreadable pages
-  // are logged and left alone. Indices and queues of waiting tasks are the caller's to bring up to date.
+  // Applies the pages' done and placed tasks to the state, which must already hold the shard's open jobs and
+  // machines. Adds cancelled jobs whose tasks may still be on machines. Logs and skips unreadable pages. The
+  // caller updates the indices and the queues of waiting tasks afterwards.
   void restorePlacements(const ListResult& pages);
 
  private:
-  // The latest attempt of a task that the pages tell, and the page that does.
+  // The latest attempt of a task found on the pages, and the page that holds it.
   struct LatestAttempt {
     wire::PlacementEntry entry;
     PageNumber page = kNoPage;
@@ -61,7 +62,7 @@
   ShardState& state_;
   Time startedAt_{};
   std::function<void(const ListResult&)> done_;
-  std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);  // answers may come after the recovery's end
+  std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);  // responses may arrive after destruction
 };
 
 }  // namespace cherryloft
--- a/src/scheduler/shard_scheduler.cpp
+++ b/src/scheduler/shard_scheduler.cpp
@@ -5,14 +5,14 @@
 
 namespace cherryloft {
 namespace {
-constexpr Duration kTick{250};
-constexpr Duration kStandstill{1'500};  // between two ticks
+constexpr Duration kTickInterval{250};
+constexpr Duration kStallThreshold{1'500};  // time between two ticks
 
 }  // namespace
 
 ShardScheduler::ShardScheduler(const Settings& settings, Runtime& runtime, Log log, KeyValueStore& store,
                                const ClusterView& view, ShardTakeover takeover, LeaseValidity leaseValidity,
-                               std::uint64_t seed, Callbacks out)
+                               std::uint64_t seed, Callbacks callbacks)
     : settings_(settings),
       runtime_(runtime),
       log_(std::move(log)),
@@ -21,7 +21,7 @@
       takeover_(takeover),
       leaseValidity_(leaseValidity),
       rng_(seed),
-      callbacks_(std::move(out)),
+      callbacks_(std::move(callbacks)),
       state_(settings),
       recovery_(runtime, log_, store, view, takeover, state_),
       failures_(seconds(settings.reportS)),
@@ -75,7 +75,7 @@
     lastCancellationVersion_ = std::max(lastCancellationVersion_, known.version);
 }
 
-// Goes on with a job whose placements are restored.
+// Resumes a job after its placements were restored.
 void ShardScheduler::resumeJob(Job& job) {
   job.waiting.clear();
   for (std::uint32_t index = 0; index < job.tasks.size(); ++index)
@@ -85,31 +85,31 @@
   endIfFinished(job);
 }
 
-// Cancelled jobs of which nothing is on any machine.
+// Removes cancelled jobs without any task on a machine.
 void ShardScheduler::cleanUpCancelled() {
-  std::vector<JobId> over;
+  std::vector<JobId> finished;
   for (const auto& [id, job] : state_.jobs())
-    if (job.status == JobStatus::Cancelled && job.placed == 0) over.push_back(id);
-  for (const auto& id : over) removeFinishedJob(*state_.job(id));
+    if (job.status == JobStatus::Cancelled && job.placed == 0) finished.push_back(id);
+  for (const auto& id : finished) removeFinishedJob(*state_.job(id));
 }
 
-// A machine that is this shard's from now on. Its token is ours, and it gets no new work before it is
-// registered.
+// Adds a machine that now belongs to this shard. It gets a token of this owner, and no new work before it
+// registers.
 Machine& ShardScheduler::addOwnedMachine(const MachineId& id, const MachineEntry& known) {
   auto now = runtime_.now();
   auto& machine = state_.addMachine(id, known, findType(view_.catalog, known.record.type), now);
   machine.fence = CommandFence{tokenOf(std::max(known.record.token, takeover_.epoch))};
-  // The former owner may have answered it until the end of its grace.
+  // The former owner may have answered its heartbeats until the end of the grace period.
   machine.leaseExpiresAt = now + takeover_.formerAnswers + leaseAfterAnswer();
   return machine;
 }
 
 // --- messages ---
 
-void ShardScheduler::leaseValidity(const LeaseValidity& s) {
-  bool back = !owns() && s.owns(runtime_.now());
-  leaseValidity_ = s;
-  if (back && loaded_) requestRound(true);
+void ShardScheduler::leaseValidity(const LeaseValidity& validity) {
+  bool regained = !owns() && validity.owns(runtime_.now());
+  leaseValidity_ = validity;
+  if (regained && loaded_) requestRound(true);
 }
 
 void ShardScheduler::jobChanged(const JobId& id) {
@@ -117,20 +117,20 @@
   auto known = view_.jobs.find(id);
   if (known == view_.jobs.end()) return;
   if (known->second.shard != takeover_.shard) return delegatedJobChanged(id, known->second);
-  // Our own commit may show here before its answer comes, and keep-alive proxies must have seen it as well
-  // (invariant 15).
+  // This may be our own commit, seen before its response; keep-alive proxies must see it as well (invariant
+  // 15).
   if (known->second.status == JobStatus::Cancelled)
     lastCancellationVersion_ = std::max(lastCancellationVersion_, known->second.version);
   if (Job* job = state_.job(id)) return ownedJobChanged(*job, known->second);
-  const auto& k = known->second;
-  if (k.status != JobStatus::Open || !k.spec) return;
-  auto& job = state_.addJob(id, k);
+  const auto& entry = known->second;
+  if (entry.status != JobStatus::Open || !entry.spec) return;
+  auto& job = state_.addJob(id, entry);
   auto now = runtime_.now();
   job.since = now;
   const Team* team = settings_.team(job.spec->team);
   loadReporter_.workArrived(now, std::min(job.unfinished().cores, team ? team->coreQuota : 0),
                             job.spec->spotAllowed);
-  log_->debug("job {} came: {} tasks of {} cores", id.value, job.tasks.size(), job.spec->each.cores);
+  log_->debug("new job {}: {} tasks of {} cores", id.value, job.tasks.size(), job.spec->each.cores);
   requestRound(true);
 }
 
@@ -138,57 +138,57 @@
   if (!loaded_) return;
   auto known = view_.machines.find(id);
   bool ours = known != view_.machines.end() && known->second.record.shard == takeover_.shard;
-  Machine* h = state_.machine(id);
+  Machine* machine = state_.machine(id);
   if (!ours) {
-    if (h) dropMachine(id);
+    if (machine) dropMachine(id);
     return;
   }
-  if (!h) {
+  if (!machine) {
     sendCommands(addOwnedMachine(id, known->second));
     return;
   }
-  if (h->known.version >= known->second.version) return;
-  h->known = known->second;
-  h->fence.raiseLowestOwnToken(tokenOf(std::max(h->known.record.token, takeover_.epoch)));
-  state_.reindex(*h);
+  if (machine->known.version >= known->second.version) return;
+  machine->known = known->second;
+  machine->fence.raiseLowestOwnToken(tokenOf(std::max(machine->known.record.token, takeover_.epoch)));
+  state_.reindex(*machine);
 }
 
-// The record is gone or another shard's: the machine was returned, or was empty when it was given.
+// Its record was deleted or moved to another shard: the machine was returned, or was given away empty.
 void ShardScheduler::dropMachine(const MachineId& id) {
-  Machine* h = state_.machine(id);
-  bool held = !h->placements.empty();
-  while (!h->placements.empty()) {
-    auto task = h->placements.begin()->first;
-    handleTaskLost(*h, task);
+  Machine* machine = state_.machine(id);
+  bool hadTasks = !machine->placements.empty();
+  while (!machine->placements.empty()) {
+    auto task = machine->placements.begin()->first;
+    handleTaskLost(*machine, task);
   }
   roundScope_.machines.erase(id);
   failures_.forget(id);
   state_.removeMachine(id);
-  if (held) requestRound(true);
+  if (hadTasks) requestRound(true);
 }
 
 std::optional<wire::JobView> ShardScheduler::poll(const JobId& id) const {
   if (!loaded_ || !owns()) return std::nullopt;
-  auto it = state_.jobs().find(id);
-  if (it == state_.jobs().end() || it->second.status != JobStatus::Open || it->second.delegation)
+  auto found = state_.jobs().find(id);
+  if (found == state_.jobs().end() || found->second.status != JobStatus::Open || found->second.delegation)
     return std::nullopt;
-  // Its end is on its way or in doubt, or the shard is: a sibling may have seen it, and told the user, before
-  // us.
+  // The job's end, its migration or the transfer of the shard is in flight: a peer may have seen it, and told
+  // the user, before this scheduler.
   if (ownershipTransferSent_) return std::nullopt;
   if (commitInFlight_ && (commitInFlight_->ends(id) || commitInFlight_->migrates(id))) return std::nullopt;
-  const auto& j = it->second;
-  return wire::JobView{JobStatus::Open, static_cast<std::uint32_t>(j.tasks.size()), j.done, j.running};
+  const auto& job = found->second;
+  return wire::JobView{JobStatus::Open, static_cast<std::uint32_t>(job.tasks.size()), job.done, job.running};
 }
 
 bool ShardScheduler::cancel(const JobId& id, std::function<void(JobStatus)> done) {
-  Job* j = state_.job(id);
-  if (!loaded_ || !owns() || !j || j->delegation) return false;
-  if (j->status != JobStatus::Open) {
-    done(j->status);
+  Job* job = state_.job(id);
+  if (!loaded_ || !owns() || !job || job->delegation) return false;
+  if (job->status != JobStatus::Open) {
+    done(job->status);
     return true;
   }
-  j->cancelCallbacks.push_back(std::move(done));
-  if (!j->finished()) j->cancelRequested = true;
+  job->cancelCallbacks.push_back(std::move(done));
+  if (!job->finished()) job->cancelRequested = true;
   jobsToEnd_.insert(id);
   requestRound(false);
   return true;
@@ -200,19 +200,20 @@
   requestRound(false);
 }
 
-// --- upkeep ---
+// --- periodic maintenance ---
 
 void ShardScheduler::tick() {
-  runtime_.after(kTick, guarded([this] { tick(); }));
+  runtime_.after(kTickInterval, guarded([this] { tick(); }));
   auto now = runtime_.now();
-  if (stoodStill(now)) return;
-  for (auto& [id, h] : state_.machines()) {
-    checkLiveness(h, now);
+  if (detectStall(now)) return;
+  for (auto& [id, machine] : state_.machines()) {
+    checkLiveness(machine, now);
     if (!owns()) continue;
-    if (h.size.cores <= 0)
-      if (const auto* type = findType(view_.catalog, h.known.record.type)) state_.setMachineType(h, *type);
-    advanceDrain(h);
-    if (h.directCommandDue) sendCommands(h);
+    if (machine.size.cores <= 0)
+      if (const auto* type = findType(view_.catalog, machine.known.record.type))
+        state_.setMachineType(machine, *type);
+    advanceDrain(machine);
+    if (machine.directCommandDue) sendCommands(machine);
   }
   if (!owns()) return;
   returnSuspected(now);
@@ -221,26 +222,27 @@
   reviewDelegations(now);
   machineRecordWriter_.writeChanges(now);
   loadReporter_.reportIfDue(now);
-  bool due = std::any_of(state_.jobs().begin(), state_.jobs().end(), [&](const auto& j) {
-    return !j.second.waiting.empty() && j.second.notBefore > now - 2 * kTick && j.second.notBefore <= now;
+  bool backoffEnded = std::any_of(state_.jobs().begin(), state_.jobs().end(), [&](const auto& entry) {
+    const Job& job = entry.second;
+    return !job.waiting.empty() && job.notBefore > now - 2 * kTickInterval && job.notBefore <= now;
   });
-  if (due) requestRound(true);
-  bool toWrite = !unwrittenTasks_.empty() || !jobsToEnd_.empty() || jobMigration_.cleanupsPlanned() ||
-                 taskDelegation_.anyPlanned();
-  if (toWrite || delegatedTasks_.anyReturnable(now)) requestRound(false);
-}
-
-// Whoever stood still hears first what has been waiting, and judges nobody before. What went unanswered
-// meanwhile is our own doing.
-bool ShardScheduler::stoodStill(Time now) {
-  bool still = lastTickAt_ != Time{} && now - lastTickAt_ > kStandstill;
-  if (still) {
-    log_->info("share {}: stood still for {} ms", takeover_.shard.value, (now - lastTickAt_).count());
+  if (backoffEnded) requestRound(true);
+  bool writesPending = !unwrittenTasks_.empty() || !jobsToEnd_.empty() || jobMigration_.cleanupsPlanned() ||
+                       taskDelegation_.anyPlanned();
+  if (writesPending || delegatedTasks_.anyReturnable(now)) requestRound(false);
+}
+
+// After a stall of this process, received messages are handled before any machine is judged to be silent.
+// Probes that went unanswered meanwhile do not count, as the stall may have caused that.
+bool ShardScheduler::detectStall(Time now) {
+  bool stalled = lastTickAt_ != Time{} && now - lastTickAt_ > kStallThreshold;
+  if (stalled) {
+    log_->info("shard {}: stood still for {} ms", takeover_.shard.value, (now - lastTickAt_).count());
     lastStallEnd_ = now;
-    for (auto& [_, h] : state_.machines()) h.unansweredProbes = 0;
+    for (auto& [_, machine] : state_.machines()) machine.unansweredProbes = 0;
   }
   lastTickAt_ = now;
-  return still;
+  return stalled;
 }
 
 }  // namespace cherryloft
--- a/src/scheduler/shard_scheduler.h
+++ b/src/scheduler/shard_scheduler.h
@@ -1,4 +1,4 @@
-// Scheduler: one per owned shard. It alone decides for the shard's teams and machines.
+// ShardScheduler: one per owned shard. It makes all scheduling decisions for the shard's teams and machines.
 #pragma once
 
 #include <random>
@@ -28,30 +28,30 @@
 
 namespace cherryloft {
 
-// How a heartbeat came to us, which decides what it proves about answers and commands on their way.
+// How a heartbeat arrived, which determines what it proves about responses and commands in flight.
 enum class HeartbeatSource : std::uint8_t {
-  WorkerReport,  // the worker's periodic report, which we answer
-  DirectAnswer,  // its answer to a direct command or a probe, ours or a peer's
+  WorkerReport,  // the worker's periodic report, to which this scheduler responds
+  DirectAnswer,  // its answer to a direct command or a probe, from this controller or a peer
 };
 
 class ShardScheduler {
  public:
   struct Callbacks {
     std::function<void(const JobId&, JobStatus, Version)> jobEnded;  // committed as done or cancelled
-    std::function<void(const mesh::ShardLoad&)> load;                // to the leader
-    std::function<void()> dropOwnership;  // our ownership or our shard state are in doubt
-    // Through siblings; done is told a machine's report if one of them reaches it.
+    std::function<void(const mesh::ShardLoad&)> load;                // sends it to the leader
+    std::function<void()> dropOwnership;  // the ownership or the shard state are in doubt
+    // Probes a machine through peer controllers; calls done with its heartbeat if one of them reaches it.
     std::function<void(const std::string& address, std::function<void(const std::string& body)> done)> probe;
     std::function<void(Version, const ControllerId&, std::function<void(bool)>)> transferOwnership;
-    // The latest moment at which a sibling may have answered our workers in our name (invariant 15).
+    // The latest time at which a peer may have answered this shard's workers on its behalf (invariant 15).
     std::function<Time()> answeredByPeersUntil;
     std::function<void(const mesh::CapacityRequest&)> requestCapacity;  // to the owners of all other shards
-    std::function<void(const mesh::CapacityOffer&)> offerCapacity;  // to the owner of the shard that asked
+    std::function<void(const mesh::CapacityOffer&)> offerCapacity;  // to the owner of the requesting shard
     std::function<void(const mesh::TaskCapacityRequest&)>
         requestTaskCapacity;  // to the owners of all other shards
-    std::function<void(const mesh::TaskCapacityOffer&)> offerTaskCapacity;  // to the owner that asked
+    std::function<void(const mesh::TaskCapacityOffer&)> offerTaskCapacity;  // to the requesting owner
   };
-  // The response to a heartbeat as it goes to the worker.
+  // The HTTP response to a worker's heartbeat.
   struct HeartbeatAnswer {
     int status = 503;
     std::string body;
@@ -60,43 +60,43 @@
 
   ShardScheduler(const Settings& settings, Runtime& runtime, Log log, KeyValueStore& store,
                  const ClusterView& view, ShardTakeover takeover, LeaseValidity leaseValidity,
-                 std::uint64_t seed, Callbacks out);
+                 std::uint64_t seed, Callbacks callbacks);
   ShardScheduler(const ShardScheduler&) = delete;
   ShardScheduler& operator=(const ShardScheduler&) = delete;
 
   void start();
-  void leaseValidity(const LeaseValidity& s);
+  void leaseValidity(const LeaseValidity& validity);
   void jobChanged(const JobId& id);
   void machineChanged(const MachineId& id);
-  // Answers a worker's heartbeat, which prolongs its lease, and reconciles the shard state with it. 421: the
-  // machine has a later owner; 503: this actor may not answer now, or does not know the machine.
+  // Answers a worker's heartbeat, which renews its lease, and reconciles the shard state with it. 421: the
+  // machine has a later owner; 503: this scheduler may not answer now, or does not know the machine.
   [[nodiscard]] HeartbeatAnswer handleHeartbeat(const wire::WorkerHeartbeat& heartbeat);
-  // What the leader decided about one of the machines (machine_drain.cpp).
+  // A decision of the leader about one of the machines (machine_drain.cpp).
   void handleDirective(const mesh::MachineDirective& directive);
   void returnToPreferredOwner(const ControllerId& to);
-  // Another shard's owner looks for capacity for its jobs, or offers some for ours (remote_capacity.cpp).
+  // Another shard's owner requests capacity for its jobs, or offers capacity for ours (remote_capacity.cpp).
   void handleCapacityRequest(const mesh::CapacityRequest& request);
   void handleCapacityOffer(const mesh::CapacityOffer& offer);
-  // The same for some tasks of a job (task_delegation_delegate.cpp, task_delegation_owner.cpp).
+  // The same for individual tasks of a job (task_delegation_delegate.cpp, task_delegation_owner.cpp).
   void handleTaskCapacityRequest(const mesh::TaskCapacityRequest& request);
   void handleTaskCapacityOffer(const mesh::TaskCapacityOffer& offer);
-  // Nothing if this actor may not answer now.
+  // Nothing if this scheduler may not answer now.
   std::optional<wire::JobView> poll(const JobId& id) const;
-  // done is told the committed state; false if this actor can't take the request.
+  // Calls done with the committed state. Returns false if this scheduler cannot accept the request.
   bool cancel(const JobId& id, std::function<void(JobStatus)> done);
   bool loaded() const { return loaded_; }
-  // Every cancellation that touches the shard's machines is committed by this actor, and known: not before it
-  // has loaded, nor while it places tasks of another shard's job.
+  // Whether this scheduler itself commits, and so knows, every cancellation that affects the shard's
+  // machines: not before it has loaded, nor while it places tasks of another shard's job.
   bool knowsCancellations() const { return loaded_ && delegatedTasks_.none(); }
   ShardId shard() const { return takeover_.shard; }
-  // The revision of the shard's latest cancellation.
+  // The version of the shard's latest cancellation.
   Version lastCancellationVersion() const { return lastCancellationVersion_; }
-  // What was decided since the last call, for operators.
+  // Log line for operators on the current state and the activity since the last call.
   std::string summarizeLastMinute() { return summarizeShard(shard(), state_, latencies_); }
   const ShardCounters& counts() const { return latencies_.counts; }
 
  private:
-  // Calls f only while this actor lives.
+  // Wraps f so that it is called only while this scheduler exists.
   template <class F>
   auto guarded(F f) {
     return [f = std::move(f), alive = std::weak_ptr<bool>(alive_)](auto&&... args) {
@@ -115,19 +115,18 @@
 
   // Heartbeats (heartbeats.cpp).
   enum class ReconcileResult : std::uint8_t {
-    Accepted,  // newer than what was known, and of the present
-    Ignored,   // late, a copy, or not proven to be of the present
+    Accepted,  // newer than the previous one, and proven current
+    Ignored,   // late, a copy, or not proven current
   };
-  // What an accepted heartbeat changed about the machine itself.
+  // Changes of the machine itself by an accepted heartbeat.
   struct MachineChange {
-    bool firstHeartbeat =
-        false;  // of a machine that was not registered before, or not since its lease ran out
+    bool firstHeartbeat = false;  // since the machine was added or its lease expired
     bool cordonLifted = false;
     bool newIncarnation = false;
     [[nodiscard]] bool any() const { return firstHeartbeat || cordonLifted || newIncarnation; }
   };
   HeartbeatAnswer answerWhileLoading(const wire::WorkerHeartbeat& heartbeat) const;
-  // Brings the shard state in line with what a worker shows; asks for a round where that frees capacity. May
+  // Reconciles the shard state with a worker's heartbeat, and requests a round if that frees capacity. May
   // remove placements, and send commands to this and other machines.
   ReconcileResult reconcile(Machine& machine, const wire::WorkerHeartbeat& heartbeat, HeartbeatSource source);
   void reconcileUnproven(Machine& machine, const wire::WorkerHeartbeat& heartbeat, HeartbeatSource source);
@@ -141,12 +140,12 @@
   void handleWorkerRestart(Machine& machine, const wire::WorkerHeartbeat& answer);
   void beginIncarnation(Machine& machine);
   void handleReclaimNotice(Machine& machine, const wire::WorkerHeartbeat& heartbeat);
-  // The task is known gone from the machine: drops its placement, and all that follows from that for its job.
+  // The task is known to be gone from the machine: removes its placement and updates its job.
   void handleTaskLost(Machine& machine, const TaskId& task);
   void handleTasksLost(Machine& machine, const std::vector<TaskId>& tasks);
-  // Until when at the latest a worker kills its tasks that gets no answer after one given now.
+  // Upper bound of the time until a worker kills its tasks if it gets no answer after the one sent now.
   Duration leaseAfterAnswer() const;
-  // The task is to end; its placement is dropped at once if no start of it was ever sent.
+  // Requests the stop of the task; its placement is removed immediately if no start was ever sent.
   void stop(Machine& machine, const TaskId& task, Placement& placement);
 
   // Failed tasks (task_failures.cpp).
@@ -158,33 +157,33 @@
   void reviewFailures(Time now);
 
   // Commands (commands.cpp).
-  // A command in a call of its own, as it went out.
+  // A command sent in its own request rather than in a heartbeat response.
   struct DirectCommand {
     FencingToken token;
     Incarnation incarnation;
-    HeartbeatPosition latestHeartbeat;  // that the machine had sent by then
-    bool isProbe = false;               // without commands: it asks for a heartbeat
+    HeartbeatPosition latestHeartbeat;  // received from the machine when it was sent
+    bool isProbe = false;               // carries no commands: only requests a heartbeat
   };
-  // What the worker is told in the answer to a heartbeat: starts and stops, each time until they show, and
-  // what to do with tasks that the shard state does not know.
+  // Commands for the response to a heartbeat: starts and stops, repeated until a heartbeat confirms them, and
+  // commands for tasks that the shard state does not know.
   std::vector<wire::Command> commandsInAnswer(Machine& machine, const wire::WorkerHeartbeat& heartbeat);
-  // What goes in a direct command: starts that were not sent yet, and stops now and then. They count as sent.
+  // Commands for a direct request: starts not sent yet, and stops at intervals. Marks them as sent.
   std::vector<wire::Command> takeDirectCommands(Machine& machine);
-  // Entries of the last heartbeat that the shard state does not place on the machine: ends them, and lets the
-  // worker forget them once they have ended.
+  // For tasks in the last heartbeat that have no placement on the machine: stops them, and lets the worker
+  // forget them once they have ended.
   void addCommandsForUnknownTasks(Machine& machine, std::vector<wire::Command>& commands);
   bool completionUncommitted(const TaskId& id);
   wire::Command stopCommandFor(const TaskId& task, const Placement& placement, Time now) const;
   bool mayCheckpoint(const Placement& placement, Time now) const;
-  // How long a task that was stopped may take to save. A member of a gang that has saved waits for the
-  // others.
+  // How long a stopped task may take to write its checkpoint. A gang member that has finished its checkpoint
+  // waits for the others.
   Duration maxCheckpointTime(const Job& job) const;
-  // Appends what concerns attempts that the list does not name yet.
+  // Appends those commands whose attempts are not in the list yet.
   static void mergeCommands(std::vector<wire::Command>& list, std::vector<wire::Command> more);
-  // Sends the machine what it is to do, or a probe if it is to be registered; one such call at a time, and
-  // none during the pause after one that failed.
+  // Sends the machine its pending commands, or a probe if a heartbeat is needed. At most one request is in
+  // flight per machine, and none is sent during the backoff after a failure.
   void sendCommands(Machine& machine);
-  // Machines that are gone from the shard state by now are left out.
+  // Skips machines that are no longer in the shard state.
   void sendCommandsToAll(const std::set<MachineId>& machines);
   bool probeDue(const Machine& machine) const;
   std::size_t maxDirectCommandsInFlight() const;
@@ -197,13 +196,13 @@
                        const std::string& body);
 
   // Failure detection (liveness.cpp).
-  // Probes in a row without an answer that make a silent machine suspected.
+  // Consecutive unanswered probes after which a silent machine is suspected.
   static constexpr unsigned kUnansweredProbesToSuspect = 2;
-  // Of the machines that were ever up: how many of them are late or suspected.
+  // Among the machines that were ever up: how many are overdue or suspected.
   struct SuspectCount {
     std::size_t overdue = 0;
     std::size_t machines = 0;
-    // So many of them that the fault is likely not theirs.
+    // So many are affected that the machines themselves are probably not at fault.
     [[nodiscard]] bool moreThan(double fraction) const;
   };
   struct SuspicionCounts {
@@ -211,31 +210,31 @@
     std::map<Zone, SuspectCount> zones;
     std::vector<Machine*> suspected;
   };
-  // After this long without a heartbeat the next should have been here, a quarter of an interval included.
+  // Time after which a heartbeat is due: the report interval plus a quarter of tolerance.
   Duration heartbeatDueAfter() const;
-  // How long it has had the chance to be registered and was not: our own standstill does not count.
+  // Time since the last heartbeat; excludes the time before this process resumed from a stall.
   Duration timeSinceHeartbeat(const Machine& machine) const;
   bool heartbeatOverdue(const Machine& machine) const;
   void checkLiveness(Machine& machine, Time now);
   void expireLease(Machine& machine);
-  // It is silent though it was probed, or registered without a sign that it hears us (invariant 11).
+  // It is silent despite probes, or its heartbeats do not show that it receives our answers (invariant 11).
   bool suspected(const Machine& machine, Time now) const;
   bool tokenUnacknowledgedTooLong(const Machine& machine, Time now) const;
-  // Returns suspected machines to the cloud, whose confirmation that they are gone frees their tasks at once.
-  // Where much of the shard or of a zone is suspected the fault is likely not theirs, and leases decide.
+  // Returns suspected machines to the cloud, whose confirmation frees their tasks. If much of the shard or of
+  // a zone is overdue, the machines are probably not at fault, and only the expiry of their leases counts.
   void returnSuspected(Time now);
   SuspicionCounts countSuspects(Time now);
   void recordMassSuspicion(const SuspicionCounts& survey, Time now);
   bool isRecent(std::optional<Time> noted, Time now) const;
 
-  // Upkeep.
+  // Periodic maintenance.
   void tick();
-  bool stoodStill(Time now);
+  bool detectStall(Time now);
   void decommission(Machine& machine, std::int32_t moveTarget);
   void advanceDrain(Machine& machine);
   std::optional<std::vector<TaskId>> movableReplicas(const Machine& machine) const;
-  // What a plan to move replicas leaves free on machines, by their number, and how many of a job it moves
-  // into a zone.
+  // Effect of a plan to move replicas: the remaining free resources by machine number, and the number of
+  // tasks per job that it moves into a zone.
   struct ReplicaMoves {
     std::map<std::uint32_t, Resources> freeAfterwards;
     std::map<std::pair<const Job*, Zone>, unsigned> intoZone;
@@ -244,52 +243,52 @@
   void dropMachine(const MachineId& id);
 
   // Placement rounds (placement_rounds.cpp).
-  // Has the next round consider all machines with capacity, or beside others the one that reported.
+  // Requests a round over all machines with capacity, or adds the reporting one to those to be considered.
   void requestRound(bool allMachines, const MachineId* reportedMachine = nullptr);
   void runRound();
   void placePendingJobs();
-  // Returns the jobs that found no capacity; those that had no turn stay in the list.
+  // Returns the jobs that found no capacity; jobs that were not tried stay in the list.
   std::vector<PendingJob> runTurns(std::vector<PendingJob>& pending);
-  // Returns how many tasks were placed, `most` at most.
+  // Places at most `most` tasks and returns how many were placed.
   unsigned placeTasks(Job& job, unsigned most);
   void placeNextTask(Job& job, Machine& machine, Attempt attempt);
-  // A job that failed wherever it was tried gets one task at a time, and nothing is preempted for it.
+  // A job that failed on every machine tried gets one task at a time, and no preemption.
   void placeProbeTask(Job& job);
-  // Draining machines take work again, as capacity is short. False if there were none.
+  // Reopens draining machines when capacity is short. Returns false if there were none.
   bool cancelDrains();
   // Gangs (gangs.cpp, invariant 19).
-  // What each zone that the gang may be in has for it.
+  // The capacity for the gang in each zone that it may use.
   std::vector<policy::GangZone> gangZones(const Job& job) const;
-  // The attempt that all members share; nothing if the job is no gang.
+  // The attempt that all members share; nothing if the job is not a gang.
   std::optional<Attempt> attemptForGang(const Job& job);
-  // Places all members or none. False: it found no capacity; true also if it must not be tried yet.
+  // Places all members or none. Returns false if there is no capacity, true also if it must not be tried yet.
   bool placeGang(Job& job);
   bool placeAllMembers(Job& job);
-  // The other members can't go on without it: they are stopped, and the gang starts anew.
+  // The other members cannot continue without the lost one: stops them, and the gang restarts.
   void handleGangMemberLost(Job& job);
   enum class GangCheckpoint : std::uint8_t { Allowed, Skipped };
-  // One decision stops all members: a save succeeds only if each is told soon after the first.
+  // Stops all members at the same time: a checkpoint succeeds only if they are all told within a short time.
   void stopGang(Job& job, GangCheckpoint checkpoint);
-  // Members complete together: once one is known done, so are those known gone.
+  // Members complete together: once one is known to be done, members that are gone count as done, too.
   void completeGangIfDone(Job& job);
-  // A former owner wrote some members only, or lost one: what there is ends, and the gang starts as a whole.
+  // A former owner committed only some members, or lost one: stops the members found, and the gang restarts.
   void restoreGang(Job& job);
   // Preemption (preemption.cpp).
   struct PreemptionRound {
     CapacityForecast forecast;
     std::set<MachineId> machinesToCommand;
-    unsigned plans = 0;  // tasks and gangs that evictions were planned for
+    unsigned plans = 0;  // tasks and gangs with planned evictions
   };
-  // Stops tasks for those that found no capacity, in their order.
+  // Stops tasks in favor of the jobs that found no capacity, in the order of those jobs.
   void preempt(const std::vector<PendingJob>& blocked);
   void preemptForTasks(const PendingJob& pending, PreemptionRound& round);
   void preemptForGang(const PendingJob& pending, PreemptionRound& round);
   void executeEviction(const PlannedEviction& eviction, const PendingJob& pending, PreemptionRound& round);
-  // How long the job still waits for others to end by themselves.
+  // How long the job still waits for other tasks to end before it may preempt.
   Duration timeUntilPreemption(const PendingJob& pending) const;
   void schedulePreemption(Duration wait);
-  // Capacity of other shards, and for them (invariant 17).
-  // What capacity of other shards is looked for: to migrate whole jobs, or to delegate tasks.
+  // Use of other shards' capacity, and offers to them (invariant 17).
+  // Purpose of a capacity request: migration of whole jobs, or delegation of tasks.
   enum class RemotePlacement : std::uint8_t { Migration, Delegation };
   void reviewMigrations(Time now);
   bool planMigration(const Job& job);
@@ -299,19 +298,19 @@
   std::vector<Job*> oldestUnplaceable(RemotePlacement purpose, Time now);
   bool mayOfferCapacity(Time lastOffer) const;
   const JobEntry* openJobOf(ShardId shard, const JobId& id) const;
-  // How many tasks of a job with this description find room in each zone.
+  // How many tasks of this job fit in each zone.
   std::map<Zone, std::uint32_t> capacityByZone(const Job& job) const;
   std::uint32_t capacityFor(const Job& job) const;
   std::optional<std::uint32_t> maxRemoteTasks(const Job& job) const;
   std::uint32_t tasksWithinLimit(const Job& job) const;
-  // Delegation of tasks to other shards (invariant 18): of this shard's jobs, ...
+  // Delegation of tasks (invariant 18), for jobs of this shard ...
   void reviewDelegations(Time now);
   mesh::TaskCapacityNeed taskCapacityNeed(const Job& job) const;
   bool planDelegations(Job& job, Time now);
   void planRecall(Job& job) { taskDelegation_.planRecall(job); }
   void resumeDelegations(Job& job);
   void ownedJobChanged(Job& job, const JobEntry& entry);
-  // ... and of other shards' jobs.
+  // ... and for jobs of other shards.
   void delegatedJobChanged(const JobId& id, const JobEntry& entry);
   Job& acceptDelegation(const JobId& id, const JobEntry& entry, const Delegation& delegation);
   void recallDelegated(Job& job);
@@ -363,12 +362,12 @@
   bool ownershipTransferSent_ = false;
 
   bool roundScheduled_ = false;
-  RoundScope roundScope_;  // of the next round
+  RoundScope roundScope_;  // scope of the next round
 
   Time lastRound_{};
   Time lastPreemption_{};
-  std::optional<Time> preemptionDue_;  // when a round is to preempt next
-  std::deque<TaskId> unwrittenTasks_;  // tasks whose placement or completion is to be written
+  std::optional<Time> preemptionDue_;  // when the next round may preempt
+  std::deque<TaskId> unwrittenTasks_;  // tasks whose placement or completion has to be written
   std::set<JobId> jobsToEnd_;          // jobs to write as done or cancelled
   bool committing_ = false;
   Time commitNotBefore_{}, lastCommit_{};
@@ -376,13 +375,13 @@
   bool placementsUnwritten_ = false;  // some of unwrittenTasks_ are placements
   std::optional<CommitInFlight> commitInFlight_;
 
-  std::size_t probesInFlight_ = 0;          // direct commands without commands in them
+  std::size_t probesInFlight_ = 0;          // direct requests that carry no commands
   std::size_t directCommandsInFlight_ = 0;  // probes included
-  // When so many machines were last suspected that the fault was likely not theirs: of the shard, of a zone.
+  // When so many machines of the shard or of a zone were last overdue that they were probably not at fault.
   std::optional<Time> massSuspicionAt_;
   std::map<Zone, Time> massSuspicionInZoneAt_;
   Time lastTickAt_{};
-  Time lastStallEnd_{};  // the end of our own last standstill
+  Time lastStallEnd_{};  // end of this process's last stall
 
   JobCapacityOffers jobOffers_;
   JobMigration jobMigration_;
--- a/src/scheduler/shard_state.cpp
+++ b/src/scheduler/shard_state.cpp
@@ -17,10 +17,10 @@
 }
 
 Resources Machine::capacityBeingFreed() const {
-  Resources r;
-  for (const auto& [_, p] : placements)
-    if (!p.desired) r += p.job->spec->each;
-  return r;
+  Resources freed;
+  for (const auto& [_, placement] : placements)
+    if (!placement.desired) freed += placement.job->spec->each;
+  return freed;
 }
 
 // --- jobs ---
@@ -30,12 +30,12 @@
   job.id = id;
   job.spec = known.spec;
   job.team = settings_.team(job.spec->team);
-  job.imageHolders = &holders_[job.spec->image];
+  job.imageHolders = &imageHolders_[job.spec->image];
   job.version = known.version;
   job.submitted = known.submitted;
   job.status = known.status;
   job.tasks.assign(known.tasks, Task{});
-  byTeam_[job.spec->team][{job.submitted, id}] = &job;
+  jobsByTeam_[job.spec->team][{job.submitted, id}] = &job;
   if (delegation)
     addDelegatedTasks(job, *delegation);
   else
@@ -96,7 +96,7 @@
   if (found == jobs_.end()) return;
   auto& job = found->second;
   for (auto& task : job.tasks) detachFromPage(task);
-  byTeam_[job.spec->team].erase({job.submitted, id});
+  jobsByTeam_[job.spec->team].erase({job.submitted, id});
   jobs_.erase(found);
 }
 
@@ -111,7 +111,7 @@
                                 Time now) {
   auto& machine = machines_[id];
   machine.id = id;
-  machine.no = ++machineCount_;
+  machine.no = ++lastMachineNo_;
   machine.known = known;
   machine.address = known.record.address;
   if (type) {
@@ -157,7 +157,7 @@
   machine.decommissioning = true;
   reindex(machine);
   --machine.pool->machines;
-  for (auto& [_, imageHolders] : holders_) imageHolders.erase(machine.no);
+  for (auto& [_, imageHolders] : imageHolders_) imageHolders.erase(machine.no);
   machines_.erase(found);
 }
 
@@ -167,27 +167,27 @@
 }
 
 void ShardState::reindex(Machine& machine) {
-  std::optional<double> freeCores;  // nothing: it is not to be in the index
+  std::optional<double> freeCores;  // nothing: the machine must not be in the index
   if (machine.open()) freeCores = machine.free().cores;
   if (machine.indexedFreeCores == freeCores) return;
   auto& index = machine.pool->byFreeCores;
   if (machine.indexedFreeCores) index.erase({*machine.indexedFreeCores, machine.no});
   if (freeCores) index[{*freeCores, machine.no}] = &machine;
   if (!machine.indexedFreeCores) {
-    machine.openAt = open_.size();
-    open_.push_back(&machine);
+    machine.openIndex = openMachines_.size();
+    openMachines_.push_back(&machine);
   } else if (!freeCores) {
-    // The last one takes its place.
-    open_[machine.openAt] = open_.back();
-    open_[machine.openAt]->openAt = machine.openAt;
-    open_.pop_back();
+    // Swap-and-pop removal.
+    openMachines_[machine.openIndex] = openMachines_.back();
+    openMachines_[machine.openIndex]->openIndex = machine.openIndex;
+    openMachines_.pop_back();
   }
   machine.indexedFreeCores = freeCores;
 }
 
 void ShardState::recordImageUse(Machine& machine, const ImageId& image, double sizeGb) {
-  for (const auto& evicted : machine.images.touch(image, sizeGb)) holders_[evicted].erase(machine.no);
-  holders_[image][machine.no] = &machine;
+  for (const auto& evicted : machine.images.touch(image, sizeGb)) imageHolders_[evicted].erase(machine.no);
+  imageHolders_[image][machine.no] = &machine;
 }
 
 // --- placements ---
@@ -229,7 +229,7 @@
   job.tasks[id.index].machine = nullptr;
   machine.placements.erase(placement);
   if (machine.placements.empty()) {
-    // Sums of what was taken and given back differ from nothing by rounding.
+    // Resets the sums, which rounding errors may have left slightly off zero.
     machine.used = {};
     machine.replicaCores = 0;
     machine.idleSince = now;
@@ -243,10 +243,10 @@
   Job& job = *placement->second.job;
   if (placement->second.observed && machine.spot()) ++job.lost;
   release(machine, placement, now);
-  auto& lost = job.tasks[task.index];
-  lost.state = TaskState::Waiting;
-  detachFromPage(lost);
-  // What was running before comes before what never ran.
+  auto& lostTask = job.tasks[task.index];
+  lostTask.state = TaskState::Waiting;
+  detachFromPage(lostTask);
+  // Tasks that ran before are placed ahead of those that never ran.
   job.waiting.push_front(task.index);
 }
 
@@ -273,13 +273,13 @@
 
 void ShardState::setPhase(Placement& placement, wire::TaskPhase phase, Time now) {
   using wire::TaskPhase;
-  bool ranBefore = placement.observed && placement.phase == TaskPhase::Running;
-  bool runsNow = phase == TaskPhase::Running;
-  if (runsNow && !ranBefore) {
+  bool wasRunning = placement.observed && placement.phase == TaskPhase::Running;
+  bool isRunning = phase == TaskPhase::Running;
+  if (isRunning && !wasRunning) {
     ++placement.job->running;
     placement.runningSince = now;
   }
-  if (ranBefore && !runsNow) --placement.job->running;
+  if (wasRunning && !isRunning) --placement.job->running;
   placement.observed = true;
   placement.phase = phase;
 }
@@ -293,9 +293,10 @@
 
 bool ShardState::withinLimit(const Job& job) const {
   if (!job.team) return false;
-  if (job.delegation) return true;  // the owner's shard counts it (invariant 18)
+  if (job.delegation) return true;  // the owner's shard enforces the quota (invariant 18)
   if (job.maxConcurrent)
-    return job.placed + job.remote < *job.maxConcurrent;  // its team's own shard counts it (invariant 17)
+    return job.placed + job.remote <
+           *job.maxConcurrent;  // the team's own shard enforces the quota (invariant 17)
   auto sum = teamUsage(job.spec->team) + job.spec->each;
   sum.ram = 0;
   return sum.fitsIn({job.team->coreQuota, job.team->gpuQuota, 0});
@@ -306,11 +307,11 @@
 }
 
 bool ShardState::mayPreempt(PriorityClass claimant, bool guaranteed) const {
-  auto own = static_cast<std::size_t>(claimant);
-  for (std::size_t lower = 0; lower < own; ++lower)
+  auto claimantLevel = static_cast<std::size_t>(claimant);
+  for (std::size_t lower = 0; lower < claimantLevel; ++lower)
     if (usedByPriority_[lower] > kResourceSlack) return true;
-  if (!guaranteed || usedByPriority_[own] <= kResourceSlack) return false;
-  return std::any_of(byTeam_.begin(), byTeam_.end(), [&](const auto& jobsOfTeam) {
+  if (!guaranteed || usedByPriority_[claimantLevel] <= kResourceSlack) return false;
+  return std::any_of(jobsByTeam_.begin(), jobsByTeam_.end(), [&](const auto& jobsOfTeam) {
     const Team* team = settings_.team(jobsOfTeam.first);
     return team && aboveGuarantee(*team);
   });
--- a/src/scheduler/shard_state.h
+++ b/src/scheduler/shard_state.h
@@ -1,5 +1,5 @@
-// ShardState: a shard's jobs, its machines and what may run where, with the indices that decisions look
-// things up in. No I/O and no clock of its own: the caller says what time it is.
+// ShardState: a shard's jobs, machines and placements, with the indices used by scheduling decisions. It does
+// no I/O and has no clock: the caller passes the time.
 #pragma once
 
 #include <array>
@@ -20,7 +20,7 @@
 
 namespace cherryloft {
 
-// What a worker runs or is told to run: a task may be attempted several times.
+// One execution of a task on a worker; a task may be attempted several times.
 struct TaskAttempt {
   TaskId task;
   Attempt attempt;
@@ -28,114 +28,114 @@
   friend bool operator==(const TaskAttempt&, const TaskAttempt&) = default;
 };
 
-// A task that may be on a machine (invariant 1: from its commit on; counted even before).
+// A task that may be on a machine (invariant 1: from its commit on; it counts toward limits even before).
 //
-// What moves it (invariants 2, 3 and 8 say when a placement may be dropped):
+// State transitions (invariants 2, 3 and 8 define when a placement may be removed):
 //
-//   placed        desired; its attempt is not written yet
-//     | the commit of its attempt succeeds, or it is read from the store: restored
+//   placed        desired; its attempt is not committed yet
+//     | the commit of its attempt succeeds, or the attempt is loaded from the store (restored)
 //     v
-//   committed     awaitsStart(), unless restored: a former owner may have sent its start
-//     | a command with its start goes out: startSent
+//   committed     awaitsStart(), unless restored: a former owner may have sent the start command
+//     | a start command is sent: startSent
 //     v
-//   starting      repeated in answers to heartbeats until it is observed
-//     | a heartbeat of the worker's present incarnation lists it: observed
+//   starting      the start is repeated in heartbeat responses until the task is observed
+//     | a heartbeat of the worker's current incarnation lists the task: observed
 //     v
-//   observed         in the phase that the worker says, until a heartbeat says that it ended
-//     | preemption, drain, cancellation, a broken gang: no longer desired (from any state above)
+//   observed      in the phase that the worker reports, until a heartbeat reports its end
+//     | preemption, drain, cancellation, loss of a gang member: no longer desired (from any state above)
 //     v
-//   stopping      awaitsStop() if it is observed; else it waits until no start can arrive any more
-//     | a heartbeat shows it ended, or lacks it and no start of it can arrive; the worker's incarnation
-//     | is over; or the machine's record is gone. One whose start was never sent is gone at once
+//   stopping      awaitsStop() if observed; otherwise waits until no start command can arrive any more
+//     | a heartbeat reports its end, or omits it when no start can arrive any more; the worker's incarnation
+//     | ends; or the machine's record is deleted. If no start was sent, it is gone immediately
 //     v
 //   known gone    the placement is removed; the task waits again, unless it is done
 struct Placement {
   Job* job = nullptr;
   Attempt attempt;
-  bool committed = false;       // its attempt is written
-  bool desired = true;          // false: it is to be stopped
-  bool skipCheckpoint = false;  // it is to be stopped at once, as others wait for its room
-  bool restored = false;        // read from the store: a former owner may have sent its start
-  bool startSent = false;       // a command of ours carried its start
-  bool observed = false;        // a heartbeat of the worker's present incarnation listed it
-  wire::TaskPhase phase = wire::TaskPhase::Fetching;  // as last observed
-  SequenceNumber startSentWith;                       // the last heartbeat whose answer carried its start
+  bool committed = false;       // its attempt is stored
+  bool desired = true;          // false: the task is to be stopped
+  bool skipCheckpoint = false;  // stop without a checkpoint, as other tasks wait for its capacity
+  bool restored = false;        // loaded from the store: a former owner may have sent its start
+  bool startSent = false;       // this owner sent a start command
+  bool observed = false;        // listed by a heartbeat of the worker's current incarnation
+  wire::TaskPhase phase = wire::TaskPhase::Fetching;  // as last reported
+  SequenceNumber startSentWith;                       // the last heartbeat whose response had its start
   Time placedAt{};
   Time runningSince{};
-  Time stopSent{};  // when its first stop, or its last direct one, went out
+  Time stopSent{};  // when its first or its latest direct stop command was sent
 
-  // What we want and what the worker shows differ.
+  // The desired and the observed state differ.
   [[nodiscard]] bool pending() const { return !desired || !observed; }
-  // Its start is ours to send, and the worker does not show it yet.
+  // This owner has to send its start, and the worker does not report it yet.
   [[nodiscard]] bool awaitsStart() const { return committed && desired && !observed && !restored; }
-  // The worker is to be told to stop it.
+  // The worker has to be told to stop it.
   [[nodiscard]] bool awaitsStop() const { return !desired && observed; }
 };
 
-// A machine of the shard, as its owner knows it, and the dealings with the worker on it.
+// A machine of the shard as its owner sees it, with the state of the communication with its worker.
 //
-// What moves it:
+// State transitions:
 //
 // clang-format off
-//   booting       not registered, and no address in its record
-//     | a heartbeat that shows our token (invariants 7 and 12)
+//   booting         not registered, and no address in its record
+//     | a heartbeat that carries this owner's token (invariants 7 and 12)
 //     v
-//   registered         open() for new work, unless one of these holds:
-//     |             cordoned          no heartbeat of late; the next one ends it
-//     |             command in doubt  an unanswered command may still arrive (CommandFence);
-//     |                               a heartbeat with a higher token ends it
-//     |             reclaimAt         the cloud has announced that it takes the machine
-//     |             draining          leaves when it is empty; may be called off
-//     |             decommissioning   takes no more work, for good
-//     | silent for its whole lease (leaseExpiresAt)
+//   registered      open() for new work, unless one of these holds:
+//     |               cordoned          no recent heartbeat; lifted by the next one
+//     |               command in doubt  an unanswered command may still arrive (CommandFence);
+//     |                                 resolved by a heartbeat with a higher token
+//     |               reclaimAt         the cloud has announced that it reclaims the machine
+//     |               draining          leaves once it is empty; can be cancelled
+//     |               decommissioning   takes no more work, irrevocably
+//     | no heartbeat until its lease has expired (leaseExpiresAt)
 //     v
-//   not registered     its incarnation is over and all its tasks are known gone; the next heartbeat of a
-//                 new incarnation makes it registered again
+//   not registered  its incarnation has ended and all its tasks are known gone; the next heartbeat of
+//                   a new incarnation registers it again
 //
-//   returnNow     suspected (ShardScheduler::suspected) or faulty: it goes to the cloud whatever is
-//                 on it, and is removed with its record
+//   returnNow       suspected (ShardScheduler::suspected) or faulty: returned to the cloud regardless of
+//                   its tasks, and removed once its record is deleted
 // clang-format on
 struct Machine {
   MachineId id;
-  std::uint32_t no = 0;  // in the shard state; gives walks their order
-  MachineEntry known;    // its record
+  std::uint32_t no = 0;  // number in the shard state, for a deterministic order
+  MachineEntry known;    // its entry in the cluster view
   MachinePool* pool = nullptr;
   Resources size, used;
   double fetchGbPerS = 0;
-  double replicaCores = 0;  // of services
+  double replicaCores = 0;  // cores used by service replicas
   std::map<TaskId, Placement> placements;
   ImageCache images;
 
-  // --- hearing the worker ---
-  bool registered = false;  // a heartbeat with our token came (invariant 7), and its lease is not over since
-  bool cordoned = false;    // not registered of late: it gets no new work
+  // --- heartbeats from the worker ---
+  bool registered = false;  // has sent our token (invariant 7), and its lease has not expired since
+  bool cordoned = false;    // no recent heartbeat: gets no new work
   Time lastHeartbeatAt{};
-  Time leaseExpiresAt{};  // beyond this its worker has ended its incarnation (invariant 2)
+  Time leaseExpiresAt{};  // latest possible end of its worker's incarnation (invariant 2)
   CommandFence fence;
   std::vector<wire::ReportedTask> reported;  // the tasks in the last accepted heartbeat
-  std::string address;                       // as it says itself
-  std::optional<Time> reclaimAt;             // when the cloud takes it, as announced
+  std::string address;                       // as reported by the worker
+  std::optional<Time> reclaimAt;             // announced time of its reclaim by the cloud
 
-  // --- being registered by it ---
-  bool directCommandDue = true;     // it has commands to get, or is to be asked for a heartbeat
-  bool commandInFlight = false;     // a direct command has neither an answer nor timed out
-  bool followUpCommandDue = false;  // another direct command is to follow that one
-  Time nextCommandNotBefore{};      // the next direct command
-  unsigned unansweredProbes = 0;    // direct commands in a row without an answer
-  // Heartbeats in a row that lack a task that an answer to an earlier one should have started.
+  // --- commands to the worker ---
+  bool directCommandDue = true;     // a direct command or a probe has to be sent
+  bool commandInFlight = false;     // a direct command was neither answered nor timed out
+  bool followUpCommandDue = false;  // another one has to follow the one in flight
+  Time nextCommandNotBefore{};      // earliest time of the next direct command
+  unsigned unansweredProbes = 0;    // consecutive direct commands without an answer
+  // Consecutive heartbeats without a task that the response to an earlier one should have started.
   unsigned missedStarts = 0;
-  std::optional<Time> tokenUnacknowledgedSince;  // heartbeats come, but none shows our token (invariant 11)
+  std::optional<Time> tokenUnacknowledgedSince;  // heartbeats arrive without our token (invariant 11)
 
-  // --- leaving ---
-  bool draining = false;         // takes no more work, and goes when it is empty unless room gets short
-  bool decommissioning = false;  // takes no more work: to be given up
-  std::optional<std::int32_t> moveTarget;  // shard, or -1 for the cloud
-  bool returnNow = false;                  // to the cloud whatever is on it
+  // --- drain and removal ---
+  bool draining = false;                   // no new work; leaves once empty unless capacity becomes short
+  bool decommissioning = false;            // no new work; to be given up
+  std::optional<std::int32_t> moveTarget;  // destination shard, or -1 for the cloud
+  bool returnNow = false;                  // to the cloud, regardless of its tasks
   Time idleSince{};
 
-  // Where the index has it.
+  // Position in the indices of ShardState.
   std::optional<double> indexedFreeCores;
-  std::size_t openAt = 0;
+  std::size_t openIndex = 0;
 
   [[nodiscard]] FencingToken token() const { return fence.token(); }
   [[nodiscard]] bool noCommandInDoubt() const { return fence.noCommandInDoubt(); }
@@ -145,16 +145,16 @@
   double imageFetchSeconds(const JobSpec& job) const {
     return fetchGbPerS > 0 ? job.imageGb / fetchGbPerS : 0;
   }
-  // It takes new work.
+  // Whether it accepts new tasks.
   bool open() const {
     return registered && !cordoned && !decommissioning && !draining && !reclaimAt &&
            known.record.phase == wire::MachinePhase::InUse && noCommandInDoubt() && size.cores > 0;
   }
-  // The placement of this very attempt; null if the task is not placed here.
+  // The placement of exactly this attempt; null if it is not placed here.
   [[nodiscard]] Placement* placementOf(const wire::ReportedTask& reported);
-  // Some task is still to be started or stopped.
+  // Whether any task still has to be started or stopped.
   [[nodiscard]] bool anyPending() const;
-  // A copy of the tasks whose placement satisfies the predicate, as placements may go while they are walked.
+  // A copy of the tasks whose placement satisfies the predicate, as callers may remove placements meanwhile.
   template <class Predicate>
   [[nodiscard]] std::vector<TaskId> tasksWhere(Predicate predicate) const {
     std::vector<TaskId> tasks;
@@ -162,20 +162,20 @@
       if (predicate(placement)) tasks.push_back(task);
     return tasks;
   }
-  // Room that stopping tasks will leave.
+  // Resources that will be freed by stopping tasks.
   Resources capacityBeingFreed() const;
 };
 
-// A page as it is to be written: what is still true of it, and as many new facts as it has room for.
+// New content of a page: its entries that are still current, and as many new ones as fit.
 struct PageUpdate {
   PageNumber number = 0;
   wire::PageRecord record;
-  std::vector<TaskId> members;  // whose state the record tells
+  std::vector<TaskId> members;  // tasks whose state the record holds
 };
 
-// Owns all jobs and machines of the shard; pointers and references to them, and to pools, are valid until
-// they are removed. The indices follow each change made by a member function. What changes the fields of a
-// machine directly calls reindex() afterwards.
+// Owns all jobs and machines of the shard; pointers and references to them, and to pools, stay valid until
+// their removal. Member functions keep the indices up to date; code that changes fields of a machine directly
+// must call reindex() afterwards.
 class ShardState {
  public:
   // The settings must outlive the state.
@@ -183,80 +183,78 @@
 
   // --- jobs ---
 
-  // The shard's own job, or what a delegation gives to it of another shard's (invariant 18).
+  // Adds the shard's own job, or the delegated tasks of another shard's job (invariant 18).
   Job& addJob(const JobId& id, const JobEntry& known, const Delegation* delegation = nullptr);
-  // Nothing of the job may be on a machine any more.
+  // None of the job's tasks may be on a machine any more.
   void removeJob(const JobId& id);
   // Null if there is none.
   Job* job(const JobId& id);
   std::map<JobId, Job>& jobs() { return jobs_; }
   const std::map<JobId, Job>& jobs() const { return jobs_; }
-  // A team's jobs that are not over, in order of submission.
+  // A team's unfinished jobs, in order of submission.
   using TeamJobs = std::map<std::pair<WallTime, JobId>, Job*>;
-  const std::map<TeamId, TeamJobs>& teams() const { return byTeam_; }
+  const std::map<TeamId, TeamJobs>& teams() const { return jobsByTeam_; }
 
   // --- machines ---
 
-  // Without a type (it is not in the catalog yet) the machine takes no work until setMachineType() is called.
+  // type: null if not in the catalog yet; the machine takes no work until setMachineType() is called.
   Machine& addMachine(const MachineId& id, const MachineEntry& known, const MachineType* type, Time now);
   void setMachineType(Machine& machine, const MachineType& type);
-  // Nothing may be on the machine any more.
+  // The machine must have no placements any more.
   void removeMachine(const MachineId& id);
   // Null if there is none.
   Machine* machine(const MachineId& id);
   std::map<MachineId, Machine>& machines() { return machines_; }
   const std::map<MachineId, Machine>& machines() const { return machines_; }
-  // Brings the indices up to date: to be called after anything that Machine::open() or its free cores depend
-  // on has changed.
+  // Updates the indices. Must be called after any change that affects Machine::open() or the free cores.
   void reindex(Machine& machine);
-  // The image, of that size, was used on the machine just now.
+  // Records that a task on the machine used the image.
   void recordImageUse(Machine& machine, const ImageId& image, double sizeGb);
   const std::list<MachinePool>& pools() const { return pools_; }
   std::list<MachinePool>& pools() { return pools_; }
-  // Machines that take new work, in no particular order.
-  const std::vector<Machine*>& openMachines() const { return open_; }
+  // Machines open for new work, in no particular order.
+  const std::vector<Machine*>& openMachines() const { return openMachines_; }
 
   // --- placements ---
 
-  // Puts a waiting task on the machine. The caller takes its index out of job.waiting. It counts toward all
-  // limits from now on (invariant 1).
+  // Places a waiting task on the machine. The caller removes its index from job.waiting. The task counts
+  // toward all limits from now on (invariant 1).
   Placement& place(Job& job, std::uint32_t index, Machine& machine, Attempt attempt, Time now);
-  // The task is known gone (invariant 2): it waits again, before tasks that never ran.
+  // The task is known to be gone (invariant 2): queues it again, ahead of tasks that never ran.
   void requeueLostTask(Machine& machine, const TaskId& task, Time now);
   void markTaskDone(Machine& machine, const TaskId& task, Time now);
-  // A waiting task goes to another shard: it counts toward the team's quota and the zones' rules as if placed
-  // there, until it is back.
+  // Delegates a waiting task to another shard: until it is returned, it counts toward the team's quota and
+  // the zone constraints as if placed there.
   void markRemote(Job& job, std::uint32_t index, const std::optional<Zone>& zone);
   void takeBackRemote(Job& job, std::uint32_t index, const std::optional<Zone>& zone, bool done);
-  // The placement's attempt is written.
+  // The placement's attempt was committed.
   static void commit(Placement& placement);
-  // All tasks that wait are done though no machine that is left can tell.
+  // Marks all waiting tasks as done, when no remaining machine can report their completion.
   static void markWaitingDone(Job& job);
-  // A heartbeat showed the task in this phase.
+  // A heartbeat reported the task in this phase.
   void setPhase(Placement& placement, wire::TaskPhase phase, Time now);
 
   // --- quotas ---
 
-  // What the team's tasks take, on this shard's machines and on others'.
+  // Resources used by the team's tasks, on machines of this and of other shards.
   Resources teamUsage(const TeamId& team) const;
-  // What tasks of the team take on another shard's machines, or may take.
+  // Resources that the team's tasks use, or may use, on another shard's machines.
   void addRemoteUsage(const TeamId& team, const Resources& sum) { usageByTeam_[team] += sum; }
   void subtractRemoteUsage(const TeamId& team, const Resources& sum) { usageByTeam_[team] -= sum; }
-  // Whether one more task of the job keeps its team within the quota.
+  // Whether one more task of the job fits the team's quota, or the job's own limit if it has one.
   bool withinLimit(const Job& job) const;
-  // The team uses more cores than it is guaranteed.
+  // Whether the team uses more cores than its guarantee.
   bool aboveGuarantee(const Team& team) const;
-  // Some work is there that such a claimant may preempt. guaranteed: its team is below its guarantee.
+  // Whether there is any task that such a claimant may preempt. guaranteed: its team is below its guarantee.
   bool mayPreempt(PriorityClass claimant, bool guaranteed) const;
 
-  // --- pages of placements ---
+  // --- placement pages ---
 
-  // Composes the page that is best written next, of those not in taken, and adds it to taken. It takes from
-  // unwritten the tasks whose state the page will hold. Nothing if no task needs writing, or if the page
-  // turned out to be full; then unwritten still holds what needs writing.
+  // Composes the next page to write that is not in `taken`, adds it there, and removes its tasks from
+  // `unwritten`. Nothing if no task needs writing, or if the page has no room; `unwritten` keeps the rest.
   std::optional<PageUpdate> composePage(std::deque<TaskId>& unwritten, std::set<PageNumber>& taken);
-  // The task's latest state is on that page, as loaded from the store.
-  void restored(const TaskId& task, PageNumber page);
+  // The task's latest state was loaded from that page.
+  void attachToPage(const TaskId& task, PageNumber page);
   PlacementPages& pages() { return pages_; }
   const PlacementPages& pages() const { return pages_; }
 
@@ -265,25 +263,25 @@
   void addDelegatedTasks(Job& job, const Delegation& delegation);
   MachinePool& poolFor(const Machine& machine);
   void release(Machine& machine, std::map<TaskId, Placement>::iterator placement, Time now);
-  // The page that holds the task's state holds an outdated one from now on.
+  // The state of the task on its page is outdated from now on.
   void detachFromPage(Task& task);
   bool isCurrentOn(const TaskId& id, PageNumber page);
   bool needsWriting(const TaskId& id);
-  // False, and nothing is added, if the record would be larger than a value may be.
+  // Returns false and adds nothing if the record would exceed the size limit of a value.
   bool addToPage(PageUpdate& update, std::size_t& bytes, const TaskId& id);
   void addUnwritten(PageUpdate& update, std::size_t& bytes, std::deque<TaskId>& unwritten);
 
   const Settings& settings_;
   PlacementPages pages_;
   std::map<JobId, Job> jobs_;
-  std::map<TeamId, TeamJobs> byTeam_;
+  std::map<TeamId, TeamJobs> jobsByTeam_;
   std::map<MachineId, Machine> machines_;
   std::list<MachinePool> pools_;
-  std::vector<Machine*> open_;
-  std::unordered_map<ImageId, MachineSet> holders_;  // machines that are taken to cache the image
+  std::vector<Machine*> openMachines_;
+  std::unordered_map<ImageId, MachineSet> imageHolders_;  // machines estimated to have the image cached
   std::unordered_map<TeamId, Resources> usageByTeam_;
-  std::array<double, 4> usedByPriority_{};  // cores, by PriorityClass
-  std::uint32_t machineCount_ = 0;          // ever added, as machines are numbered by it
+  std::array<double, 4> usedByPriority_{};  // used cores, by PriorityClass
+  std::uint32_t lastMachineNo_ = 0;
 };
 
 }  // namespace cherryloft
--- a/src/scheduler/shard_state_pages.cpp
+++ b/src/scheduler/shard_state_pages.cpp
@@ -1,4 +1,4 @@
-// What of the shard's state is written on which page of placements.
+// ShardState: composition of the placement pages that are written to the state service.
 #include <algorithm>
 #include <utility>
 
@@ -13,7 +13,7 @@
   task.page = kNoPage;
 }
 
-void ShardState::restored(const TaskId& task, PageNumber page) {
+void ShardState::attachToPage(const TaskId& task, PageNumber page) {
   auto& state = jobs_.at(task.job).tasks[task.index];
   detachFromPage(state);
   state.page = page;
@@ -21,8 +21,8 @@
   ++pages_.at(page).live;
 }
 
-// The task's latest state is on that page and still worth keeping: what is placed counts until it is known
-// gone (invariant 1), what is done until its job is over.
+// Whether the page holds the task's latest state and that state is still needed: a placement until the task
+// is known to be gone (invariant 1), a completion until the job is over.
 bool ShardState::isCurrentOn(const TaskId& id, PageNumber page) {
   Job* owner = job(id.job);
   if (!owner || owner->tasks[id.index].page != page) return false;
@@ -30,13 +30,13 @@
   return state == TaskState::Placed || (state == TaskState::Done && owner->status == JobStatus::Open);
 }
 
-// What was done, lost or written meanwhile needs no writing.
+// False if the task was completed, lost or written since it was queued.
 bool ShardState::needsWriting(const TaskId& id) {
   Job* owner = job(id.job);
   if (!owner) return false;
   const auto& task = owner->tasks[id.index];
   if (task.writeInFlight) return false;
-  // When the whole job is done, its own record says so.
+  // The completion of a whole job is stored in the job's own record.
   if (task.state == TaskState::Done)
     return owner->status == JobStatus::Open && !task.doneCommitted && !owner->finished();
   return task.state == TaskState::Placed && !task.machine->placements.at(id).committed;
@@ -47,10 +47,10 @@
   std::optional<wire::PlacementEntry> entry;
   if (task.state == TaskState::Placed)
     entry = {id.index, task.machine->placements.at(id).attempt, task.machine->id};
-  std::size_t more = entry ? wire::maxBytesOf(*entry) : wire::maxBytesOfDoneTask(id.index);
-  if (update.record.jobs.count(id.job) == 0) more += wire::maxBytesOfJob(id.job);
-  if (bytes + more > settings_.valueBytes) return false;
-  bytes += more;
+  std::size_t addedBytes = entry ? wire::maxBytesOf(*entry) : wire::maxBytesOfDoneTask(id.index);
+  if (update.record.jobs.count(id.job) == 0) addedBytes += wire::maxBytesOfJob(id.job);
+  if (bytes + addedBytes > settings_.valueBytes) return false;
+  bytes += addedBytes;
   auto& placements = update.record.jobs[id.job];
   if (entry)
     placements.placed.push_back(std::move(*entry));
@@ -66,20 +66,20 @@
   if (unwritten.empty()) return std::nullopt;
 
   PageUpdate update;
-  update.number = pages_.next(taken);
+  update.number = pages_.selectForWrite(taken);
   taken.insert(update.number);
   std::size_t bytes = wire::kEmptyPageBytes;
   auto& page = pages_.at(update.number);
-  // What is still current of a page that was written under a larger limit may not fit any more: it stays as
-  // it is (invariant 20).
+  // The current entries of a page that was written under a larger size limit may no longer fit. Such a page
+  // is left unchanged (invariant 20).
   for (const auto& id : page.members)
     if (isCurrentOn(id, update.number) && !addToPage(update, bytes, id)) return std::nullopt;
-  auto kept = update.members.size();
+  auto keptMembers = update.members.size();
   addUnwritten(update, bytes, unwritten);
   page.members = update.members;
   page.live = update.members.size();
   for (auto& [_, placements] : update.record.jobs) std::sort(placements.done.begin(), placements.done.end());
-  if (update.members.size() == kept) return std::nullopt;  // it is full after all
+  if (update.members.size() == keptMembers) return std::nullopt;  // no room for new entries
   return update;
 }
 
--- a/src/scheduler/shard_summary.cpp
+++ b/src/scheduler/shard_summary.cpp
@@ -7,12 +7,12 @@
 namespace cherryloft {
 namespace {
 
-// Machines that take no work, by the first reason that holds.
+// Machines that accept no new work, counted under the first reason that applies.
 struct ClosedMachines {
-  std::size_t decommissioning = 0;  // on their way to the cloud or to another shard
+  std::size_t decommissioning = 0;  // being returned, reclaimed or moved to another shard
   std::size_t draining = 0;
   std::size_t booting = 0;
-  std::size_t silent = 0;  // no heartbeat yet under this owner, or none of late
+  std::size_t silent = 0;  // no heartbeat to this owner yet, or no recent one
   std::size_t suspected = 0;
 
   void add(const Machine& machine) {
@@ -42,20 +42,20 @@
   ClosedMachines closed;
   for (const auto& [_, machine] : state.machines())
     if (!machine.open()) closed.add(machine);
-  auto work = fmt::format(
+  auto stateFields = fmt::format(
       "shard summary shard={} open_jobs={} tasks_waiting={} machines={} open={} booting={} silent={} "
       "suspected={} draining={} "
       "decommissioning={} pages={}",
       shard.value, openJobs, waitingTasks, state.machines().size(), state.openMachines().size(),
       closed.booting, closed.silent, closed.suspected, closed.draining, closed.decommissioning,
       state.pages().count());
-  auto minute = latencies.takeRoundCounters();
+  auto activity = latencies.takeRoundCounters();
   return fmt::format("{} starts={} rounds={} widest_round={} machines_examined={} preempted={} {} {} {}",
-                     work, minute.starts, minute.rounds, minute.maxPlacementsPerRound,
-                     minute.machinesExamined, minute.evictedTasks,
-                     latencies.arrivalToPlaced.take("arrival_to_placed"),
-                     latencies.placedToCommitted.take("placed_to_committed"),
-                     latencies.placedToShown.take("placed_to_shown"));
+                     stateFields, activity.starts, activity.rounds, activity.maxPlacementsPerRound,
+                     activity.machinesExamined, activity.evictedTasks,
+                     latencies.arrivalToPlaced.summarizeAndReset("arrival_to_placed"),
+                     latencies.placedToCommitted.summarizeAndReset("placed_to_committed"),
+                     latencies.placedToShown.summarizeAndReset("placed_to_shown"));
 }
 
 }  // namespace cherryloft
--- a/src/scheduler/shard_summary.h
+++ b/src/scheduler/shard_summary.h
@@ -1,4 +1,4 @@
-// What a shard's owner did in the last minute, as one log line for operators (OPERATING.md).
+// Summary of a shard's state and recent activity as one log line for operators (OPERATING.md).
 #pragma once
 
 #include <string>
@@ -9,8 +9,8 @@
 
 namespace cherryloft {
 
-// Fixed text and key=value pairs of the shard's jobs and machines as they are now, and of what was decided
-// since the last call, whose counts begin anew.
+// Returns a fixed text followed by key=value pairs: the current jobs and machines of the shard, and its
+// scheduling activity since the last call. Resets the activity counters and latency histograms.
 std::string summarizeShard(ShardId shard, const ShardState& state, StartLatencies& latencies);
 
 }  // namespace cherryloft
--- a/src/scheduler/start_latencies.cpp
+++ b/src/scheduler/start_latencies.cpp
@@ -5,10 +5,10 @@
 
 namespace cherryloft {
 
-void LatencyHistogram::add(Duration wait) {
-  bins_(std::max<double>(1.0, static_cast<double>(wait.count())));
+void LatencyHistogram::add(Duration latency) {
+  bins_(std::max<double>(1.0, static_cast<double>(latency.count())));
   ++count_;
-  longest_ = std::max(longest_, wait);
+  max_ = std::max(max_, latency);
 }
 
 // The upper edge of the bin in which the quantile lies.
@@ -17,33 +17,34 @@
   for (const auto& bin : boost::histogram::indexed(bins_, boost::histogram::coverage::all)) {
     sum += *bin;
     if (sum >= fraction * static_cast<double>(count_))
-      return std::min(bin.bin().upper(), static_cast<double>(longest_.count()));
+      return std::min(bin.bin().upper(), static_cast<double>(max_.count()));
   }
-  return static_cast<double>(longest_.count());
+  return static_cast<double>(max_.count());
 }
 
-std::string LatencyHistogram::take(const std::string& name) {
-  auto pair = [&](const std::string& key, long value) {
+std::string LatencyHistogram::summarizeAndReset(const std::string& name) {
+  auto field = [&](const std::string& key, long value) {
     return name + "_" + key + "=" + std::to_string(value);
   };
-  auto line = pair("n", static_cast<long>(count_)) + " " + pair("p50_ms", static_cast<long>(quantile(0.5))) +
-              " " + pair("p90_ms", static_cast<long>(quantile(0.9))) + " " +
-              pair("max_ms", static_cast<long>(longest_.count()));
+  auto line = field("n", static_cast<long>(count_)) + " " +
+              field("p50_ms", static_cast<long>(quantile(0.5))) + " " +
+              field("p90_ms", static_cast<long>(quantile(0.9))) + " " +
+              field("max_ms", static_cast<long>(max_.count()));
   bins_.reset();
   count_ = 0;
-  longest_ = Duration{0};
+  max_ = Duration{0};
   return line;
 }
 
 RoundCounters StartLatencies::takeRoundCounters() {
-  RoundCounters minute;
-  minute.starts = counts.starts - countsAtLastTake.starts;
-  minute.machinesExamined = counts.machinesExamined - countsAtLastTake.machinesExamined;
-  minute.rounds = std::exchange(rounds, 0);
-  minute.maxPlacementsPerRound = std::exchange(maxPlacementsPerRound, 0);
-  minute.evictedTasks = std::exchange(evictedTasks, 0);
+  RoundCounters activity;
+  activity.starts = counts.starts - countsAtLastTake.starts;
+  activity.machinesExamined = counts.machinesExamined - countsAtLastTake.machinesExamined;
+  activity.rounds = std::exchange(rounds, 0);
+  activity.maxPlacementsPerRound = std::exchange(maxPlacementsPerRound, 0);
+  activity.evictedTasks = std::exchange(evictedTasks, 0);
   countsAtLastTake = counts;
-  return minute;
+  return activity;
 }
 
 }  // namespace cherryloft
--- a/tests/unit/image_cache_test.cpp
+++ b/tests/unit/image_cache_test.cpp
@@ -1,4 +1,4 @@
-// Which images a machine is taken to keep.
+// Tests the estimate of the images cached on a machine.
 #include "scheduler/image_cache.h"
 
 #include <gtest/gtest.h>
@@ -18,7 +18,7 @@
   EXPECT_EQ(cache.touch(kThird, 4), std::vector<ImageId>{kSecond});
 }
 
-TEST(ImageCache, AnImageThatIsUsedAgainTakesNoFurtherSpace) {
+TEST(ImageCache, UsingAnImageAgainTakesNoFurtherSpace) {
   ImageCache cache(10);
   cache.touch(kFirst, 6);
   EXPECT_TRUE(cache.touch(kFirst, 6).empty());
--- a/tests/unit/job_records_test.cpp
+++ b/tests/unit/job_records_test.cpp
@@ -1,4 +1,4 @@
-// The records by which a shard changes a job (invariants 17 and 18).
+// Tests the job records that a shard writes (invariants 17 and 18).
 #include "scheduler/job_records.h"
 
 #include <gtest/gtest.h>
@@ -34,17 +34,17 @@
   JobEntry entry_;
 };
 
-TEST_F(JobRecords, AMigratedJobCarriesWhatItMayTakeAtATime) {
+TEST_F(JobRecords, AMigratedJobCarriesItsLimitOfConcurrentTasks) {
   auto record = migratedRecord(job_, {job_.id, kDelegate, 3}, kOwner);
   EXPECT_EQ(record.shard, kDelegate);
   EXPECT_EQ(record.maxConcurrent, 3U);
 }
 
-TEST_F(JobRecords, AJobThatMigratesToItsTeamsShardHasNoBound) {
+TEST_F(JobRecords, AJobThatMigratesToItsTeamsShardHasNoLimit) {
   EXPECT_FALSE(migratedRecord(job_, {job_.id, kDelegate, 3}, kDelegate).maxConcurrent);
 }
 
-TEST_F(JobRecords, ACleanedUpRecordSaysThatNothingIsLeftElsewhere) {
+TEST_F(JobRecords, ACleanedUpRecordHasNoLimitAndNoDelegations) {
   job_.maxConcurrent = 3;
   job_.delegations = {{kDelegate, {}, {1, 2}}};
   auto record = cleanedUpRecord(job_, kOwner);
@@ -53,7 +53,7 @@
   EXPECT_TRUE(record.delegations.empty());
 }
 
-TEST_F(JobRecords, ADelegationIsAddedToThoseThatTheViewShows) {
+TEST_F(JobRecords, ADelegationIsAddedToThoseInTheClusterView) {
   entry_.delegations = {{kDelegate, {}, {1, 2}}};
   auto record = recordAfterDelegation(job_, entry_, kOwner, {job_.id, {{kOtherDelegate, {}, {3}}}});
   ASSERT_TRUE(delegationOf(record, kDelegate));
@@ -61,14 +61,15 @@
   EXPECT_FALSE(delegationOf(record, kDelegate)->recalled);
 }
 
-TEST_F(JobRecords, ARecallAsksAllDelegatesBack) {
+TEST_F(JobRecords, ARecallMarksAllDelegations) {
   entry_.delegations = {{kDelegate, {}, {1, 2}}, {kOtherDelegate, {}, {3}}};
   auto record = recordAfterDelegation(job_, entry_, kOwner, {job_.id, {}, true});
   for (const auto& delegation : record.delegations) EXPECT_TRUE(delegation.recalled);
 }
 
-// Were it dropped before its page is committed, a new owner would start the task a second time.
-TEST_F(JobRecords, WhatWasDoneRemotelyIsKeptUntilAPageTellsIt) {
+// Removing the entry before the task's page is committed would make the next owner start the task a second
+// time.
+TEST_F(JobRecords, RemoteCompletionsAreKeptUntilTheirPageIsCommitted) {
   entry_.doneRemotely = {1, 2};
   job_.tasks[1].doneCommitted = true;
   job_.tasks[1].page = 0;
@@ -76,7 +77,7 @@
   EXPECT_EQ(record.doneRemotely, std::vector<std::uint32_t>{2});
 }
 
-TEST_F(JobRecords, AReturnKeepsWhatTheDelegateStillHas) {
+TEST_F(JobRecords, AReturnKeepsTheTasksThatTheDelegateStillHas) {
   entry_.delegations = {{kDelegate, {}, {1, 2, 3}}, {kOtherDelegate, {}, {4}}};
   auto record = recordAfterReturn(job_, entry_, {job_.id, {1, 2}, {kDelegate, {}, {3}}});
   ASSERT_TRUE(delegationOf(record, kDelegate));
@@ -84,13 +85,13 @@
   EXPECT_TRUE(delegationOf(record, kOtherDelegate));
 }
 
-TEST_F(JobRecords, AReturnOfEverythingEndsTheDelegation) {
+TEST_F(JobRecords, AReturnOfAllTasksEndsTheDelegation) {
   entry_.delegations = {{kDelegate, {}, {1, 2}}};
   auto record = recordAfterReturn(job_, entry_, {job_.id, {1, 2}, {kDelegate, {}, {}}});
   EXPECT_TRUE(record.delegations.empty());
 }
 
-TEST_F(JobRecords, AReturnTellsInOrderWhatIsDone) {
+TEST_F(JobRecords, AReturnAddsCompletedTasksInOrder) {
   entry_.delegations = {{kDelegate, {}, {1, 2, 3}}};
   entry_.doneRemotely = {5};
   job_.tasks[1].state = TaskState::Done;
--- a/tests/unit/pending_jobs_test.cpp
+++ b/tests/unit/pending_jobs_test.cpp
@@ -1,4 +1,4 @@
-// Which jobs wait for placement, and what decides on their order.
+// Tests which jobs are pending and how their order keys are computed.
 #include "scheduler/pending_jobs.h"
 
 #include "placement_fixture.h"
@@ -15,7 +15,7 @@
   }
 };
 
-TEST_F(PendingJobsTest, OnlyOpenJobsWithWaitingTasksThatMayBeTriedNow) {
+TEST_F(PendingJobsTest, CollectsOnlyOpenJobsWithWaitingTasksPastTheirBackoff) {
   auto& waiting = addJob("waiting", 1);
   addJob("cancelled", 1).cancelRequested = true;
   addJob("later", 1).notBefore = runtime_.now() + Duration{1000};
--- a/tests/unit/shard_recovery_test.cpp
+++ b/tests/unit/shard_recovery_test.cpp
@@ -1,4 +1,4 @@
-// What a new owner takes from the pages that former owners of its shard wrote.
+// Tests how a new owner restores its shard from the placement pages of former owners.
 #include "scheduler/shard_recovery.h"
 
 #include <gtest/gtest.h>
@@ -51,7 +51,7 @@
   ListResult pages_{ListResult::Outcome::Complete, {}, {}};
 };
 
-TEST_F(ShardRecoveryTest, TasksThatWereDoneStayDone) {
+TEST_F(ShardRecoveryTest, DoneTasksStayDone) {
   auto& job = state_.addJob(kJob, jobEntry(JobStatus::Open));
   addPage("0", {{1, 3}, {}});
   recovery_.restorePlacements(pages_);
@@ -73,7 +73,7 @@
   EXPECT_EQ(job.placed, 1U);
 }
 
-TEST_F(ShardRecoveryTest, OfSeveralAttemptsTheLatestCounts) {
+TEST_F(ShardRecoveryTest, TheLatestOfSeveralAttemptsIsRestored) {
   auto& job = state_.addJob(kJob, jobEntry(JobStatus::Open));
   addMachine(kMachine);
   addMachine(kOtherMachine);
@@ -85,14 +85,14 @@
   EXPECT_TRUE(state_.machine(kMachine)->placements.empty());
 }
 
-TEST_F(ShardRecoveryTest, ATaskOnAMachineWithoutRecordWaitsAgain) {
+TEST_F(ShardRecoveryTest, ATaskOnAMachineWithoutARecordWaitsAgain) {
   auto& job = state_.addJob(kJob, jobEntry(JobStatus::Open));
   addPage("0", {{}, {{2, Attempt{5}, kMachine}}});
   recovery_.restorePlacements(pages_);
   EXPECT_EQ(job.tasks[2].state, TaskState::Waiting);
 }
 
-TEST_F(ShardRecoveryTest, ACancelledJobsTasksCountAndAreToBeStopped) {
+TEST_F(ShardRecoveryTest, TasksOfACancelledJobAreRestoredAndStopped) {
   view_.jobs[kJob] = jobEntry(JobStatus::Cancelled);
   addMachine(kMachine);
   addPage("0", {{}, {{2, Attempt{5}, kMachine}}});
@@ -101,7 +101,7 @@
   EXPECT_FALSE(state_.machine(kMachine)->placements.at({kJob, 2}).desired);
 }
 
-TEST_F(ShardRecoveryTest, APageOfAnotherLayoutIsLeftAlone) {
+TEST_F(ShardRecoveryTest, AKeyOfAnotherLayoutIsSkipped) {
   auto& job = state_.addJob(kJob, jobEntry(JobStatus::Open));
   pages_.entries.push_back({"run/2/first", "{}", Version{40}});
   addPage("0", {{1}, {}});
--- a/tests/unit/shard_state_test.cpp
+++ b/tests/unit/shard_state_test.cpp
@@ -1,4 +1,4 @@
-// What a shard's pages say, as the limits of the state service become smaller.
+// Composition of placement pages after the size limit of the state service is lowered.
 #include "scheduler/shard_state.h"
 
 #include <gtest/gtest.h>
@@ -22,9 +22,9 @@
   return known;
 }
 
-// A page written under a larger limit still holds more than fits a value now. Were it written anew, the facts
-// that do not fit would be lost, and a new owner would start these tasks a second time.
-TEST(ShardState, APageWhoseFactsNoLongerFitStaysAsItIs) {
+// A page written under a larger size limit may hold more than fits a value now. Rewriting it would drop the
+// entries that do not fit, and the next owner would start those tasks a second time.
+TEST(ShardState, APageWhoseEntriesNoLongerFitIsNotRewritten) {
   world::Deployment d;
   d.valueKb = 1;
   auto settings = parseSettings(d.settingsOf(0), {});
@@ -35,26 +35,26 @@
   record.record.zone = Zone{"a"};
   auto& machine = state.addMachine(MachineId{"host-" + std::string(180, '1')}, record, &type, Time{});
   auto& job = state.addJob(JobId{"wk-1"}, knownJob("wk-1"));
-  constexpr PageNumber kLarge = 0;
-  // Few enough facts for the page to count as half empty, and each of them long.
-  std::deque<TaskId> standing;
+  constexpr PageNumber kOversizedPage = 0;
+  // Few enough entries for the page to qualify for a rewrite, but each of them is long.
+  std::deque<TaskId> storedTasks;
   for (std::uint32_t i = 0; i < 6; ++i) {
     auto& placement = state.place(job, i, machine, Attempt{UINT64_MAX}, Time{});
     ShardState::commit(placement);
-    state.restored({job.id, i}, kLarge);
-    standing.push_back({job.id, i});
+    state.attachToPage({job.id, i}, kOversizedPage);
+    storedTasks.push_back({job.id, i});
   }
-  // The new fact is short: it would fit beside those that still do.
+  // The new entry is short: it would fit next to those that still fit.
   auto& other = state.addMachine(MachineId{"host-2"}, record, &type, Time{});
   std::deque<TaskId> unwritten{{job.id, 20}};
   state.place(job, 20, other, Attempt{1}, Time{});
   std::set<PageNumber> taken;
-  std::optional<PageUpdate> draft;
-  while (!draft && !unwritten.empty()) draft = state.composePage(unwritten, taken);
-  ASSERT_TRUE(draft);
-  EXPECT_NE(draft->number, kLarge);
-  EXPECT_EQ(draft->record.jobs.at(job.id).placed.size(), 1U);
-  for (const auto& task : standing) EXPECT_EQ(job.tasks[task.index].page, kLarge);
+  std::optional<PageUpdate> update;
+  while (!update && !unwritten.empty()) update = state.composePage(unwritten, taken);
+  ASSERT_TRUE(update);
+  EXPECT_NE(update->number, kOversizedPage);
+  EXPECT_EQ(update->record.jobs.at(job.id).placed.size(), 1U);
+  for (const auto& task : storedTasks) EXPECT_EQ(job.tasks[task.index].page, kOversizedPage);
 }
 
 }  // namespace
--- a/tests/unit/start_latencies_test.cpp
+++ b/tests/unit/start_latencies_test.cpp
@@ -1,4 +1,4 @@
-// What operators are told of waits and decisions.
+// Tests the latency histograms and activity counters reported to operators.
 #include "scheduler/start_latencies.h"
 
 #include <gtest/gtest.h>
@@ -6,29 +6,30 @@
 namespace cherryloft {
 namespace {
 
-TEST(LatencyHistogram, QuantilesAreWithinABinOfTheWaits) {
+TEST(LatencyHistogram, QuantilesAreWithinOneBinOfTheLatencies) {
   LatencyHistogram histogram;
-  for (int wait = 0; wait < 9; ++wait) histogram.add(Duration{100});
+  for (int count = 0; count < 9; ++count) histogram.add(Duration{100});
   histogram.add(Duration{5'000});
-  EXPECT_EQ(histogram.take("start"), "start_n=10 start_p50_ms=125 start_p90_ms=125 start_max_ms=5000");
+  EXPECT_EQ(histogram.summarizeAndReset("start"),
+            "start_n=10 start_p50_ms=125 start_p90_ms=125 start_max_ms=5000");
 }
 
-TEST(LatencyHistogram, BeginsAnewOnceItIsTaken) {
+TEST(LatencyHistogram, IsEmptyAfterASummary) {
   LatencyHistogram histogram;
   histogram.add(Duration{100});
-  histogram.take("start");
-  EXPECT_EQ(histogram.take("start"), "start_n=0 start_p50_ms=0 start_p90_ms=0 start_max_ms=0");
+  histogram.summarizeAndReset("start");
+  EXPECT_EQ(histogram.summarizeAndReset("start"), "start_n=0 start_p50_ms=0 start_p90_ms=0 start_max_ms=0");
 }
 
-TEST(StartLatencies, AMinuteCountsWhatCameSinceTheLastOne) {
+TEST(StartLatencies, RoundCountersCoverTheTimeSinceTheLastCall) {
   StartLatencies latencies;
   latencies.counts.starts = 5;
   latencies.rounds = 2;
   EXPECT_EQ(latencies.takeRoundCounters().starts, 5U);
   latencies.counts.starts = 7;
-  auto minute = latencies.takeRoundCounters();
-  EXPECT_EQ(minute.starts, 2U);
-  EXPECT_EQ(minute.rounds, 0U);
+  auto activity = latencies.takeRoundCounters();
+  EXPECT_EQ(activity.starts, 2U);
+  EXPECT_EQ(activity.rounds, 0U);
 }
 
 }  // namespace
