--- a/src/scheduler/shard_scheduler.cpp
+++ b/src/scheduler/shard_scheduler.cpp
@@ -44,9 +44,9 @@
 // --- loading ---
 
 void ShardScheduler::finishLoading(const ListResult& placementPages) {
-  for (const auto& [id, known] : view_.machines)
-    if (known.record.shard == takeover_.shard) addOwnedMachine(id, known);
-  for (const auto& [id, known] : view_.jobs) addKnownJob(id, known);
+  for (const auto& [id, entry] : view_.machines)
+    if (entry.record.shard == takeover_.shard) addOwnedMachine(id, entry);
+  for (const auto& [id, entry] : view_.jobs) addKnownJob(id, entry);
   recovery_.restorePlacements(placementPages);
   for (auto& [_, machine] : state_.machines()) state_.reindex(machine);
   for (auto& [_, job] : state_.jobs()) resumeJob(job);
@@ -59,20 +59,20 @@
   requestRound(true);
 }
 
-void ShardScheduler::addKnownJob(const JobId& id, const JobEntry& known) {
-  if (known.shard == takeover_.shard && known.status == JobStatus::Open && known.spec)
-    state_.addJob(id, known).since = runtime_.now();
-  else if (known.shard == takeover_.shard && known.status == JobStatus::Cancelled)
-    lastCancellationVersion_ = std::max(lastCancellationVersion_, known.version);
-  else if (const auto* delegation = findDelegation(known.delegations, takeover_.shard))
-    restoreDelegation(id, known, *delegation);
+void ShardScheduler::addKnownJob(const JobId& id, const JobEntry& entry) {
+  if (entry.shard == takeover_.shard && entry.status == JobStatus::Open && entry.spec)
+    state_.addJob(id, entry).since = runtime_.now();
+  else if (entry.shard == takeover_.shard && entry.status == JobStatus::Cancelled)
+    lastCancellationVersion_ = std::max(lastCancellationVersion_, entry.version);
+  else if (const auto* delegation = findDelegation(entry.delegations, takeover_.shard))
+    restoreDelegation(id, entry, *delegation);
 }
 
-void ShardScheduler::restoreDelegation(const JobId& id, const JobEntry& known, const Delegation& delegation) {
-  if (known.status == JobStatus::Open && known.spec)
-    acceptDelegation(id, known, delegation);
-  else if (known.status == JobStatus::Cancelled)
-    lastCancellationVersion_ = std::max(lastCancellationVersion_, known.version);
+void ShardScheduler::restoreDelegation(const JobId& id, const JobEntry& entry, const Delegation& delegation) {
+  if (entry.status == JobStatus::Open && entry.spec)
+    acceptDelegation(id, entry, delegation);
+  else if (entry.status == JobStatus::Cancelled)
+    lastCancellationVersion_ = std::max(lastCancellationVersion_, entry.version);
 }
 
 // Resumes a job after its placements were restored.
@@ -95,10 +95,10 @@
 
 // Adds a machine that now belongs to this shard. It gets a token of this owner, and no new work before it
 // registers.
-Machine& ShardScheduler::addOwnedMachine(const MachineId& id, const MachineEntry& known) {
+Machine& ShardScheduler::addOwnedMachine(const MachineId& id, const MachineEntry& entry) {
   auto now = runtime_.now();
-  auto& machine = state_.addMachine(id, known, findType(view_.catalog, known.record.type), now);
-  machine.fence = CommandFence{tokenOf(std::max(known.record.token, takeover_.epoch))};
+  auto& machine = state_.addMachine(id, entry, findType(view_.catalog, entry.record.type), now);
+  machine.fence = CommandFence{tokenOf(std::max(entry.record.token, takeover_.epoch))};
   // The former owner may have answered its heartbeats until the end of the grace period.
   machine.leaseExpiresAt = now + takeover_.formerAnswers + leaseAfterAnswer();
   return machine;
@@ -114,15 +114,15 @@
 
 void ShardScheduler::jobChanged(const JobId& id) {
   if (!loaded_) return;
-  auto known = view_.jobs.find(id);
-  if (known == view_.jobs.end()) return;
-  if (known->second.shard != takeover_.shard) return delegatedJobChanged(id, known->second);
-  // This may be our own commit, seen before its response; keep-alive proxies must see it as well (invariant
-  // 15).
-  if (known->second.status == JobStatus::Cancelled)
-    lastCancellationVersion_ = std::max(lastCancellationVersion_, known->second.version);
-  if (Job* job = state_.job(id)) return ownedJobChanged(*job, known->second);
-  const auto& entry = known->second;
+  auto found = view_.jobs.find(id);
+  if (found == view_.jobs.end()) return;
+  if (found->second.shard != takeover_.shard) return delegatedJobChanged(id, found->second);
+  // This may be our own commit, seen before its response; keep-alive proxies must have seen it, too
+  // (invariant 15).
+  if (found->second.status == JobStatus::Cancelled)
+    lastCancellationVersion_ = std::max(lastCancellationVersion_, found->second.version);
+  if (Job* job = state_.job(id)) return ownedJobChanged(*job, found->second);
+  const auto& entry = found->second;
   if (entry.status != JobStatus::Open || !entry.spec) return;
   auto& job = state_.addJob(id, entry);
   auto now = runtime_.now();
@@ -136,19 +136,19 @@
 
 void ShardScheduler::machineChanged(const MachineId& id) {
   if (!loaded_) return;
-  auto known = view_.machines.find(id);
-  bool ours = known != view_.machines.end() && known->second.record.shard == takeover_.shard;
+  auto found = view_.machines.find(id);
+  bool ours = found != view_.machines.end() && found->second.record.shard == takeover_.shard;
   Machine* machine = state_.machine(id);
   if (!ours) {
     if (machine) dropMachine(id);
     return;
   }
   if (!machine) {
-    sendCommands(addOwnedMachine(id, known->second));
+    sendCommands(addOwnedMachine(id, found->second));
     return;
   }
-  if (machine->known.version >= known->second.version) return;
-  machine->known = known->second;
+  if (machine->known.version >= found->second.version) return;
+  machine->known = found->second;
   machine->fence.raiseLowestOwnToken(tokenOf(std::max(machine->known.record.token, takeover_.epoch)));
   state_.reindex(*machine);
 }
--- a/src/scheduler/shard_scheduler.h
+++ b/src/scheduler/shard_scheduler.h
@@ -107,11 +107,11 @@
 
   // Loading (invariant 7).
   void finishLoading(const ListResult& placementPages);
-  void addKnownJob(const JobId& id, const JobEntry& known);
-  void restoreDelegation(const JobId& id, const JobEntry& known, const Delegation& delegation);
+  void addKnownJob(const JobId& id, const JobEntry& entry);
+  void restoreDelegation(const JobId& id, const JobEntry& entry, const Delegation& delegation);
   void resumeJob(Job& job);
   void cleanUpCancelled();
-  Machine& addOwnedMachine(const MachineId& id, const MachineEntry& known);
+  Machine& addOwnedMachine(const MachineId& id, const MachineEntry& entry);
 
   // Heartbeats (heartbeats.cpp).
   enum class ReconcileResult : std::uint8_t {
--- a/src/scheduler/shard_state.cpp
+++ b/src/scheduler/shard_state.cpp
@@ -25,34 +25,34 @@
 
 // --- jobs ---
 
-Job& ShardState::addJob(const JobId& id, const JobEntry& known, const Delegation* delegation) {
+Job& ShardState::addJob(const JobId& id, const JobEntry& entry, const Delegation* delegation) {
   auto& job = jobs_[id];
   job.id = id;
-  job.spec = known.spec;
+  job.spec = entry.spec;
   job.team = settings_.team(job.spec->team);
   job.imageHolders = &imageHolders_[job.spec->image];
-  job.version = known.version;
-  job.submitted = known.submitted;
-  job.status = known.status;
-  job.tasks.assign(known.tasks, Task{});
+  job.version = entry.version;
+  job.submitted = entry.submitted;
+  job.status = entry.status;
+  job.tasks.assign(entry.tasks, Task{});
   jobsByTeam_[job.spec->team][{job.submitted, id}] = &job;
   if (delegation)
     addDelegatedTasks(job, *delegation);
   else
-    addOwnTasks(job, known);
+    addOwnTasks(job, entry);
   if (job.status != JobStatus::Open) return job;
-  for (std::uint32_t index = 0; index < known.tasks; ++index)
+  for (std::uint32_t index = 0; index < entry.tasks; ++index)
     if (job.tasks[index].state == TaskState::Waiting) job.waiting.push_back(index);
   return job;
 }
 
-void ShardState::addOwnTasks(Job& job, const JobEntry& known) {
-  job.maxConcurrent = known.maxConcurrent;
-  job.delegations = known.delegations;
-  for (const auto& delegation : known.delegations)
+void ShardState::addOwnTasks(Job& job, const JobEntry& entry) {
+  job.maxConcurrent = entry.maxConcurrent;
+  job.delegations = entry.delegations;
+  for (const auto& delegation : entry.delegations)
     for (auto index : delegation.tasks)
       if (index < job.tasks.size()) markRemote(job, index, delegation.zone);
-  for (auto index : known.doneRemotely) {
+  for (auto index : entry.doneRemotely) {
     if (index >= job.tasks.size() || job.tasks[index].state != TaskState::Waiting) continue;
     job.tasks[index].state = TaskState::Done;
     job.tasks[index].doneCommitted = true;
@@ -107,13 +107,13 @@
 
 // --- machines ---
 
-Machine& ShardState::addMachine(const MachineId& id, const MachineEntry& known, const MachineType* type,
+Machine& ShardState::addMachine(const MachineId& id, const MachineEntry& entry, const MachineType* type,
                                 Time now) {
   auto& machine = machines_[id];
   machine.id = id;
   machine.no = ++lastMachineNo_;
-  machine.known = known;
-  machine.address = known.record.address;
+  machine.known = entry;
+  machine.address = entry.record.address;
   if (type) {
     machine.size = type->size;
     machine.fetchGbPerS = type->fetchGbPerS;
--- a/src/scheduler/shard_state.h
+++ b/src/scheduler/shard_state.h
@@ -184,21 +184,21 @@
   // --- jobs ---
 
   // Adds the shard's own job, or the delegated tasks of another shard's job (invariant 18).
-  Job& addJob(const JobId& id, const JobEntry& known, const Delegation* delegation = nullptr);
+  Job& addJob(const JobId& id, const JobEntry& entry, const Delegation* delegation = nullptr);
   // None of the job's tasks may be on a machine any more.
   void removeJob(const JobId& id);
   // Null if there is none.
   Job* job(const JobId& id);
   std::map<JobId, Job>& jobs() { return jobs_; }
   const std::map<JobId, Job>& jobs() const { return jobs_; }
-  // A team's unfinished jobs, in order of submission.
+  // A team's jobs that have not been removed, in order of submission.
   using TeamJobs = std::map<std::pair<WallTime, JobId>, Job*>;
   const std::map<TeamId, TeamJobs>& teams() const { return jobsByTeam_; }
 
   // --- machines ---
 
   // type: null if not in the catalog yet; the machine takes no work until setMachineType() is called.
-  Machine& addMachine(const MachineId& id, const MachineEntry& known, const MachineType* type, Time now);
+  Machine& addMachine(const MachineId& id, const MachineEntry& entry, const MachineType* type, Time now);
   void setMachineType(Machine& machine, const MachineType& type);
   // The machine must have no placements any more.
   void removeMachine(const MachineId& id);
@@ -259,7 +259,7 @@
   const PlacementPages& pages() const { return pages_; }
 
  private:
-  void addOwnTasks(Job& job, const JobEntry& known);
+  void addOwnTasks(Job& job, const JobEntry& entry);
   void addDelegatedTasks(Job& job, const Delegation& delegation);
   MachinePool& poolFor(const Machine& machine);
   void release(Machine& machine, std::map<TaskId, Placement>::iterator placement, Time now);
--- a/src/scheduler/start_latencies.cpp
+++ b/src/scheduler/start_latencies.cpp
@@ -38,12 +38,12 @@
 
 RoundCounters StartLatencies::takeRoundCounters() {
   RoundCounters activity;
-  activity.starts = counts.starts - countsAtLastTake.starts;
-  activity.machinesExamined = counts.machinesExamined - countsAtLastTake.machinesExamined;
+  activity.starts = counts.starts - countsAtLastCall.starts;
+  activity.machinesExamined = counts.machinesExamined - countsAtLastCall.machinesExamined;
   activity.rounds = std::exchange(rounds, 0);
   activity.maxPlacementsPerRound = std::exchange(maxPlacementsPerRound, 0);
   activity.evictedTasks = std::exchange(evictedTasks, 0);
-  countsAtLastTake = counts;
+  countsAtLastCall = counts;
   return activity;
 }
 
--- a/src/scheduler/start_latencies.h
+++ b/src/scheduler/start_latencies.h
@@ -57,7 +57,7 @@
   std::size_t rounds = 0;
   std::size_t maxPlacementsPerRound = 0;
   std::size_t evictedTasks = 0;
-  ShardCounters countsAtLastTake;
+  ShardCounters countsAtLastCall;
 
   // Returns the counts since the last call and resets them.
   RoundCounters takeRoundCounters();
--- a/tests/unit/shard_state_test.cpp
+++ b/tests/unit/shard_state_test.cpp
@@ -10,16 +10,16 @@
 
 constexpr std::uint32_t kTasks = 60;
 
-JobEntry knownJob(const std::string& id) {
+JobEntry jobEntry(const std::string& id) {
   auto spec = std::make_shared<JobSpec>();
   spec->id = JobId{id};
   spec->team = TeamId{"team-0"};
   spec->tasks = kTasks;
   spec->each = {0.1, 0, 0.1};
-  JobEntry known;
-  known.tasks = kTasks;
-  known.spec = std::move(spec);
-  return known;
+  JobEntry entry;
+  entry.tasks = kTasks;
+  entry.spec = std::move(spec);
+  return entry;
 }
 
 // A page written under a larger size limit may hold more than fits a value now. Rewriting it would drop the
@@ -30,11 +30,11 @@
   auto settings = parseSettings(d.settingsOf(0), {});
   ShardState state(settings);
   MachineType type{"m", {100, 0, 100}, 50, 1, 1, 0.4, 5, {Zone{"a"}}};
-  MachineEntry record;
-  record.record.type = "m";
-  record.record.zone = Zone{"a"};
-  auto& machine = state.addMachine(MachineId{"host-" + std::string(180, '1')}, record, &type, Time{});
-  auto& job = state.addJob(JobId{"wk-1"}, knownJob("wk-1"));
+  MachineEntry machineEntry;
+  machineEntry.record.type = "m";
+  machineEntry.record.zone = Zone{"a"};
+  auto& machine = state.addMachine(MachineId{"host-" + std::string(180, '1')}, machineEntry, &type, Time{});
+  auto& job = state.addJob(JobId{"wk-1"}, jobEntry("wk-1"));
   constexpr PageNumber kOversizedPage = 0;
   // Few enough entries for the page to qualify for a rewrite, but each of them is long.
   std::deque<TaskId> storedTasks;
@@ -45,7 +45,7 @@
     storedTasks.push_back({job.id, i});
   }
   // The new entry is short: it would fit next to those that still fit.
-  auto& other = state.addMachine(MachineId{"host-2"}, record, &type, Time{});
+  auto& other = state.addMachine(MachineId{"host-2"}, machineEntry, &type, Time{});
   std::deque<TaskId> unwritten{{job.id, 20}};
   state.place(job, 20, other, Attempt{1}, Time{});
   std::set<PageNumber> taken;
