--- a/src/scheduler/command_fence.cpp
+++ b/src/scheduler/command_fence.cpp
@@ -8,40 +8,41 @@
   return {heartbeat.incarnation, heartbeat.sequence};
 }
 
-bool CommandFence::showsOwnToken(const wire::WorkerHeartbeat& heartbeat) const {
-  return heartbeat.token >= lowestOwnToken_;
+bool CommandFence::carriesOwnToken(const wire::WorkerHeartbeat& heartbeat) const {
+  return heartbeat.token >= baseToken_;
 }
 
 bool CommandFence::supersededBy(const wire::WorkerHeartbeat& heartbeat) const {
   return heartbeat.token > token();
 }
 
-bool CommandFence::showsLowerToken(const wire::WorkerHeartbeat& heartbeat) const {
+bool CommandFence::carriesLowerToken(const wire::WorkerHeartbeat& heartbeat) const {
   return heartbeat.token < highestTokenSeen_;
 }
 
 bool CommandFence::isNewer(const wire::WorkerHeartbeat& heartbeat) const {
-  return positionOf(heartbeat) > latest_ && !isExpired(heartbeat.incarnation) && !showsLowerToken(heartbeat);
+  return positionOf(heartbeat) > latestPosition_ && !isExpired(heartbeat.incarnation) &&
+         !carriesLowerToken(heartbeat);
 }
 
-bool CommandFence::startsIncarnation(const wire::WorkerHeartbeat& heartbeat) const {
-  bool anyAccepted = latest_.incarnation.value > 0;
-  return anyAccepted && heartbeat.incarnation > latest_.incarnation;
+bool CommandFence::startsNewIncarnation(const wire::WorkerHeartbeat& heartbeat) const {
+  bool anyAccepted = latestPosition_.incarnation.value > 0;
+  return anyAccepted && heartbeat.incarnation > latestPosition_.incarnation;
 }
 
-void CommandFence::raiseLowestOwnToken(FencingToken token) {
-  if (token <= lowestOwnToken_) return;
-  lowestOwnToken_ = token;
+void CommandFence::raiseBaseToken(FencingToken token) {
+  if (token <= baseToken_) return;
+  baseToken_ = token;
   tokenGeneration_ = 0;
 }
 
-void CommandFence::learnExpectedIncarnation(Incarnation incarnation) {
+void CommandFence::raiseExpectedIncarnation(Incarnation incarnation) {
   if (isExpired(incarnation)) return;
   expectedIncarnation_ = std::max(expectedIncarnation_, incarnation);
 }
 
 void CommandFence::accept(const wire::WorkerHeartbeat& heartbeat) {
-  latest_ = positionOf(heartbeat);
+  latestPosition_ = positionOf(heartbeat);
   expectedIncarnation_ = heartbeat.incarnation;
   highestTokenSeen_ = std::max(highestTokenSeen_, heartbeat.token);
   if (noCommandInDoubt()) commandInDoubt_.reset();
@@ -52,18 +53,18 @@
   ++tokenGeneration_;
 }
 
-void CommandFence::commandUnanswered(FencingToken sentWith) {
+void CommandFence::recordUnansweredCommand(FencingToken sentWith) {
   commandInDoubt_ = sentWith;
   ++tokenGeneration_;
 }
 
 void CommandFence::expireIncarnation() {
-  expiredIncarnation_ = latest_.incarnation;
+  expiredIncarnation_ = latestPosition_.incarnation;
   commandInDoubt_.reset();
 }
 
-void CommandFence::restart(const wire::WorkerHeartbeat& answer) {
-  latest_ = {answer.incarnation, SequenceNumber{answer.sequence.value - 1}};
+void CommandFence::resetForRestartedWorker(const wire::WorkerHeartbeat& answer) {
+  latestPosition_ = {answer.incarnation, SequenceNumber{answer.sequence.value - 1}};
   expectedIncarnation_ = answer.incarnation;
   highestTokenSeen_ = answer.token;
   expiredIncarnation_ = Incarnation{};
--- a/src/scheduler/command_fence.h
+++ b/src/scheduler/command_fence.h
@@ -2,7 +2,8 @@
 // still arrive. No I/O and no clock of its own.
 //
 // Messages between a controller and a worker may be delayed for minutes or delivered twice, a worker may
-// restart, and a former owner of the shard may still be talking to it. Three orders sort that out:
+// resetForRestartedWorker, and a former owner of the shard may still be talking to it. Three orders sort that
+// out:
 //
 //   fencing token        Chosen by the owner; a worker obeys no token below the highest that it has seen. The
 //                        shard's epoch is in its high bits, a generation that the owner advances in the low
@@ -14,7 +15,7 @@
 //
 // Life of a command's token:
 //
-//        commandUnanswered(), advanceToken()
+//        recordUnansweredCommand(), advanceToken()
 //     +-----------------------------------------------+
 //     |                                               v
 //   noCommandInDoubt                            commandInDoubt
@@ -46,14 +47,14 @@
 
 class CommandFence {
  public:
-  // `lowestOwnToken`: the lowest token that no owner before this one has used for the machine.
-  explicit CommandFence(FencingToken lowestOwnToken = {}) : lowestOwnToken_(lowestOwnToken) {}
+  // `baseToken`: the lowest token that no owner before this one has used for the machine.
+  explicit CommandFence(FencingToken baseToken = {}) : baseToken_(baseToken) {}
 
   // The token that commands and answers carry now.
-  [[nodiscard]] FencingToken token() const { return FencingToken{lowestOwnToken_.value + tokenGeneration_}; }
-  // The latest heartbeat that was accepted.
-  [[nodiscard]] HeartbeatPosition latest() const { return latest_; }
-  [[nodiscard]] Incarnation incarnation() const { return latest_.incarnation; }
+  [[nodiscard]] FencingToken token() const { return FencingToken{baseToken_.value + tokenGeneration_}; }
+  // The latestPosition heartbeat that was accepted.
+  [[nodiscard]] HeartbeatPosition latestPosition() const { return latestPosition_; }
+  [[nodiscard]] Incarnation incarnation() const { return latestPosition_.incarnation; }
   // The incarnation that commands name as long as no heartbeat has been accepted.
   [[nodiscard]] Incarnation expectedIncarnation() const { return expectedIncarnation_; }
 
@@ -65,46 +66,46 @@
   // --- judging heartbeats ---
 
   // The worker has seen a token of this owner, so the heartbeat is of the present (invariant 12).
-  [[nodiscard]] bool showsOwnToken(const wire::WorkerHeartbeat& heartbeat) const;
+  [[nodiscard]] bool carriesOwnToken(const wire::WorkerHeartbeat& heartbeat) const;
   // Another owner has the right to the machine by now (invariant 5).
   [[nodiscard]] bool supersededBy(const wire::WorkerHeartbeat& heartbeat) const;
   // It shows a lower token than the worker has shown: a copy of an earlier heartbeat, or the worker
   // restarted.
-  [[nodiscard]] bool showsLowerToken(const wire::WorkerHeartbeat& heartbeat) const;
+  [[nodiscard]] bool carriesLowerToken(const wire::WorkerHeartbeat& heartbeat) const;
   // It may change what is known; anything else is late or a copy (invariants 4 and 12).
   [[nodiscard]] bool isNewer(const wire::WorkerHeartbeat& heartbeat) const;
   // The worker has killed and forgotten everything of the incarnation that was accepted last.
-  [[nodiscard]] bool startsIncarnation(const wire::WorkerHeartbeat& heartbeat) const;
+  [[nodiscard]] bool startsNewIncarnation(const wire::WorkerHeartbeat& heartbeat) const;
   // The worker's lease for that incarnation is known to have run out.
   [[nodiscard]] bool isExpired(Incarnation incarnation) const { return incarnation <= expiredIncarnation_; }
 
   // --- what moves the fence ---
 
   // The machine's record or the shard's epoch names a higher token; lower ones change nothing.
-  void raiseLowestOwnToken(FencingToken token);
+  void raiseBaseToken(FencingToken token);
   // A heartbeat that may be old names an incarnation: the next command tries it.
-  void learnExpectedIncarnation(Incarnation incarnation);
+  void raiseExpectedIncarnation(Incarnation incarnation);
   // Takes over a heartbeat that isNewer().
   void accept(const wire::WorkerHeartbeat& heartbeat);
   // Everything sent under the present token loses its effect once the worker has seen the next one.
   void advanceToken();
   // A command that was sent under that token got no answer: it may be executed minutes later.
-  void commandUnanswered(FencingToken sentWith);
+  void recordUnansweredCommand(FencingToken sentWith);
   // The incarnation that the command in doubt named is over, and the command with it (invariant 2).
-  void forgetCommandInDoubt() { commandInDoubt_.reset(); }
+  void clearCommandInDoubt() { commandInDoubt_.reset(); }
   // The worker's lease has run out: nothing it says of the present incarnation counts any more.
   void expireIncarnation();
   // A new agent process, which counts from one again, answered a question: `answer` is to be accepted next.
   // Starts on their way to the old process may reach the new one, so the token is advanced (invariant 3).
-  void restart(const wire::WorkerHeartbeat& answer);
+  void resetForRestartedWorker(const wire::WorkerHeartbeat& answer);
 
  private:
-  FencingToken lowestOwnToken_;
+  FencingToken baseToken_;
   std::uint64_t tokenGeneration_ = 0;
   FencingToken highestTokenSeen_;  // the highest token that an accepted heartbeat showed
   // Direct commands up to this token may still arrive, until the worker has shown a higher one.
   std::optional<FencingToken> commandInDoubt_;
-  HeartbeatPosition latest_;
+  HeartbeatPosition latestPosition_;
   Incarnation expiredIncarnation_;
   Incarnation expectedIncarnation_{1};  // workers count incarnations from one
 };
--- a/src/scheduler/commands.cpp
+++ b/src/scheduler/commands.cpp
@@ -130,13 +130,13 @@
     if (machine.placementOf(reported)) continue;
     if (reported.phase != TaskPhase::Exited)
       commands.push_back(stopCommand(reported.task, reported.attempt));
-    else if (mayForget && !doneIsUncommitted(reported.task))
+    else if (mayForget && !isCompletionUncommitted(reported.task))
       commands.push_back({Command::Verb::Forget, reported.task, reported.attempt, 0});
   }
 }
 
 // Done is committed before the last trace of it is forgotten (invariant 8).
-bool ShardScheduler::doneIsUncommitted(const TaskId& id) {
+bool ShardScheduler::isCompletionUncommitted(const TaskId& id) {
   const Job* job = state_.job(id.job);
   if (!job || id.index >= job->tasks.size()) return false;
   const Task& task = job->tasks[id.index];
@@ -166,11 +166,11 @@
   ++directCommandsInFlight_;
   if (isProbe) ++probesInFlight_;
   auto incarnation = machine.heard ? machine.fence.incarnation() : machine.fence.expectedIncarnation();
-  DirectCommand sent{machine.token(), incarnation, machine.fence.latest(), isProbe};
+  DirectCommand sent{machine.token(), incarnation, machine.fence.latestPosition(), isProbe};
   auto body = wire::encodeCommands(sent.token, sent.incarnation, commands);
   runtime_.call(*worker, {"POST", "/commands", std::move(body), false}, kDirectCommandTimeout,
                 guarded([this, id = machine.id, sent](const HttpResult& result) {
-                  handleDirectAnswer(id, sent, result);
+                  handleDirectCommandResult(id, sent, result);
                 }));
 }
 
@@ -189,8 +189,8 @@
     if (Machine* machine = state_.machine(id)) sendCommands(*machine);
 }
 
-void ShardScheduler::handleDirectAnswer(const MachineId& id, const DirectCommand& sent,
-                                        const HttpResult& result) {
+void ShardScheduler::handleDirectCommandResult(const MachineId& id, const DirectCommand& sent,
+                                               const HttpResult& result) {
   if (sent.isProbe) --probesInFlight_;
   --directCommandsInFlight_;
   Machine* machine = state_.machine(id);
@@ -234,22 +234,21 @@
   // It may be executed minutes later. The advanced token shuts it out once the worker has seen it (invariant
   // 3).
   log_->debug("command unanswered: machine={} in_a_row={}", machine.id.value, machine.unansweredProbes);
-  machine.fence.commandUnanswered(sent.token);
+  machine.fence.recordUnansweredCommand(sent.token);
   machine.contactDue = true;
   // Where only its heartbeats get through, commands go in their answers: each lost command would shut it out
   // of new work until it has acknowledged the advanced token.
-  bool onlyHeartbeatsArrive = unreachable && now - machine.lastHeard < reportDue();
+  bool onlyHeartbeatsArrive = unreachable && now - machine.lastHeard < heartbeatDueAfter();
   machine.sendNotBefore = now + (onlyHeartbeatsArrive ? kBackoffUnreachable : kBackoffUnanswered);
-  noteTokenUnacknowledged(machine);
+  markTokenUnacknowledged(machine);
   state_.reindex(machine);
 }
 
 // Perhaps only we can't reach it: then its heartbeats are relayed, and it is not to be given up.
 void ShardScheduler::probeThroughPeers(const Machine& machine) {
   callbacks_.probe(machine.address,
-                   guarded([this, id = machine.id, asked = machine.fence.latest()](const std::string& body) {
-                     handlePeerProbe(id, asked, body);
-                   }));
+                   guarded([this, id = machine.id, asked = machine.fence.latestPosition()](
+                               const std::string& body) { handlePeerProbe(id, asked, body); }));
 }
 
 void ShardScheduler::handlePeerProbe(const MachineId& id, const HeartbeatPosition& latestWhenAsked,
--- a/src/scheduler/commit_in_flight.cpp
+++ b/src/scheduler/commit_in_flight.cpp
@@ -4,11 +4,11 @@
 
 namespace cherryloft {
 
-bool CommitInFlight::ends(const JobId& job) const {
-  return std::any_of(jobEnds.begin(), jobEnds.end(), [&](const JobEnd& end) { return end.job == job; });
+bool CommitInFlight::endsJob(const JobId& job) const {
+  return std::any_of(jobEnds.begin(), jobEnds.end(), [&](const JobEndWrite& end) { return end.job == job; });
 }
 
-bool CommitInFlight::migrates(const JobId& job) const {
+bool CommitInFlight::migratesJob(const JobId& job) const {
   return std::find(migrations.begin(), migrations.end(), job) != migrations.end();
 }
 
--- a/src/scheduler/commit_in_flight.h
+++ b/src/scheduler/commit_in_flight.h
@@ -1,7 +1,7 @@
-// What one transaction of a shard writes, kept until its result is known.
+// What one transaction of a shard writes, remaining until its result is known.
 //
 // Only after the transaction is committed does any of it take effect: commands go out, users are answered,
-// the shard's tables follow (ShardScheduler::takeEffect). After an unclear result the same transaction is
+// the shard's tables follow (ShardScheduler::applyCommit). After an unclear result the same transaction is
 // sent again, so this is not changed once composed.
 #pragma once
 
@@ -24,7 +24,7 @@
 };
 
 // A job that is written as over.
-struct JobEnd {
+struct JobEndWrite {
   JobId job;
   JobStatus status = JobStatus::Done;  // Done or Cancelled
 };
@@ -55,23 +55,23 @@
 struct DelegationReturn {
   JobId job;
   std::vector<std::uint32_t> tasks;  // given back, done or not; ascending
-  Delegation kept;                   // what the delegate still has
+  Delegation remaining;              // what the delegate still has
 };
 
 struct CommitInFlight {
   wire::Transaction transaction;
   std::vector<PageNumber> pages;         // written
-  std::vector<PageNumber> droppedPages;  // deleted
+  std::vector<PageNumber> deletedPages;  // deleted
   std::vector<PlacementWrite> placements;
   std::vector<TaskId> completions;
-  std::vector<JobEnd> jobEnds;
+  std::vector<JobEndWrite> jobEnds;
   std::vector<JobId> migrations;
   std::vector<DelegationWrite> delegations;
   std::vector<DelegationReturn> delegationReturns;
 
   // Whether it writes the end of the job, or its migration.
-  [[nodiscard]] bool ends(const JobId& job) const;
-  [[nodiscard]] bool migrates(const JobId& job) const;
+  [[nodiscard]] bool endsJob(const JobId& job) const;
+  [[nodiscard]] bool migratesJob(const JobId& job) const;
 };
 
 }  // namespace cherryloft
--- a/src/scheduler/commits.cpp
+++ b/src/scheduler/commits.cpp
@@ -29,13 +29,13 @@
 }  // namespace
 
 // The end of another shard's job is for its owner to write.
-void ShardScheduler::endIfFinished(const Job& job) {
+void ShardScheduler::queueJobEndIfFinished(const Job& job) {
   if (job.status == JobStatus::Open && !job.delegation && job.finished()) ending_.insert(job.id);
 }
 
 // --- composing a transaction ---
 
-void ShardScheduler::addFinishedJobs(TransactionBuilder& transaction) {
+void ShardScheduler::addJobEnds(TransactionBuilder& transaction) {
   while (!ending_.empty()) {
     const JobId id = *ending_.begin();
     const Job* job = state_.job(id);
@@ -52,7 +52,7 @@
 }
 
 // How many placements and completions one transaction can tell.
-std::size_t ShardScheduler::roundWidth() const {
+std::size_t ShardScheduler::maxRecordsPerCommit() const {
   auto pages = std::clamp<std::size_t>(kMaxTransactionBytes / settings_.valueBytes, 1, settings_.txnOps - 1);
   return pages * std::max<std::size_t>(settings_.valueBytes / kFactBytes, 1);
 }
@@ -74,22 +74,22 @@
 }
 
 // Deletes a page that nothing stands on any more, if other writes need a transaction anyway.
-void ShardScheduler::addPageDrop(TransactionBuilder& transaction) {
+void ShardScheduler::addPageDeletion(TransactionBuilder& transaction) {
   auto& pages = state_.pages();
   auto spare = pages.spare({commitInFlight_->pages.begin(), commitInFlight_->pages.end()});
   if (!spare || transaction.empty()) return;
   if (transaction.add({keys::page(takeover_.shard, *spare), std::nullopt, {}}, pages.at(*spare).version))
-    commitInFlight_->droppedPages.push_back(*spare);
+    commitInFlight_->deletedPages.push_back(*spare);
 }
 
 // Leaves nothing in flight if there is nothing to write.
-void ShardScheduler::composeCommit() {
+void ShardScheduler::buildCommit() {
   lastCommit_ = runtime_.now();
   placementsUnwritten_ = false;
   commitInFlight_.emplace();
   TransactionBuilder transaction(settings_.txnOps);
   transaction.require(keys::shard(takeover_.shard), takeover_.version);
-  addFinishedJobs(transaction);
+  addJobEnds(transaction);
   commitInFlight_->migrations = jobMigration_.addPlanned(transaction);
   jobMigration_.addCleanups(transaction);
   commitInFlight_->delegations = taskDelegation_.addPlanned(transaction);
@@ -98,7 +98,7 @@
   // moment. The next owner learns from heartbeats what is done, as nothing is forgotten before it is written
   // (invariant 8), and placements that were not written were not sent.
   if (!transferringTo_) addPages(transaction);
-  addPageDrop(transaction);
+  addPageDeletion(transaction);
   if (transaction.empty())
     commitInFlight_.reset();
   else
@@ -121,13 +121,13 @@
   if (committing_ || !owns() || runtime_.now() < commitNotBefore_) return;
   if (!commitInFlight_) {
     if (auto due = commitDelayedUntil()) {
-      commitAt(*due);
+      scheduleCommit(*due);
       return;
     }
-    composeCommit();
+    buildCommit();
   }
   if (!commitInFlight_) {
-    transferOwnershipIfAsked();
+    transferOwnershipIfRequested();
     return;
   }
   committing_ = true;
@@ -137,14 +137,15 @@
 
 // Nothing is in flight: lets go of a shard that is to be handed back. From here on this actor decides
 // nothing, unless the transfer fails.
-void ShardScheduler::transferOwnershipIfAsked() {
+void ShardScheduler::transferOwnershipIfRequested() {
   if (!transferringTo_ || ownershipTransferSent_) return;
   ownershipTransferSent_ = true;
-  callbacks_.transferOwnership(takeover_.version, *transferringTo_,
-                               guarded([this](bool transferred) { ownershipTransferEnded(transferred); }));
+  callbacks_.transferOwnership(takeover_.version, *transferringTo_, guarded([this](bool transferred) {
+                                 handleOwnershipTransferResult(transferred);
+                               }));
 }
 
-void ShardScheduler::ownershipTransferEnded(bool transferred) {
+void ShardScheduler::handleOwnershipTransferResult(bool transferred) {
   ownershipTransferSent_ = false;
   transferringTo_.reset();
   if (transferred)
@@ -153,7 +154,7 @@
     requestRound(true);
 }
 
-void ShardScheduler::commitAt(Time due) {
+void ShardScheduler::scheduleCommit(Time due) {
   if (commitScheduled_) return;
   commitScheduled_ = true;
   runtime_.after(due - runtime_.now(), guarded([this] {
@@ -169,7 +170,7 @@
   using Outcome = TransactionResult::Outcome;
   switch (result.outcome) {
     case Outcome::Committed:
-      takeEffect(result.revision);
+      applyCommit(result.revision);
       return;
     case Outcome::Refused:
     case Outcome::Unknown:
@@ -191,11 +192,11 @@
   }
 }
 
-void ShardScheduler::takeEffect(Version revision) {
+void ShardScheduler::applyCommit(Version revision) {
   auto commit = std::move(*commitInFlight_);
   commitInFlight_.reset();
   for (auto page : commit.pages) state_.pages().at(page).version = revision;
-  for (auto page : commit.droppedPages) state_.pages().drop(page);
+  for (auto page : commit.deletedPages) state_.pages().drop(page);
   for (const auto& task : commit.completions) completionCommitted(task);
   for (const auto& job : commit.migrations) migrationCommitted(job);
   for (const auto& written : commit.delegations) taskDelegation_.committed(written, revision);
@@ -239,7 +240,7 @@
   latencies_.toCommitted.add(runtime_.now() - placement.placedAt);
   if (!placement.wanted || !machine->open()) {
     // Never sent, so it is nowhere.
-    taskLost(*machine, written.task);
+    handleTaskLost(*machine, written.task);
     requestRound(true);
     return;
   }
@@ -251,7 +252,8 @@
 }
 
 // Adds the machines that have tasks of the job to stop.
-void ShardScheduler::jobEndCommitted(const JobEnd& end, Version revision, std::set<MachineId>& machines) {
+void ShardScheduler::jobEndCommitted(const JobEndWrite& end, Version revision,
+                                     std::set<MachineId>& machines) {
   Job* job = state_.job(end.job);
   job->status = end.status;
   job->version = revision;
@@ -265,7 +267,7 @@
     stopTasks(*job, machines);
   }
   // Stopping its last task may have removed it.
-  if (Job* remaining = state_.job(end.job)) cleanUp(*remaining);
+  if (Job* remaining = state_.job(end.job)) removeJobIfEnded(*remaining);
 }
 
 void ShardScheduler::answerCancelWaiters(Job& job, JobStatus status) {
@@ -293,7 +295,7 @@
 
 // A job that is over leaves the shard state once none of its tasks can be on a machine of this shard. What
 // pages say of it is of no more use then, and goes when they are written anew.
-void ShardScheduler::cleanUp(Job& job) {
+void ShardScheduler::removeJobIfEnded(Job& job) {
   if (job.status == JobStatus::Open || job.placed > 0) return;
   auto id = job.id;
   jobMigration_.jobOver(job);
--- a/src/scheduler/delegated_tasks.cpp
+++ b/src/scheduler/delegated_tasks.cpp
@@ -60,7 +60,7 @@
     auto tasks = returnable(*job, now);
     if (tasks.empty()) continue;
     DelegationReturn change{id, tasks, *job->delegation};
-    std::erase_if(change.kept.tasks,
+    std::erase_if(change.remaining.tasks,
                   [&](auto index) { return std::binary_search(tasks.begin(), tasks.end(), index); });
     wire::Write write{keys::job(id), wire::encodeJobRecord(recordAfterReturn(*job, entry, change)), {}};
     // One that was written under a larger limit waits until it has shrunk, or its job is over.
@@ -82,9 +82,9 @@
     task.state = TaskState::Remote;
     ++job->remote;
   }
-  job->delegation->tasks = written.kept.tasks;
+  job->delegation->tasks = written.remaining.tasks;
   log_->info("delegated tasks returned: job={} tasks={}", written.job.value, written.tasks.size());
-  if (!written.kept.tasks.empty()) return false;
+  if (!written.remaining.tasks.empty()) return false;
   returnedAt_[written.job] = version;
   jobs_.erase(written.job);
   return true;
--- a/src/scheduler/failure_attribution.cpp
+++ b/src/scheduler/failure_attribution.cpp
@@ -8,14 +8,14 @@
 constexpr unsigned kFailuresToBackOff = 3;  // in a row, before a job waits between tries
 constexpr Duration kFirstBackOff{1'000};    // doubled with each further failure
 constexpr Duration kLongestBackOff{60'000};
-constexpr unsigned kMostDoublings = 6;           // enough for the longest
-constexpr Duration kKeepsOff{45'000};            // for how long a job keeps off a machine that failed it
-constexpr std::size_t kMachinesToBlameJob = 3;   // that failed it while it worked nowhere
-constexpr std::size_t kJobsToBlameMachine = 2;   // that it failed and that work elsewhere
+constexpr unsigned kMostDoublings = 6;  // enough for the longest
+constexpr Duration kKeepsOff{45'000};   // for how long a job keeps off a machine that recordFailure it
+constexpr std::size_t kMachinesToBlameJob = 3;   // that recordFailure it while it worked nowhere
+constexpr std::size_t kJobsToBlameMachine = 2;   // that it recordFailure and that work elsewhere
 constexpr std::size_t kWorkingMachinesKept = 2;  // so that one of them is another than any given one
-constexpr int kLongerThanFailed = 2;             // times as long as the failed task, to count as working
-constexpr Duration kSettlesWithin{15'000};       // mostly; by then the job has run on elsewhere, or failed
-constexpr Duration kBlameKept{600'000};          // after that, a machine that completed nothing starts afresh
+constexpr int kLongerThanFailed = 2;        // times as long as the recordFailure task, to count as working
+constexpr Duration kSettlesWithin{15'000};  // mostly; by then the job has run on elsewhere, or recordFailure
+constexpr Duration kBlameKept{600'000};  // after that, a machine that recordCompletion nothing starts afresh
 
 }  // namespace
 
@@ -25,8 +25,8 @@
                      [](const auto& task) { return task.second.size() >= kMachinesToBlameJob; });
 }
 
-std::optional<Duration> FailureAttribution::failed(const TaskId& task, const MachineId& machine,
-                                                   Duration ranFor, std::size_t machines, Time now) {
+std::optional<Duration> FailureAttribution::recordFailure(const TaskId& task, const MachineId& machine,
+                                                          Duration ranFor, std::size_t machines, Time now) {
   auto& record = jobs_[task.job];
   // Many tasks that one machine fails together count once.
   bool another = record.failedOn.insert_or_assign(machine, now).second;
@@ -41,13 +41,13 @@
   return std::min(kFirstBackOff * (1 << doublings), kLongestBackOff);
 }
 
-void FailureAttribution::completed(const JobId& job, const MachineId& machine, Time now) {
+void FailureAttribution::recordCompletion(const JobId& job, const MachineId& machine, Time now) {
   blame_.erase(machine);
   lastFailure_.erase(machine);
   works(job, machine, now);
 }
 
-void FailureAttribution::keptRunning(const JobId& job, const MachineId& machine, Time now) {
+void FailureAttribution::recordSustainedRun(const JobId& job, const MachineId& machine, Time now) {
   works(job, machine, now);
 }
 
@@ -71,32 +71,32 @@
   }
 }
 
-std::vector<JobId> FailureAttribution::undecided() const {
+std::vector<JobId> FailureAttribution::unattributedJobs() const {
   std::vector<JobId> out;
   for (const auto& [id, record] : jobs_)
     if (!record.failedOn.empty() && record.worksOn.empty()) out.push_back(id);
   return out;
 }
 
-Duration FailureAttribution::contrastAfter(const JobId& job) const {
+Duration FailureAttribution::sustainedRunThreshold(const JobId& job) const {
   const auto* record = find(job);
   return (record ? kLongerThanFailed * record->longestRun : Duration{}) + 2 * reportInterval_;
 }
 
-bool FailureAttribution::suspect(const JobId& job) const {
+bool FailureAttribution::isSuspect(const JobId& job) const {
   const auto* record = find(job);
   return record && record->worksOn.empty() && record->failuresInARow >= kFailuresToBackOff;
 }
 
-bool FailureAttribution::avoids(const JobId& job, const MachineId& machine, std::size_t machines,
-                                Time now) const {
+bool FailureAttribution::shouldAvoid(const JobId& job, const MachineId& machine, std::size_t machines,
+                                     Time now) const {
   const auto* record = find(job);
   if (!record || record->failedOn.size() >= machines) return false;
-  auto failed = record->failedOn.find(machine);
-  return failed != record->failedOn.end() && now - failed->second <= kKeepsOff;
+  auto recordFailure = record->failedOn.find(machine);
+  return recordFailure != record->failedOn.end() && now - recordFailure->second <= kKeepsOff;
 }
 
-std::vector<MachineId> FailureAttribution::faulty(const JobId& job, Time now) const {
+std::vector<MachineId> FailureAttribution::faultyMachines(const JobId& job, Time now) const {
   std::vector<MachineId> out;
   const auto* record = find(job);
   if (!record) return out;
@@ -112,9 +112,9 @@
 
 void FailureAttribution::forget(const JobId& job) { jobs_.erase(job); }
 
-bool FailureAttribution::undecidedAbout(const MachineId& machine, Time now) const {
-  auto failed = lastFailure_.find(machine);
-  return failed != lastFailure_.end() && now - failed->second <= kSettlesWithin;
+bool FailureAttribution::hasUnattributedFailure(const MachineId& machine, Time now) const {
+  auto recordFailure = lastFailure_.find(machine);
+  return recordFailure != lastFailure_.end() && now - recordFailure->second <= kSettlesWithin;
 }
 
 void FailureAttribution::forget(const MachineId& machine) {
--- a/src/scheduler/heartbeats.cpp
+++ b/src/scheduler/heartbeats.cpp
@@ -74,7 +74,7 @@
   machine = state_.machine(heartbeat.machine);
   if (!machine) return {kHttpUnavailable, R"({"error":"unknown machine"})"};
   // Until it has acknowledged our token, a former owner may be answering it as well (invariant 6).
-  if (!machine->heard) machine->aliveUntil = std::max(machine->aliveUntil, now + leaseAfterAnswer());
+  if (!machine->heard) machine->aliveUntil = std::max(machine->aliveUntil, now + maxLeaseAfterAnswer());
   // What is cancelled ends with every answer: its lease must not go on without (invariant 16).
   auto commands = view_.stopCommandsForCancelled(heartbeat);
   // A late copy gets no other commands: whoever waits for its answer, the present machine does not (invariant
@@ -92,12 +92,12 @@
     return {kHttpUnavailable, R"({"error":"the share is not loaded"})"};
   auto known = view_.machines.find(heartbeat.machine);
   if (known == view_.machines.end()) return {kHttpUnavailable, R"({"error":"unknown machine"})"};
-  auto lowestOwnToken = tokenOf(std::max(known->second.record.token, takeover_.epoch));
-  if (heartbeat.token > lowestOwnToken) return {kHttpMisdirected, "{}"};
-  return {kHttpOk, wire::encodeHeartbeatAnswer(lowestOwnToken, view_.stopCommandsForCancelled(heartbeat))};
+  auto baseToken = tokenOf(std::max(known->second.record.token, takeover_.epoch));
+  if (heartbeat.token > baseToken) return {kHttpMisdirected, "{}"};
+  return {kHttpOk, wire::encodeHeartbeatAnswer(baseToken, view_.stopCommandsForCancelled(heartbeat))};
 }
 
-Duration ShardScheduler::leaseAfterAnswer() const {
+Duration ShardScheduler::maxLeaseAfterAnswer() const {
   return seconds(settings_.leaseS * kLeaseClockDrift + kLeaseMarginSeconds);
 }
 
@@ -106,14 +106,14 @@
 ShardScheduler::ReconcileResult ShardScheduler::reconcile(Machine& machine,
                                                           const wire::WorkerHeartbeat& heartbeat,
                                                           HeartbeatSource source) {
-  if (!machine.heard && !machine.fence.showsOwnToken(heartbeat)) {
-    reconcileUnproven(machine, heartbeat, source);
+  if (!machine.heard && !machine.fence.carriesOwnToken(heartbeat)) {
+    reconcileUnacknowledged(machine, heartbeat, source);
     return ReconcileResult::Ignored;
   }
   if (!machine.fence.isNewer(heartbeat)) {
     // It is late, or a copy of the former worker's (invariants 4 and 12). Or the machine's worker restarted
     // and counts from one again: its own answer to a question tells.
-    if (machine.fence.showsLowerToken(heartbeat) && source == HeartbeatSource::WorkerReport) {
+    if (machine.fence.carriesLowerToken(heartbeat) && source == HeartbeatSource::WorkerReport) {
       machine.sendAgain = true;
       machine.contactDue = true;
     }
@@ -145,15 +145,15 @@
 
 // A heartbeat without our token may be a copy from any time before: nothing in it is the present but that
 // what is done is done (invariant 12). The incarnation it names is tried in commands.
-void ShardScheduler::reconcileUnproven(Machine& machine, const wire::WorkerHeartbeat& heartbeat,
-                                       HeartbeatSource source) {
-  machine.fence.learnExpectedIncarnation(heartbeat.incarnation);
+void ShardScheduler::reconcileUnacknowledged(Machine& machine, const wire::WorkerHeartbeat& heartbeat,
+                                             HeartbeatSource source) {
+  machine.fence.raiseExpectedIncarnation(heartbeat.incarnation);
   if (machine.address.empty()) machine.address = heartbeat.address;
   for (const auto& reported : heartbeat.tasks) {
     if (reported.phase != TaskPhase::Exited || reported.cause != ExitCause::Done) continue;
-    if (machine.placementOf(reported)) taskEnded(machine, reported);
+    if (machine.placementOf(reported)) handleTaskExit(machine, reported);
   }
-  if (source == HeartbeatSource::WorkerReport) noteTokenUnacknowledged(machine);
+  if (source == HeartbeatSource::WorkerReport) markTokenUnacknowledged(machine);
   machine.contactDue = true;
   requestRound(false);
 }
@@ -164,12 +164,12 @@
                                                               HeartbeatSource source) {
   auto now = runtime_.now();
   MachineChange change;
-  change.newIncarnation = machine.fence.startsIncarnation(heartbeat);
+  change.newIncarnation = machine.fence.startsNewIncarnation(heartbeat);
   if (change.newIncarnation) beginIncarnation(machine);
   machine.fence.accept(heartbeat);
   machine.lastHeard = now;
-  // The answer to this heartbeat, and to any older one, renews its lease until then at the latest.
-  machine.aliveUntil = now + leaseAfterAnswer();
+  // The answer to this heartbeat, and to any older one, renews its lease until then at the latestPosition.
+  machine.aliveUntil = now + maxLeaseAfterAnswer();
   change.cordonLifted = std::exchange(machine.cordoned, false);
   change.firstHeartbeat = !machine.heard;
   // It lost its lease although it was answered. It gets new work once it shows that it hears us.
@@ -179,7 +179,7 @@
   if (machine.noCommandInDoubt())
     machine.tokenUnacknowledgedSince.reset();
   else
-    noteTokenUnacknowledged(machine);
+    markTokenUnacknowledged(machine);
   return change;
 }
 
@@ -190,7 +190,7 @@
     Placement* placement = machine.placementOf(reported);
     if (!placement) continue;
     if (reported.phase == TaskPhase::Exited) {
-      taskEnded(machine, reported);
+      handleTaskExit(machine, reported);
       continue;
     }
     if (placement->shown && placement->phase == reported.phase) continue;
@@ -214,7 +214,7 @@
     if (absenceProvesGone(machine, placement, heartbeat, source)) lostTasks.push_back(task);
   }
   countMissedStart(machine, missed);
-  tasksLost(machine, lostTasks);
+  handleTasksLost(machine, lostTasks);
 }
 
 // Once a start was missed too often, the machine must show a higher token before it gets more (invariant 11).
@@ -222,11 +222,11 @@
   machine.missedStarts = missed ? machine.missedStarts + 1 : 0;
   if (machine.missedStarts < kMissedStartsToAdvanceToken || !machine.noCommandInDoubt()) return;
   machine.fence.advanceToken();
-  noteTokenUnacknowledged(machine);
+  markTokenUnacknowledged(machine);
 }
 
 // Heartbeats come, but they do not show that our answers arrive (invariant 11).
-void ShardScheduler::noteTokenUnacknowledged(Machine& machine) {
+void ShardScheduler::markTokenUnacknowledged(Machine& machine) {
   if (!machine.tokenUnacknowledgedSince) machine.tokenUnacknowledgedSince = runtime_.now();
 }
 
@@ -237,7 +237,7 @@
 // starts that were on their way may reach the new one, until it has seen a higher token (invariant 3).
 void ShardScheduler::handleWorkerRestart(Machine& machine, const wire::WorkerHeartbeat& answer) {
   log_->info("worker restarted: machine={} incarnation={}", machine.id.value, answer.incarnation.value);
-  machine.fence.restart(answer);
+  machine.fence.resetForRestartedWorker(answer);
   machine.reported.clear();
   for (auto& [_, placement] : machine.placements) {
     if (placement.shown && placement.phase == TaskPhase::Running) --placement.job->running;
@@ -245,35 +245,35 @@
     placement.restored = false;
     placement.startSent = true;
     placement.wanted = false;
-    placement.startSentWith = machine.fence.latest().sequence;
+    placement.startSentWith = machine.fence.latestPosition().sequence;
   }
   machine.contactDue = true;
 }
 
 // The worker killed and forgot everything of the incarnation before (invariant 2).
 void ShardScheduler::beginIncarnation(Machine& machine) {
-  machine.fence.forgetCommandInDoubt();
+  machine.fence.clearCommandInDoubt();
   machine.reported.clear();
-  tasksLost(machine, machine.tasksWhere([](const Placement& placement) {
+  handleTasksLost(machine, machine.tasksWhere([](const Placement& placement) {
     return placement.startSent || placement.restored;
   }));
 }
 
 // --- tasks that are gone ---
 
-void ShardScheduler::taskLost(Machine& machine, const TaskId& task) {
+void ShardScheduler::handleTaskLost(Machine& machine, const TaskId& task) {
   auto found = machine.placements.find(task);
   if (found == machine.placements.end()) return;  // went together with another member of its gang
   Job& job = *found->second.job;
   state_.markGone(machine, task, runtime_.now());
   completeGangIfDone(job);
-  endIfFinished(job);
+  queueJobEndIfFinished(job);
   handleGangMemberLost(job);
-  cleanUp(job);
+  removeJobIfEnded(job);
 }
 
-void ShardScheduler::tasksLost(Machine& machine, const std::vector<TaskId>& tasks) {
-  for (const auto& task : tasks) taskLost(machine, task);
+void ShardScheduler::handleTasksLost(Machine& machine, const std::vector<TaskId>& tasks) {
+  for (const auto& task : tasks) handleTaskLost(machine, task);
 }
 
 void ShardScheduler::handleReclaimNotice(Machine& machine, const wire::WorkerHeartbeat& heartbeat) {
@@ -305,7 +305,7 @@
   placement.wanted = false;
   machine.contactDue = true;
   if (!placement.committed || placement.startSent || placement.restored) return;
-  taskLost(machine, task);  // committed but never sent: it is nowhere
+  handleTaskLost(machine, task);  // committed but never sent: it is nowhere
 }
 
 }  // namespace cherryloft
--- a/src/scheduler/job_records.cpp
+++ b/src/scheduler/job_records.cpp
@@ -55,8 +55,8 @@
   wire::JobRecord record{JobStatus::Open, entry.shard,         entry.tasks,       entry.submitted,
                          *job.spec,       entry.maxConcurrent, entry.delegations, entry.doneRemotely};
   std::erase_if(record.delegations,
-                [&](const Delegation& delegation) { return delegation.shard == change.kept.shard; });
-  if (!change.kept.tasks.empty()) record.delegations.push_back(change.kept);
+                [&](const Delegation& delegation) { return delegation.shard == change.remaining.shard; });
+  if (!change.remaining.tasks.empty()) record.delegations.push_back(change.remaining);
   for (auto index : change.tasks)
     if (job.tasks[index].state == TaskState::Done) record.doneRemotely.push_back(index);
   std::sort(record.doneRemotely.begin(), record.doneRemotely.end());
--- a/src/scheduler/liveness.cpp
+++ b/src/scheduler/liveness.cpp
@@ -23,7 +23,7 @@
 
 }  // namespace
 
-bool ShardScheduler::SuspectCount::moreThan(double fraction) const {
+bool ShardScheduler::SuspectCount::exceedsFraction(double fraction) const {
   return static_cast<double>(overdue) > std::max(kFewMachines, fraction * static_cast<double>(machines));
 }
 
@@ -31,17 +31,19 @@
   return runtime_.now() - std::max(machine.lastHeard, resumed_);
 }
 
-Duration ShardScheduler::reportDue() const { return seconds(settings_.reportS * kOverdueAfterHeartbeats); }
+Duration ShardScheduler::heartbeatDueAfter() const {
+  return seconds(settings_.reportS * kOverdueAfterHeartbeats);
+}
 
 bool ShardScheduler::heartbeatOverdue(const Machine& machine) const {
-  return timeSinceHeartbeat(machine) > reportDue() + kOverdueMargin;
+  return timeSinceHeartbeat(machine) > heartbeatDueAfter() + kOverdueMargin;
 }
 
 // --- leases ---
 
 void ShardScheduler::checkLiveness(Machine& machine, Time now) {
   bool silent = now > machine.aliveUntil && (machine.heard || !machine.placements.empty());
-  if (silent && now > callbacks_.answeredElsewhere() + leaseAfterAnswer()) expireLease(machine);
+  if (silent && now > callbacks_.answeredElsewhere() + maxLeaseAfterAnswer()) expireLease(machine);
   if (!machine.cordoned &&
       timeSinceHeartbeat(machine) > seconds(settings_.reportS * kCordonAfterHeartbeats)) {
     machine.cordoned = true;
@@ -56,7 +58,8 @@
   machine.fence.expireIncarnation();
   machine.heard = false;
   machine.reported.clear();
-  tasksLost(machine, machine.tasksWhere([](const Placement& placement) { return placement.committed; }));
+  handleTasksLost(machine,
+                  machine.tasksWhere([](const Placement& placement) { return placement.committed; }));
   requestRound(true);
 }
 
@@ -68,7 +71,7 @@
   // One that was never heard is still booting, which the leader watches.
   if (!machine.heard && machine.placements.empty()) return false;
   return machine.unansweredProbes >= kUnansweredProbesToSuspect &&
-         timeSinceHeartbeat(machine) > reportDue() + kNextController;
+         timeSinceHeartbeat(machine) > heartbeatDueAfter() + kNextController;
 }
 
 // We hear it, and it does not show that it hears us (invariant 11).
@@ -78,13 +81,13 @@
   return unacknowledgedFor > seconds(settings_.reportS * kUnacknowledgedHeartbeats) + kUnacknowledgedMargin;
 }
 
-void ShardScheduler::returnSuspected(Time now) {
+void ShardScheduler::returnSuspectedMachines(Time now) {
   auto survey = surveySuspects(now);
-  noteMassSuspicion(survey, now);
-  if (recentlyNoted(massSuspicionAt_, now)) return;
+  recordMassSuspicion(survey, now);
+  if (isRecent(massSuspicionAt_, now)) return;
   for (Machine* machine : survey.suspected) {
     auto zone = massSuspicionInZoneAt_.find(machine->zone());
-    bool zoneFault = zone != massSuspicionInZoneAt_.end() && recentlyNoted(zone->second, now);
+    bool zoneFault = zone != massSuspicionInZoneAt_.end() && isRecent(zone->second, now);
     if (machine->returnNow || zoneFault) continue;
     log_->info("returning suspected machine: machine={} reason={}", machine->id.value,
                machine->tokenUnacknowledgedSince ? "token_unacknowledged" : "no_heartbeat");
@@ -113,15 +116,15 @@
   return survey;
 }
 
-void ShardScheduler::noteMassSuspicion(const SuspicionSurvey& survey, Time now) {
-  if (survey.shard.moreThan(kSuspectedFraction)) massSuspicionAt_ = now;
+void ShardScheduler::recordMassSuspicion(const SuspicionSurvey& survey, Time now) {
+  if (survey.shard.exceedsFraction(kSuspectedFraction)) massSuspicionAt_ = now;
   for (const auto& [zone, count] : survey.zones)
-    if (count.moreThan(kSuspectedFractionOfZone)) massSuspicionInZoneAt_[zone] = now;
+    if (count.exceedsFraction(kSuspectedFractionOfZone)) massSuspicionInZoneAt_[zone] = now;
 }
 
 // When such a fault ends, the machines come back one after the other as well.
-bool ShardScheduler::recentlyNoted(std::optional<Time> noted, Time now) const {
-  return noted && now - *noted < reportDue() + kNextController;
+bool ShardScheduler::isRecent(std::optional<Time> noted, Time now) const {
+  return noted && now - *noted < heartbeatDueAfter() + kNextController;
 }
 
 }  // namespace cherryloft
--- a/src/scheduler/load_reporter.cpp
+++ b/src/scheduler/load_reporter.cpp
@@ -116,7 +116,7 @@
   if (job.maxConcurrent)
     return std::min<std::size_t>(job.waiting.size(),
                                  *job.maxConcurrent - std::min(job.placed, *job.maxConcurrent));
-  if (!failures_.suspect(job.id)) return job.waiting.size();
+  if (!failures_.isSuspect(job.id)) return job.waiting.size();
   return now < job.notBefore ? 0 : std::min<std::size_t>(job.waiting.size(), 1);
 }
 
--- a/src/scheduler/machine_drain.cpp
+++ b/src/scheduler/machine_drain.cpp
@@ -26,7 +26,7 @@
       if (!machine->placements.empty()) return;
       // A faulty machine is idle all the time, and must not go from shard to shard before it is known for
       // one.
-      if (failures_.undecidedAbout(machine->id, runtime_.now())) return;
+      if (failures_.hasUnattributedFailure(machine->id, runtime_.now())) return;
       decommission(*machine, static_cast<std::int32_t>(directive.toShard));
       return;
     default:
@@ -78,7 +78,7 @@
 
 // Arrays end by themselves; then the replicas are moved. Once the machine is empty, the leader says where it
 // goes.
-void ShardScheduler::progressDrain(Machine& machine) {
+void ShardScheduler::advanceDrain(Machine& machine) {
   if (!machine.draining || machine.decommissioning || machine.placements.empty()) return;
   bool onlyReplicas =
       std::all_of(machine.placements.begin(), machine.placements.end(), [](const auto& entry) {
--- a/src/scheduler/placement_constraints.cpp
+++ b/src/scheduler/placement_constraints.cpp
@@ -38,7 +38,7 @@
   const auto& spec = *job.spec;
   if (!spec.allowsType(machine.known.record.type)) return false;
   if (machine.spot() && (!spec.spotAllowed || job.avoidSpot)) return false;
-  return !failures_.avoids(job.id, machine.id, state_.machines().size(), runtime_.now());
+  return !failures_.shouldAvoid(job.id, machine.id, state_.machines().size(), runtime_.now());
 }
 
 bool PlacementConstraints::allowsMachine(const Job& job, const Machine& machine) const {
--- a/src/scheduler/placement_rounds.cpp
+++ b/src/scheduler/placement_rounds.cpp
@@ -67,7 +67,7 @@
   std::vector<PendingJob> blocked;
   std::map<TeamId, unsigned> teamTurns;
   // What does not fit into one transaction forms the next round.
-  while (!pending.empty() && unwrittenTasks_.size() < roundWidth()) {
+  while (!pending.empty() && unwrittenTasks_.size() < maxRecordsPerCommit()) {
     for (auto& job : pending) job.orderKey.teamTurns = teamTurns[job.job->spec->team];
     auto next = firstInOrder(pending);
     Job& job = *next->job;
@@ -77,7 +77,7 @@
       pending.erase(next);
       continue;
     }
-    if (failures_.suspect(job.id)) {
+    if (failures_.isSuspect(job.id)) {
       placeProbeTask(job);
       pending.erase(next);
       continue;
--- a/src/scheduler/shard_scheduler.cpp
+++ b/src/scheduler/shard_scheduler.cpp
@@ -82,7 +82,7 @@
     if (job.tasks[index].state == TaskState::Waiting) job.waiting.push_back(index);
   if (job.status == JobStatus::Open) resumeDelegations(job);
   if (job.status == JobStatus::Open) restoreGang(job);
-  endIfFinished(job);
+  queueJobEndIfFinished(job);
 }
 
 // Cancelled jobs of which nothing is on any machine.
@@ -90,7 +90,7 @@
   std::vector<JobId> over;
   for (const auto& [id, job] : state_.jobs())
     if (job.status == JobStatus::Cancelled && job.placed == 0) over.push_back(id);
-  for (const auto& id : over) cleanUp(*state_.job(id));
+  for (const auto& id : over) removeJobIfEnded(*state_.job(id));
 }
 
 // A machine that is this shard's from now on. Its token is ours, and it gets no new work before it is heard.
@@ -99,7 +99,7 @@
   auto& machine = state_.addMachine(id, known, findType(view_.catalog, known.record.type), now);
   machine.fence = CommandFence{tokenOf(std::max(known.record.token, takeover_.epoch))};
   // The former owner may have answered it until the end of its grace.
-  machine.aliveUntil = now + takeover_.formerAnswers + leaseAfterAnswer();
+  machine.aliveUntil = now + takeover_.formerAnswers + maxLeaseAfterAnswer();
   return machine;
 }
 
@@ -148,7 +148,7 @@
   }
   if (h->known.version >= known->second.version) return;
   h->known = known->second;
-  h->fence.raiseLowestOwnToken(tokenOf(std::max(h->known.record.token, takeover_.epoch)));
+  h->fence.raiseBaseToken(tokenOf(std::max(h->known.record.token, takeover_.epoch)));
   state_.reindex(*h);
 }
 
@@ -158,7 +158,7 @@
   bool held = !h->placements.empty();
   while (!h->placements.empty()) {
     auto task = h->placements.begin()->first;
-    taskLost(*h, task);
+    handleTaskLost(*h, task);
   }
   roundScope_.machines.erase(id);
   failures_.forget(id);
@@ -174,7 +174,8 @@
   // Its end is on its way or in doubt, or the shard is: a sibling may have seen it, and told the user, before
   // us.
   if (ownershipTransferSent_) return std::nullopt;
-  if (commitInFlight_ && (commitInFlight_->ends(id) || commitInFlight_->migrates(id))) return std::nullopt;
+  if (commitInFlight_ && (commitInFlight_->endsJob(id) || commitInFlight_->migratesJob(id)))
+    return std::nullopt;
   const auto& j = it->second;
   return wire::JobView{JobStatus::Open, static_cast<std::uint32_t>(j.tasks.size()), j.done, j.running};
 }
@@ -210,11 +211,11 @@
     if (!owns()) continue;
     if (h.size.cores <= 0)
       if (const auto* type = findType(view_.catalog, h.known.record.type)) state_.learnType(h, *type);
-    progressDrain(h);
+    advanceDrain(h);
     if (h.contactDue) sendCommands(h);
   }
   if (!owns()) return;
-  returnSuspected(now);
+  returnSuspectedMachines(now);
   reviewFailures(now);
   reviewMigrations(now);
   reviewDelegations(now);
--- a/src/scheduler/shard_scheduler.h
+++ b/src/scheduler/shard_scheduler.h
@@ -129,31 +129,32 @@
   // Brings the shard state in line with what a worker shows; asks for a round where that frees capacity. May
   // remove placements, and send commands to this and other machines.
   ReconcileResult reconcile(Machine& machine, const wire::WorkerHeartbeat& heartbeat, HeartbeatSource source);
-  void reconcileUnproven(Machine& machine, const wire::WorkerHeartbeat& heartbeat, HeartbeatSource source);
+  void reconcileUnacknowledged(Machine& machine, const wire::WorkerHeartbeat& heartbeat,
+                               HeartbeatSource source);
   MachineChange acceptHeartbeat(Machine& machine, const wire::WorkerHeartbeat& heartbeat,
                                 HeartbeatSource source);
   void reconcileReportedTasks(Machine& machine, const wire::WorkerHeartbeat& heartbeat);
   void reconcileMissingTasks(Machine& machine, const wire::WorkerHeartbeat& heartbeat,
                              HeartbeatSource source);
   void countMissedStart(Machine& machine, bool missed);
-  void noteTokenUnacknowledged(Machine& machine);
+  void markTokenUnacknowledged(Machine& machine);
   void handleWorkerRestart(Machine& machine, const wire::WorkerHeartbeat& answer);
   void beginIncarnation(Machine& machine);
   void handleReclaimNotice(Machine& machine, const wire::WorkerHeartbeat& heartbeat);
   // The task is known gone from the machine: drops its placement, and all that follows from that for its job.
-  void taskLost(Machine& machine, const TaskId& task);
-  void tasksLost(Machine& machine, const std::vector<TaskId>& tasks);
+  void handleTaskLost(Machine& machine, const TaskId& task);
+  void handleTasksLost(Machine& machine, const std::vector<TaskId>& tasks);
   // Until when at the latest a worker kills its tasks that gets no answer after one given now.
-  Duration leaseAfterAnswer() const;
+  Duration maxLeaseAfterAnswer() const;
   // The task is to end; its placement is dropped at once if no start of it was ever sent.
   void stop(Machine& machine, const TaskId& task, Placement& placement);
 
   // Failed tasks (task_failures.cpp).
-  void taskEnded(Machine& machine, const wire::ReportedTask& reported);
-  void taskSucceeded(Machine& machine, const TaskId& task);
-  void taskFailed(Machine& machine, const wire::ReportedTask& reported);
-  const Machine* machineWhereJobWorks(const Job& job, Time now) const;
-  void quarantineFaulty(const JobId& job);
+  void handleTaskExit(Machine& machine, const wire::ReportedTask& reported);
+  void handleTaskSuccess(Machine& machine, const TaskId& task);
+  void handleTaskFailure(Machine& machine, const wire::ReportedTask& reported);
+  const Machine* findMachineRunningJob(const Job& job, Time now) const;
+  void quarantineFaultyMachines(const JobId& job);
   void reviewFailures(Time now);
 
   // Commands (commands.cpp).
@@ -172,7 +173,7 @@
   // Entries of the last heartbeat that the shard state does not place on the machine: ends them, and lets the
   // worker forget them once they have ended.
   void addCommandsForUnknownTasks(Machine& machine, std::vector<wire::Command>& commands);
-  bool doneIsUncommitted(const TaskId& id);
+  bool isCompletionUncommitted(const TaskId& id);
   wire::Command stopCommandFor(const TaskId& task, const Placement& placement, Time now) const;
   bool mayCheckpoint(const Placement& placement, Time now) const;
   // How long a task that was stopped may take to save. A member of a gang that has saved waits for the
@@ -187,7 +188,7 @@
   void sendCommandsToAll(const std::set<MachineId>& machines);
   bool probeDue(const Machine& machine) const;
   std::size_t maxDirectCommandsInFlight() const;
-  void handleDirectAnswer(const MachineId& id, const DirectCommand& sent, const HttpResult& result);
+  void handleDirectCommandResult(const MachineId& id, const DirectCommand& sent, const HttpResult& result);
   void handleCommandAnswered(Machine& machine, const DirectCommand& sent,
                              const wire::WorkerHeartbeat& heartbeat);
   void handleCommandUnanswered(Machine& machine, const DirectCommand& sent, const HttpResult& result);
@@ -203,7 +204,7 @@
     std::size_t overdue = 0;
     std::size_t machines = 0;
     // So many of them that the fault is likely not theirs.
-    [[nodiscard]] bool moreThan(double fraction) const;
+    [[nodiscard]] bool exceedsFraction(double fraction) const;
   };
   struct SuspicionSurvey {
     SuspectCount shard;
@@ -211,7 +212,7 @@
     std::vector<Machine*> suspected;
   };
   // After this long without a heartbeat the next should have been here, a quarter of an interval included.
-  Duration reportDue() const;
+  Duration heartbeatDueAfter() const;
   // How long it has had the chance to be heard and was not: our own standstill does not count.
   Duration timeSinceHeartbeat(const Machine& machine) const;
   bool heartbeatOverdue(const Machine& machine) const;
@@ -222,16 +223,16 @@
   bool tokenUnacknowledgedTooLong(const Machine& machine, Time now) const;
   // Returns suspected machines to the cloud, whose confirmation that they are gone frees their tasks at once.
   // Where much of the shard or of a zone is suspected the fault is likely not theirs, and leases decide.
-  void returnSuspected(Time now);
+  void returnSuspectedMachines(Time now);
   SuspicionSurvey surveySuspects(Time now);
-  void noteMassSuspicion(const SuspicionSurvey& survey, Time now);
-  bool recentlyNoted(std::optional<Time> noted, Time now) const;
+  void recordMassSuspicion(const SuspicionSurvey& survey, Time now);
+  bool isRecent(std::optional<Time> noted, Time now) const;
 
   // Upkeep.
   void tick();
   bool stoodStill(Time now);
   void decommission(Machine& machine, std::int32_t moveTarget);
-  void progressDrain(Machine& machine);
+  void advanceDrain(Machine& machine);
   std::optional<std::vector<TaskId>> movableReplicas(const Machine& machine) const;
   // What a plan to move replicas leaves free on machines, by their number, and how many of a job it moves
   // into a zone.
@@ -320,23 +321,23 @@
   // Commits.
   void commit();
   std::optional<Time> commitDelayedUntil() const;
-  void commitAt(Time due);
-  void composeCommit();
-  void transferOwnershipIfAsked();
-  void ownershipTransferEnded(bool transferred);
+  void scheduleCommit(Time due);
+  void buildCommit();
+  void transferOwnershipIfRequested();
+  void handleOwnershipTransferResult(bool transferred);
   void committed(const TransactionResult& result);
-  void endIfFinished(const Job& job);
-  void addFinishedJobs(TransactionBuilder& transaction);
+  void queueJobEndIfFinished(const Job& job);
+  void addJobEnds(TransactionBuilder& transaction);
   void addPages(TransactionBuilder& transaction);
-  void addPageDrop(TransactionBuilder& transaction);
-  void takeEffect(Version revision);
+  void addPageDeletion(TransactionBuilder& transaction);
+  void applyCommit(Version revision);
   void migrationCommitted(const JobId& id);
   void completionCommitted(const TaskId& id);
   void placementCommitted(const PlacementWrite& written, std::set<MachineId>& machines);
-  void jobEndCommitted(const JobEnd& end, Version revision, std::set<MachineId>& machines);
-  std::size_t roundWidth() const;
+  void jobEndCommitted(const JobEndWrite& end, Version revision, std::set<MachineId>& machines);
+  std::size_t maxRecordsPerCommit() const;
   void stopTasks(const Job& job, std::set<MachineId>& machines);
-  void cleanUp(Job& job);
+  void removeJobIfEnded(Job& job);
   void answerCancelWaiters(Job& job, JobStatus status);
 
   const Settings& settings_;
--- a/src/scheduler/task_delegation_delegate.cpp
+++ b/src/scheduler/task_delegation_delegate.cpp
@@ -84,7 +84,7 @@
   job.waiting.clear();
   std::set<MachineId> machines;
   stopTasks(job, machines);
-  if (Job* remaining = state_.job(id)) cleanUp(*remaining);
+  if (Job* remaining = state_.job(id)) removeJobIfEnded(*remaining);
   sendCommandsToAll(machines);
   requestRound(true);
 }
--- a/src/scheduler/task_delegation_owner.cpp
+++ b/src/scheduler/task_delegation_owner.cpp
@@ -114,7 +114,7 @@
   for (auto index : returned->done) unwrittenTasks_.push_back({job.id, index});
   completeGangIfDone(job);
   if (!returned->unfinished.empty()) handleGangMemberLost(job);
-  endIfFinished(job);
+  queueJobEndIfFinished(job);
   if (returned->any()) requestRound(true);
 }
 
--- a/src/scheduler/task_failures.cpp
+++ b/src/scheduler/task_failures.cpp
@@ -1,4 +1,4 @@
-// Tasks that ended, and what failed ones say of their machine and of their job.
+// Tasks that ended, and what recordFailure ones say of their machine and of their job.
 #include "scheduler/shard_scheduler.h"
 
 namespace cherryloft {
@@ -13,30 +13,30 @@
 constexpr Duration kRetryAfterUnknownEnd{1'000};
 }  // namespace
 
-void ShardScheduler::taskEnded(Machine& machine, const wire::ReportedTask& reported) {
+void ShardScheduler::handleTaskExit(Machine& machine, const wire::ReportedTask& reported) {
   if (reported.cause == ExitCause::Done)
-    taskSucceeded(machine, reported.task);
+    handleTaskSuccess(machine, reported.task);
   else
-    taskFailed(machine, reported);
+    handleTaskFailure(machine, reported);
 }
 
-void ShardScheduler::taskSucceeded(Machine& machine, const TaskId& task) {
+void ShardScheduler::handleTaskSuccess(Machine& machine, const TaskId& task) {
   auto now = runtime_.now();
   Job& job = *machine.placements.at(task).job;
   state_.cached(machine, job.spec->image, job.spec->imageGb);
   state_.taskDone(machine, task, now);
   loadReporter_.workDone(now, job.spec->each.cores, job.spec->spotAllowed);
-  failures_.completed(job.id, machine.id, now);
-  quarantineFaulty(job.id);
+  failures_.recordCompletion(job.id, machine.id, now);
+  quarantineFaultyMachines(job.id);
   if (job.status == JobStatus::Open) {
     unwrittenTasks_.push_back(task);
     completeGangIfDone(job);
-    endIfFinished(job);
+    queueJobEndIfFinished(job);
   }
-  cleanUp(job);
+  removeJobIfEnded(job);
 }
 
-void ShardScheduler::taskFailed(Machine& machine, const wire::ReportedTask& reported) {
+void ShardScheduler::handleTaskFailure(Machine& machine, const wire::ReportedTask& reported) {
   auto now = runtime_.now();
   const auto& placement = machine.placements.at(reported.task);
   Job& job = *placement.job;
@@ -47,9 +47,10 @@
               machine.id.value, static_cast<int>(reported.cause));
   switch (reported.cause) {
     case ExitCause::Error:
-      if (auto wait = failures_.failed(reported.task, machine.id, ranFor, state_.machines().size(), now))
+      if (auto wait =
+              failures_.recordFailure(reported.task, machine.id, ranFor, state_.machines().size(), now))
         job.notBefore = now + *wait;
-      quarantineFaulty(job.id);
+      quarantineFaultyMachines(job.id);
       break;
     case ExitCause::NoRoom:
     case ExitCause::Busy:
@@ -62,14 +63,14 @@
       break;
   }
   completeGangIfDone(job);
-  endIfFinished(job);
+  queueJobEndIfFinished(job);
   handleGangMemberLost(job);
-  cleanUp(job);
+  removeJobIfEnded(job);
 }
 
 // Machines whose failures of the job, beside its success elsewhere, show that the fault is theirs.
-void ShardScheduler::quarantineFaulty(const JobId& job) {
-  for (const auto& id : failures_.faulty(job, runtime_.now())) {
+void ShardScheduler::quarantineFaultyMachines(const JobId& job) {
+  for (const auto& id : failures_.faultyMachines(job, runtime_.now())) {
     Machine* machine = state_.machine(id);
     if (!machine || machine->decommissioning) continue;
     log_->info("machine quarantined: fails jobs that work elsewhere machine={}", id.value);
@@ -78,31 +79,32 @@
   }
 }
 
-// A task that has run on for longer than another of its job lasted before it failed shows that the job works.
+// A task that has run on for longer than another of its job lasted before it recordFailure shows that the job
+// works.
 void ShardScheduler::reviewFailures(Time now) {
   if (now - failuresReviewed_ < kReviewFailuresEvery) return;
   failuresReviewed_ = now;
-  for (const auto& id : failures_.undecided()) {
+  for (const auto& id : failures_.unattributedJobs()) {
     const Job* job = state_.job(id);
     if (!job) continue;
-    const Machine* machine = machineWhereJobWorks(*job, now);
+    const Machine* machine = findMachineRunningJob(*job, now);
     if (!machine) continue;
-    failures_.keptRunning(id, machine->id, now);
-    quarantineFaulty(id);
+    failures_.recordSustainedRun(id, machine->id, now);
+    quarantineFaultyMachines(id);
     requestRound(true);
   }
 }
 
 // One that has kept a task of the job running for long enough, and was heard of late.
-const Machine* ShardScheduler::machineWhereJobWorks(const Job& job, Time now) const {
-  auto longEnough = failures_.contrastAfter(job.id);
+const Machine* ShardScheduler::findMachineRunningJob(const Job& job, Time now) const {
+  auto longEnough = failures_.sustainedRunThreshold(job.id);
   for (std::uint32_t index = 0; index < job.tasks.size(); ++index) {
     const Machine* machine = job.tasks[index].machine;
     if (!machine) continue;
     const auto& placement = machine->placements.at({job.id, index});
     bool running = placement.shown && placement.phase == TaskPhase::Running;
     if (!running || now - placement.runningSince < longEnough) continue;
-    if (timeSinceHeartbeat(*machine) <= reportDue()) return machine;
+    if (timeSinceHeartbeat(*machine) <= heartbeatDueAfter()) return machine;
   }
   return nullptr;
 }
--- a/tests/unit/command_fence_test.cpp
+++ b/tests/unit/command_fence_test.cpp
@@ -36,7 +36,7 @@
 
 TEST_F(CommandFenceTest, ALowerTokenThanTheWorkerHasShownIsNotNewer) {
   auto lower = heartbeat(2, 6, FencingToken{kOwnToken.value - 1});
-  EXPECT_TRUE(fence_.showsLowerToken(lower));
+  EXPECT_TRUE(fence_.carriesLowerToken(lower));
   EXPECT_FALSE(fence_.isNewer(lower));
 }
 
@@ -52,18 +52,18 @@
 }
 
 TEST_F(CommandFenceTest, OnlyATokenOfThisOwnerProvesThePresent) {
-  EXPECT_TRUE(fence_.showsOwnToken(heartbeat(2, 6, kOwnToken)));
-  EXPECT_FALSE(fence_.showsOwnToken(heartbeat(2, 6, FencingToken{kOwnToken.value - 1})));
+  EXPECT_TRUE(fence_.carriesOwnToken(heartbeat(2, 6, kOwnToken)));
+  EXPECT_FALSE(fence_.carriesOwnToken(heartbeat(2, 6, FencingToken{kOwnToken.value - 1})));
 }
 
 TEST_F(CommandFenceTest, TheFirstHeartbeatOfAllStartsNoIncarnation) {
-  EXPECT_FALSE(CommandFence{kOwnToken}.startsIncarnation(heartbeat(4, 1, kOwnToken)));
-  EXPECT_FALSE(fence_.startsIncarnation(heartbeat(2, 6, kOwnToken)));
-  EXPECT_TRUE(fence_.startsIncarnation(heartbeat(3, 1, kOwnToken)));
+  EXPECT_FALSE(CommandFence{kOwnToken}.startsNewIncarnation(heartbeat(4, 1, kOwnToken)));
+  EXPECT_FALSE(fence_.startsNewIncarnation(heartbeat(2, 6, kOwnToken)));
+  EXPECT_TRUE(fence_.startsNewIncarnation(heartbeat(3, 1, kOwnToken)));
 }
 
 TEST_F(CommandFenceTest, AnUnansweredCommandIsInDoubtUntilAHigherTokenIsShown) {
-  fence_.commandUnanswered(fence_.token());
+  fence_.recordUnansweredCommand(fence_.token());
   EXPECT_GT(fence_.token(), kOwnToken);
   fence_.accept(heartbeat(2, 6, kOwnToken));
   EXPECT_FALSE(fence_.noCommandInDoubt());
@@ -78,24 +78,24 @@
 }
 
 TEST_F(CommandFenceTest, TheEndOfTheIncarnationEndsTheDoubt) {
-  fence_.commandUnanswered(fence_.token());
+  fence_.recordUnansweredCommand(fence_.token());
   fence_.expireIncarnation();
   EXPECT_TRUE(fence_.noCommandInDoubt());
 }
 
 TEST_F(CommandFenceTest, AHigherLowestTokenStartsANewGeneration) {
   fence_.advanceToken();
-  fence_.raiseLowestOwnToken(FencingToken{200});
+  fence_.raiseBaseToken(FencingToken{200});
   EXPECT_EQ(fence_.token(), FencingToken{200});
-  fence_.raiseLowestOwnToken(FencingToken{150});
+  fence_.raiseBaseToken(FencingToken{150});
   EXPECT_EQ(fence_.token(), FencingToken{200});
 }
 
 TEST_F(CommandFenceTest, TheExpectedIncarnationNeverFallsNorNamesAnExpiredOne) {
   EXPECT_EQ(CommandFence{kOwnToken}.expectedIncarnation(), Incarnation{1});
-  fence_.learnExpectedIncarnation(Incarnation{1});
+  fence_.raiseExpectedIncarnation(Incarnation{1});
   EXPECT_EQ(fence_.expectedIncarnation(), Incarnation{2});
-  fence_.learnExpectedIncarnation(Incarnation{4});
+  fence_.raiseExpectedIncarnation(Incarnation{4});
   EXPECT_EQ(fence_.expectedIncarnation(), Incarnation{4});
 }
 
@@ -103,9 +103,9 @@
 TEST_F(CommandFenceTest, AfterARestartTheAnswerIsNewerAndEarlierCommandsAreInDoubt) {
   auto answer = heartbeat(1, 1, kOwnToken);
   EXPECT_FALSE(fence_.isNewer(answer));
-  fence_.restart(answer);
+  fence_.resetForRestartedWorker(answer);
   EXPECT_TRUE(fence_.isNewer(answer));
-  EXPECT_FALSE(fence_.startsIncarnation(answer));
+  EXPECT_FALSE(fence_.startsNewIncarnation(answer));
   EXPECT_FALSE(fence_.noCommandInDoubt());
 }
 
--- a/tests/unit/delegated_tasks_test.cpp
+++ b/tests/unit/delegated_tasks_test.cpp
@@ -57,7 +57,7 @@
   auto returns = addReturns(kNow + kReturnsAfter);
   ASSERT_EQ(returns.size(), 1U);
   EXPECT_EQ(returns.front().tasks, (Tasks{1, 2}));
-  EXPECT_TRUE(returns.front().kept.tasks.empty());
+  EXPECT_TRUE(returns.front().remaining.tasks.empty());
 }
 
 TEST_F(DelegatedTasksTest, WhatIsAskedBackGoesBackAtOnce) {
--- a/tests/unit/load_reporter_test.cpp
+++ b/tests/unit/load_reporter_test.cpp
@@ -82,7 +82,7 @@
 TEST_F(LoadReporterTest, AJobThatNeverWorkedAsksForOneTaskAtATime) {
   state_.addJob(JobId{"a"}, jobEntry("a", 3, 2));
   for (const auto* machine : {"m-1", "m-2", "m-3"})
-    failures_.failed({JobId{"a"}, 0}, MachineId{machine}, Duration{}, 10, runtime_.now());
+    failures_.recordFailure({JobId{"a"}, 0}, MachineId{machine}, Duration{}, 10, runtime_.now());
   EXPECT_EQ(report().onDemandOnly.waiting, 2);
 }
 
