--- a/src/scheduler/heartbeats.cpp
+++ b/src/scheduler/heartbeats.cpp
@@ -107,7 +107,7 @@
                                                           const wire::WorkerHeartbeat& heartbeat,
                                                           HeartbeatSource source) {
   if (!machine.heard && !machine.fence.carriesOwnToken(heartbeat)) {
-    reconcileUnacknowledged(machine, heartbeat, source);
+    reconcileUnverified(machine, heartbeat, source);
     return ReconcileResult::Ignored;
   }
   if (!machine.fence.isNewer(heartbeat)) {
@@ -145,8 +145,8 @@
 
 // A heartbeat without our token may be a copy from any time before: nothing in it is the present but that
 // what is done is done (invariant 12). The incarnation it names is tried in commands.
-void ShardScheduler::reconcileUnacknowledged(Machine& machine, const wire::WorkerHeartbeat& heartbeat,
-                                             HeartbeatSource source) {
+void ShardScheduler::reconcileUnverified(Machine& machine, const wire::WorkerHeartbeat& heartbeat,
+                                         HeartbeatSource source) {
   machine.fence.raiseExpectedIncarnation(heartbeat.incarnation);
   if (machine.address.empty()) machine.address = heartbeat.address;
   for (const auto& reported : heartbeat.tasks) {
--- a/src/scheduler/shard_scheduler.h
+++ b/src/scheduler/shard_scheduler.h
@@ -129,8 +129,7 @@
   // Brings the shard state in line with what a worker shows; asks for a round where that frees capacity. May
   // remove placements, and send commands to this and other machines.
   ReconcileResult reconcile(Machine& machine, const wire::WorkerHeartbeat& heartbeat, HeartbeatSource source);
-  void reconcileUnacknowledged(Machine& machine, const wire::WorkerHeartbeat& heartbeat,
-                               HeartbeatSource source);
+  void reconcileUnverified(Machine& machine, const wire::WorkerHeartbeat& heartbeat, HeartbeatSource source);
   MachineChange acceptHeartbeat(Machine& machine, const wire::WorkerHeartbeat& heartbeat,
                                 HeartbeatSource source);
   void reconcileReportedTasks(Machine& machine, const wire::WorkerHeartbeat& heartbeat);
