--- a/src/scheduler/command_fence.cpp
+++ b/src/scheduler/command_fence.cpp
@@ -26,8 +26,8 @@
 }
 
 bool CommandFence::startsNewIncarnation(const wire::WorkerHeartbeat& heartbeat) const {
-  bool anyAccepted = latestPosition_.incarnation.value > 0;
-  return anyAccepted && heartbeat.incarnation > latestPosition_.incarnation;
+  bool hasAcceptedHeartbeat = latestPosition_.incarnation.value > 0;
+  return hasAcceptedHeartbeat && heartbeat.incarnation > latestPosition_.incarnation;
 }
 
 void CommandFence::raiseBaseToken(FencingToken token) {
@@ -53,8 +53,8 @@
   ++tokenGeneration_;
 }
 
-void CommandFence::recordUnansweredCommand(FencingToken sentWith) {
-  commandInDoubt_ = sentWith;
+void CommandFence::recordUnansweredCommand(FencingToken commandToken) {
+  commandInDoubt_ = commandToken;
   ++tokenGeneration_;
 }
 
--- a/src/scheduler/command_fence.h
+++ b/src/scheduler/command_fence.h
@@ -1,19 +1,17 @@
-// What tells the present of one worker's agent from its past: which heartbeats count, and which commands may
-// still arrive. No I/O and no clock of its own.
+// Fencing for one worker's agent: decides which heartbeats are current, and which commands may still take
+// effect. Does no I/O and reads no clock.
 //
 // Messages between a controller and a worker may be delayed for minutes or delivered twice, a worker may
-// resetForRestartedWorker, and a former owner of the shard may still be talking to it. Three orders sort that
-// out:
+// restart, and a former owner of the shard may still be sending. Three orders resolve this:
 //
-//   fencing token        Chosen by the owner; a worker obeys no token below the highest that it has seen. The
-//                        shard's epoch is in its high bits, a generation that the owner advances in the low
-//                        ones.
-//   incarnation          Chosen by the worker: it rises when the worker's lease runs out, whereupon the
-//   worker
-//                        kills all its tasks. A direct command names the incarnation that it is meant for.
-//   sequence number      Chosen by the worker: counts its heartbeats within an incarnation.
+//   fencing token        Assigned by the owner; a worker rejects commands whose token is below the highest
+//                        that it has seen. The high bits are the shard's epoch, the low bits a generation
+//                        that the owner increments.
+//   worker incarnation   Assigned by the worker: incremented when the worker's lease expires, upon which it
+//                        kills all its tasks. A direct command names the incarnation it is meant for.
+//   sequence number      Assigned by the worker: counts its heartbeats within an incarnation.
 //
-// Life of a command's token:
+// States of the fence with respect to unacknowledged commands:
 //
 //        recordUnansweredCommand(), advanceToken()
 //     +-----------------------------------------------+
@@ -21,9 +19,10 @@
 //   noCommandInDoubt                            commandInDoubt
 //     ^                                               |
 //     +-----------------------------------------------+
-//        a heartbeat shows a token above the one in doubt; or the incarnation that the command named is over
+//        a heartbeat carries a token above the one in doubt, or the incarnation that the command named has
+//        ended
 //
-// The numbered invariants are those of docs/DESIGN.md.
+// The invariant numbers refer to docs/DESIGN.md.
 #pragma once
 
 #include <compare>
@@ -35,7 +34,7 @@
 
 namespace cherryloft {
 
-// The place of a heartbeat among all those of one agent process; later ones compare greater.
+// Position of a heartbeat in the order in which one agent process sends them; later ones compare greater.
 struct HeartbeatPosition {
   Incarnation incarnation;
   SequenceNumber sequence;
@@ -47,67 +46,69 @@
 
 class CommandFence {
  public:
-  // `baseToken`: the lowest token that no owner before this one has used for the machine.
+  // `baseToken`: the lowest token that no previous owner has used for the machine.
   explicit CommandFence(FencingToken baseToken = {}) : baseToken_(baseToken) {}
 
-  // The token that commands and answers carry now.
+  // The token to put into commands and heartbeat answers.
   [[nodiscard]] FencingToken token() const { return FencingToken{baseToken_.value + tokenGeneration_}; }
-  // The latestPosition heartbeat that was accepted.
+  // Position of the last accepted heartbeat.
   [[nodiscard]] HeartbeatPosition latestPosition() const { return latestPosition_; }
   [[nodiscard]] Incarnation incarnation() const { return latestPosition_.incarnation; }
-  // The incarnation that commands name as long as no heartbeat has been accepted.
+  // The incarnation that commands name until a heartbeat has been accepted.
   [[nodiscard]] Incarnation expectedIncarnation() const { return expectedIncarnation_; }
 
-  // No command sent so far can take effect any more but those whose effect is known (invariant 3).
+  // True if every command sent so far either has a known effect or can no longer take effect (invariant 3).
   [[nodiscard]] bool noCommandInDoubt() const {
     return !commandInDoubt_ || highestTokenSeen_ > *commandInDoubt_;
   }
 
-  // --- judging heartbeats ---
+  // --- classifying heartbeats ---
 
-  // The worker has seen a token of this owner, so the heartbeat is of the present (invariant 12).
+  // The worker has seen a token of this owner, so the heartbeat is not from before the takeover
+  // (invariant 12).
   [[nodiscard]] bool carriesOwnToken(const wire::WorkerHeartbeat& heartbeat) const;
-  // Another owner has the right to the machine by now (invariant 5).
+  // Another owner has taken over the machine (invariant 5).
   [[nodiscard]] bool supersededBy(const wire::WorkerHeartbeat& heartbeat) const;
-  // It shows a lower token than the worker has shown: a copy of an earlier heartbeat, or the worker
-  // restarted.
+  // Its token is lower than one the worker has already acknowledged: it is a duplicate of an earlier
+  // heartbeat, or the worker restarted.
   [[nodiscard]] bool carriesLowerToken(const wire::WorkerHeartbeat& heartbeat) const;
-  // It may change what is known; anything else is late or a copy (invariants 4 and 12).
+  // May update the shard state; any other heartbeat is delayed or a duplicate (invariants 4 and 12).
   [[nodiscard]] bool isNewer(const wire::WorkerHeartbeat& heartbeat) const;
-  // The worker has killed and forgotten everything of the incarnation that was accepted last.
+  // The worker has killed and discarded all tasks of the last accepted incarnation.
   [[nodiscard]] bool startsNewIncarnation(const wire::WorkerHeartbeat& heartbeat) const;
-  // The worker's lease for that incarnation is known to have run out.
+  // The worker's lease for that incarnation is known to have expired.
   [[nodiscard]] bool isExpired(Incarnation incarnation) const { return incarnation <= expiredIncarnation_; }
 
-  // --- what moves the fence ---
+  // --- state changes ---
 
-  // The machine's record or the shard's epoch names a higher token; lower ones change nothing.
+  // Called when the machine's record or the shard's epoch names a token; ignores one that is not higher.
   void raiseBaseToken(FencingToken token);
-  // A heartbeat that may be old names an incarnation: the next command tries it.
+  // Records the incarnation named by a possibly stale heartbeat; the next command is addressed to it.
   void raiseExpectedIncarnation(Incarnation incarnation);
-  // Takes over a heartbeat that isNewer().
+  // Records a heartbeat for which isNewer() holds.
   void accept(const wire::WorkerHeartbeat& heartbeat);
-  // Everything sent under the present token loses its effect once the worker has seen the next one.
+  // Commands sent under the current token have no effect once the worker has seen the next token.
   void advanceToken();
-  // A command that was sent under that token got no answer: it may be executed minutes later.
-  void recordUnansweredCommand(FencingToken sentWith);
-  // The incarnation that the command in doubt named is over, and the command with it (invariant 2).
+  // A command sent under that token was not answered: it may still be executed minutes later.
+  void recordUnansweredCommand(FencingToken commandToken);
+  // The incarnation named by the command in doubt has ended, so the command has no effect (invariant 2).
   void clearCommandInDoubt() { commandInDoubt_.reset(); }
-  // The worker's lease has run out: nothing it says of the present incarnation counts any more.
+  // The worker's lease has expired: further heartbeats of the current incarnation are ignored.
   void expireIncarnation();
-  // A new agent process, which counts from one again, answered a question: `answer` is to be accepted next.
-  // Starts on their way to the old process may reach the new one, so the token is advanced (invariant 3).
+  // A new agent process, whose counters start at one again, answered a probe; `answer` is accepted next.
+  // Start commands in flight to the old process may reach the new one, so the token is advanced
+  // (invariant 3).
   void resetForRestartedWorker(const wire::WorkerHeartbeat& answer);
 
  private:
   FencingToken baseToken_;
   std::uint64_t tokenGeneration_ = 0;
-  FencingToken highestTokenSeen_;  // the highest token that an accepted heartbeat showed
-  // Direct commands up to this token may still arrive, until the worker has shown a higher one.
+  FencingToken highestTokenSeen_;  // highest token carried by an accepted heartbeat
+  // Direct commands with tokens up to this one may still arrive, until the worker acknowledges a higher one.
   std::optional<FencingToken> commandInDoubt_;
   HeartbeatPosition latestPosition_;
   Incarnation expiredIncarnation_;
-  Incarnation expectedIncarnation_{1};  // workers count incarnations from one
+  Incarnation expectedIncarnation_{1};  // workers number incarnations from 1
 };
 
 }  // namespace cherryloft
--- a/src/scheduler/commit_in_flight.cpp
+++ b/src/scheduler/commit_in_flight.cpp
@@ -5,7 +5,8 @@
 namespace cherryloft {
 
 bool CommitInFlight::endsJob(const JobId& job) const {
-  return std::any_of(jobEnds.begin(), jobEnds.end(), [&](const JobEndWrite& end) { return end.job == job; });
+  return std::any_of(jobEnds.begin(), jobEnds.end(),
+                     [&](const JobEndWrite& write) { return write.job == job; });
 }
 
 bool CommitInFlight::migratesJob(const JobId& job) const {
--- a/src/scheduler/commit_in_flight.h
+++ b/src/scheduler/commit_in_flight.h
@@ -1,8 +1,8 @@
-// What one transaction of a shard writes, remaining until its result is known.
+// Contents of one transaction of a shard, kept until its result is known.
 //
-// Only after the transaction is committed does any of it take effect: commands go out, users are answered,
-// the shard's tables follow (ShardScheduler::applyCommit). After an unclear result the same transaction is
-// sent again, so this is not changed once composed.
+// None of it takes effect before the transaction is committed; then commands are sent, users are answered and
+// the shard state is updated (ShardScheduler::applyCommit). If the result is unknown, the same transaction is
+// sent again, so the contents must not change once the transaction is built.
 #pragma once
 
 #include <string>
@@ -16,52 +16,52 @@
 
 namespace cherryloft {
 
-// A task's placement on a machine, as written to a page.
+// A task's placement on a machine, as written to a placement page.
 struct PlacementWrite {
   MachineId machine;
   TaskId task;
   Attempt attempt;
 };
 
-// A job that is written as over.
+// A job whose terminal status is written.
 struct JobEndWrite {
   JobId job;
   JobStatus status = JobStatus::Done;  // Done or Cancelled
 };
 
-// A job whose record is to name another shard (invariant 17).
+// A job whose record is to be reassigned to another shard (invariant 17).
 struct PlannedMigration {
   JobId job;
   ShardId toShard;
-  std::uint32_t maxConcurrent = 0;  // its tasks that may be placed there at a time
+  std::uint32_t maxConcurrent = 0;  // maximum number of its tasks placed there at a time
 };
 
-// A cancelled job of another shard's team of which nothing is on any machine any more: its record is to say
-// so, so that the team's own shard stops counting it (invariant 17).
+// A cancelled job of another shard's team that has no task on any machine any more: its record is updated to
+// say so, so that the team's own shard stops counting its usage (invariant 17).
 struct MigrationCleanup {
   JobId job;
-  Version version;    // that the record must still have
+  Version version;    // expected version of the record
   std::string value;  // the record to write
 };
 
-// The owner's change to the delegations of one of its jobs (invariant 18).
+// A change by the owner to the delegations of one of its jobs (invariant 18).
 struct DelegationWrite {
   JobId job;
-  std::vector<Delegation> planned;  // tasks that go to other shards
-  bool recall = false;              // all that other shards have of it is asked back
+  std::vector<Delegation> planned;  // tasks to delegate to other shards
+  bool recall = false;              // recall all tasks delegated to other shards
 };
 
-// What a delegate gives back of another shard's job (invariant 18).
+// Tasks of another shard's job that a delegate returns (invariant 18).
 struct DelegationReturn {
   JobId job;
-  std::vector<std::uint32_t> tasks;  // given back, done or not; ascending
-  Delegation remaining;              // what the delegate still has
+  std::vector<std::uint32_t> tasks;  // returned tasks, done or not, in ascending order
+  Delegation remaining;              // what stays with the delegate
 };
 
 struct CommitInFlight {
   wire::Transaction transaction;
-  std::vector<PageNumber> pages;         // written
-  std::vector<PageNumber> deletedPages;  // deleted
+  std::vector<PageNumber> writtenPages;
+  std::vector<PageNumber> deletedPages;
   std::vector<PlacementWrite> placements;
   std::vector<TaskId> completions;
   std::vector<JobEndWrite> jobEnds;
@@ -69,7 +69,7 @@
   std::vector<DelegationWrite> delegations;
   std::vector<DelegationReturn> delegationReturns;
 
-  // Whether it writes the end of the job, or its migration.
+  // Whether the transaction writes the job's terminal status, or its migration.
   [[nodiscard]] bool endsJob(const JobId& job) const;
   [[nodiscard]] bool migratesJob(const JobId& job) const;
 };
--- a/src/scheduler/commits.cpp
+++ b/src/scheduler/commits.cpp
@@ -1,7 +1,7 @@
-// The shard's commits: one transaction in flight; what comes meanwhile forms the next.
+// The shard's commits. One transaction is in flight at a time; changes made meanwhile go into the next one.
 //
-// A transaction is written on condition that the shard's record still has the version of our takeover, so
-// that a former owner's writes fail. What it writes takes effect only once it is committed (invariant 1).
+// Each transaction is conditional on the shard's record still having the version of our takeover, so that a
+// former owner's writes fail. Changes take effect only after they are committed (invariant 1).
 #include <algorithm>
 #include <utility>
 
@@ -13,27 +13,27 @@
 
 using wire::kMaxTransactionBytes;
 
-// Bytes that a page's key and its frame add to a transaction, at most.
-constexpr std::size_t kKeyWeight = 200;
-// Bytes, about, of a placement or completion in a page, with what still stands of that page.
-constexpr std::size_t kFactBytes = 40;
-// For how long the state service may take for a transaction.
-constexpr Duration kCommitDeadline{2'000};
-// After a transaction that was refused or whose result is unknown: it is sent again no sooner than a random
-// time of [kRetryPause, kRetryPause + kRetryJitterMs), and tried after kRetryAfter, which is longer than
-// both.
-constexpr Duration kRetryPause{60};
+// Upper bound on the bytes that a page's key and framing add to a transaction.
+constexpr std::size_t kPageOverheadBytes = 200;
+// Approximate bytes per placement or completion in a page, including the page's records that remain valid.
+constexpr std::size_t kBytesPerRecord = 40;
+// Timeout of a transaction at the state service.
+constexpr Duration kCommitTimeout{2'000};
+// Backoff after a transaction that was refused or whose result is unknown: no commit is sent for a random
+// time in [kMinRetryDelay, kMinRetryDelay + kRetryJitterMs); the retry is scheduled after kRetryAfter, which
+// exceeds that range.
+constexpr Duration kMinRetryDelay{60};
 constexpr unsigned kRetryJitterMs = 120;
 constexpr Duration kRetryAfter{190};
 
 }  // namespace
 
-// The end of another shard's job is for its owner to write.
+// Jobs delegated by another shard are left out: their owner writes the terminal status.
 void ShardScheduler::queueJobEndIfFinished(const Job& job) {
   if (job.status == JobStatus::Open && !job.delegation && job.finished()) ending_.insert(job.id);
 }
 
-// --- composing a transaction ---
+// --- building a transaction ---
 
 void ShardScheduler::addJobEnds(TransactionBuilder& transaction) {
   while (!ending_.empty()) {
@@ -51,38 +51,39 @@
   }
 }
 
-// How many placements and completions one transaction can tell.
+// Maximum number of placements and completions that fit into one transaction.
 std::size_t ShardScheduler::maxRecordsPerCommit() const {
   auto pages = std::clamp<std::size_t>(kMaxTransactionBytes / settings_.valueBytes, 1, settings_.txnOps - 1);
-  return pages * std::max<std::size_t>(settings_.valueBytes / kFactBytes, 1);
+  return pages * std::max<std::size_t>(settings_.valueBytes / kBytesPerRecord, 1);
 }
 
 void ShardScheduler::addPages(TransactionBuilder& transaction) {
-  std::set<PageNumber> taken;
-  while (!unwrittenTasks_.empty() && transaction.hasRoom(settings_.valueBytes + kKeyWeight)) {
-    auto page = state_.composePage(unwrittenTasks_, taken);
+  std::set<PageNumber> pagesInTransaction;
+  while (!unwrittenTasks_.empty() && transaction.hasRoom(settings_.valueBytes + kPageOverheadBytes)) {
+    auto page = state_.composePage(unwrittenTasks_, pagesInTransaction);
     if (!page) continue;
     transaction.add({keys::page(takeover_.shard, page->number), wire::encodePage(page->record), {}},
                     state_.pages().at(page->number).version);
-    commitInFlight_->pages.push_back(page->number);
-    for (const auto& [job, facts] : page->record.jobs) {
-      for (const auto& entry : facts.placed)
+    commitInFlight_->writtenPages.push_back(page->number);
+    for (const auto& [job, tasks] : page->record.jobs) {
+      for (const auto& entry : tasks.placed)
         commitInFlight_->placements.push_back({entry.machine, TaskId{job, entry.index}, entry.attempt});
-      for (auto index : facts.done) commitInFlight_->completions.push_back({job, index});
+      for (auto index : tasks.done) commitInFlight_->completions.push_back({job, index});
     }
   }
 }
 
-// Deletes a page that nothing stands on any more, if other writes need a transaction anyway.
+// Deletes one page without live records, but only in a transaction that has other writes.
 void ShardScheduler::addPageDeletion(TransactionBuilder& transaction) {
   auto& pages = state_.pages();
-  auto spare = pages.spare({commitInFlight_->pages.begin(), commitInFlight_->pages.end()});
-  if (!spare || transaction.empty()) return;
-  if (transaction.add({keys::page(takeover_.shard, *spare), std::nullopt, {}}, pages.at(*spare).version))
-    commitInFlight_->deletedPages.push_back(*spare);
+  auto emptyPage = pages.spare({commitInFlight_->writtenPages.begin(), commitInFlight_->writtenPages.end()});
+  if (!emptyPage || transaction.empty()) return;
+  if (transaction.add({keys::page(takeover_.shard, *emptyPage), std::nullopt, {}},
+                      pages.at(*emptyPage).version))
+    commitInFlight_->deletedPages.push_back(*emptyPage);
 }
 
-// Leaves nothing in flight if there is nothing to write.
+// Sets commitInFlight_, or leaves it empty if there is nothing to write.
 void ShardScheduler::buildCommit() {
   lastCommit_ = runtime_.now();
   placementsUnwritten_ = false;
@@ -94,9 +95,9 @@
   jobMigration_.addCleanups(transaction);
   commitInFlight_->delegations = taskDelegation_.addPlanned(transaction);
   commitInFlight_->delegationReturns = delegatedTasks_.addReturns(transaction, runtime_.now());
-  // A shard that is to be handed back waits for nothing else: in a large one something is done at every
-  // moment. The next owner learns from heartbeats what is done, as nothing is forgotten before it is written
-  // (invariant 8), and placements that were not written were not sent.
+  // An ownership transfer doesn't wait for pages: in a large shard, tasks complete all the time. The next
+  // owner learns of completions from heartbeats, as workers are told to forget a task only after its
+  // completion is written (invariant 8); and placements that were not written were never sent.
   if (!transferringTo_) addPages(transaction);
   addPageDeletion(transaction);
   if (transaction.empty())
@@ -105,23 +106,23 @@
     commitInFlight_->transaction = transaction.take();
 }
 
-// --- sending it ---
+// --- sending a transaction ---
 
-// While changes are short, what comes within a moment shares a transaction; completions can wait longer.
-// Nothing if the next transaction may be composed now.
+// When the next transaction may be built; nullopt: now. While the store's write rate is saturated, changes
+// are batched for one commit interval, or for three if there are only completions.
 std::optional<Time> ShardScheduler::commitDelayedUntil() const {
   if (unwrittenTasks_.empty() && ending_.empty()) return std::nullopt;
   bool urgent = placementsUnwritten_ || !ending_.empty();
-  auto due = lastCommit_ + (urgent ? 1 : 3) * store_.commitInterval();
-  if (!store_.writesSaturated() || runtime_.now() >= due) return std::nullopt;
-  return due;
+  auto nextCommit = lastCommit_ + (urgent ? 1 : 3) * store_.commitInterval();
+  if (!store_.writesSaturated() || runtime_.now() >= nextCommit) return std::nullopt;
+  return nextCommit;
 }
 
 void ShardScheduler::commit() {
   if (committing_ || !owns() || runtime_.now() < commitNotBefore_) return;
   if (!commitInFlight_) {
-    if (auto due = commitDelayedUntil()) {
-      scheduleCommit(*due);
+    if (auto delayedUntil = commitDelayedUntil()) {
+      scheduleCommit(*delayedUntil);
       return;
     }
     buildCommit();
@@ -131,12 +132,12 @@
     return;
   }
   committing_ = true;
-  store_.transact(RequestPriority::Work, commitInFlight_->transaction, kCommitDeadline,
+  store_.transact(RequestPriority::Work, commitInFlight_->transaction, kCommitTimeout,
                   guarded([this](TransactionResult result) { committed(result); }));
 }
 
-// Nothing is in flight: lets go of a shard that is to be handed back. From here on this actor decides
-// nothing, unless the transfer fails.
+// Called when no commit is in flight: starts a requested ownership transfer. From then on this scheduler
+// makes no decisions unless the transfer fails.
 void ShardScheduler::transferOwnershipIfRequested() {
   if (!transferringTo_ || ownershipTransferSent_) return;
   ownershipTransferSent_ = true;
@@ -154,16 +155,16 @@
     requestRound(true);
 }
 
-void ShardScheduler::scheduleCommit(Time due) {
+void ShardScheduler::scheduleCommit(Time time) {
   if (commitScheduled_) return;
   commitScheduled_ = true;
-  runtime_.after(due - runtime_.now(), guarded([this] {
+  runtime_.after(time - runtime_.now(), guarded([this] {
                    commitScheduled_ = false;
                    commit();
                  }));
 }
 
-// --- its result ---
+// --- transaction results ---
 
 void ShardScheduler::committed(const TransactionResult& result) {
   committing_ = false;
@@ -174,9 +175,9 @@
       return;
     case Outcome::Refused:
     case Outcome::Unknown:
-      // The same again under the same conditions: either it is done now, or the conflict tells that it was
-      // done before, or that the shard is another's.
-      commitNotBefore_ = runtime_.now() + kRetryPause + Duration{rng_() % kRetryJitterMs};
+      // Send the same transaction under the same conditions again: either it commits now, or a conflict shows
+      // that it had been committed before or that another controller owns the shard.
+      commitNotBefore_ = runtime_.now() + kMinRetryDelay + Duration{rng_() % kRetryJitterMs};
       runtime_.after(kRetryAfter, guarded([this] { commit(); }));
       return;
     case Outcome::TooLarge:
@@ -195,17 +196,17 @@
 void ShardScheduler::applyCommit(Version revision) {
   auto commit = std::move(*commitInFlight_);
   commitInFlight_.reset();
-  for (auto page : commit.pages) state_.pages().at(page).version = revision;
+  for (auto page : commit.writtenPages) state_.pages().at(page).version = revision;
   for (auto page : commit.deletedPages) state_.pages().drop(page);
   for (const auto& task : commit.completions) completionCommitted(task);
   for (const auto& job : commit.migrations) migrationCommitted(job);
-  for (const auto& written : commit.delegations) taskDelegation_.committed(written, revision);
-  for (const auto& written : commit.delegationReturns) returnCommitted(written, revision);
-  std::set<MachineId> machines;
-  for (const auto& written : commit.placements) placementCommitted(written, machines);
-  for (const auto& end : commit.jobEnds) jobEndCommitted(end, revision, machines);
-  // Only now: a start must not go out beside the end of its own job.
-  sendCommandsToAll(machines);
+  for (const auto& write : commit.delegations) taskDelegation_.committed(write, revision);
+  for (const auto& write : commit.delegationReturns) returnCommitted(write, revision);
+  std::set<MachineId> machinesToCommand;
+  for (const auto& write : commit.placements) placementCommitted(write, machinesToCommand);
+  for (const auto& write : commit.jobEnds) jobEndCommitted(write, revision, machinesToCommand);
+  // Must follow the job ends: a task must not be started if its job ended in the same transaction.
+  sendCommandsToAll(machinesToCommand);
   requestRound(false);
 }
 
@@ -213,7 +214,8 @@
   jobMigration_.committed(id);
   Job* job = state_.job(id);
   if (!job) return;
-  answerCancelWaiters(*job, JobStatus::Open);  // they ask again, and the other owner is told
+  // The callers retry the cancellation, which then reaches the new owner.
+  answerCancelWaiters(*job, JobStatus::Open);
   failures_.forget(id);
   state_.removeJob(id);
 }
@@ -226,48 +228,48 @@
   task.writeInFlight = false;
 }
 
-// Adds the machines that have commands to be sent from now on.
-void ShardScheduler::placementCommitted(const PlacementWrite& written, std::set<MachineId>& machines) {
-  Job* job = state_.job(written.task.job);
-  if (job) job->tasks[written.task.index].writeInFlight = false;
-  Machine* machine = state_.machine(written.machine);
+// Adds the machines that may now be sent start commands to `machinesToCommand`.
+void ShardScheduler::placementCommitted(const PlacementWrite& write, std::set<MachineId>& machinesToCommand) {
+  Job* job = state_.job(write.task.job);
+  if (job) job->tasks[write.task.index].writeInFlight = false;
+  Machine* machine = state_.machine(write.machine);
   if (!machine) return;
-  auto found = machine->placements.find(written.task);
+  auto found = machine->placements.find(write.task);
   if (found == machine->placements.end()) return;
   auto& placement = found->second;
-  if (placement.attempt != written.attempt || placement.committed) return;
+  if (placement.attempt != write.attempt || placement.committed) return;
   ShardState::commit(placement);
   latencies_.toCommitted.add(runtime_.now() - placement.placedAt);
   if (!placement.wanted || !machine->open()) {
-    // Never sent, so it is nowhere.
-    handleTaskLost(*machine, written.task);
+    // Its start was never sent, so it runs on no machine.
+    handleTaskLost(*machine, write.task);
     requestRound(true);
     return;
   }
-  machines.insert(written.machine);
+  machinesToCommand.insert(write.machine);
   bool gangComplete = job && job->isGang() && job->allCommitted();
   if (!gangComplete) return;
   for (const auto& member : job->tasks)
-    if (member.machine) machines.insert(member.machine->id);
+    if (member.machine) machinesToCommand.insert(member.machine->id);
 }
 
-// Adds the machines that have tasks of the job to stop.
-void ShardScheduler::jobEndCommitted(const JobEndWrite& end, Version revision,
-                                     std::set<MachineId>& machines) {
-  Job* job = state_.job(end.job);
-  job->status = end.status;
+// Adds the machines with tasks of the job to stop to `machinesToCommand`.
+void ShardScheduler::jobEndCommitted(const JobEndWrite& write, Version revision,
+                                     std::set<MachineId>& machinesToCommand) {
+  Job* job = state_.job(write.job);
+  job->status = write.status;
   job->version = revision;
-  log_->info("job ended: job={} status={}", end.job.value,
-             end.status == JobStatus::Done ? "done" : "aborted");
-  callbacks_.jobEnded(end.job, end.status, revision);
-  answerCancelWaiters(*job, end.status);
-  if (end.status == JobStatus::Cancelled) {
+  log_->info("job ended: job={} status={}", write.job.value,
+             write.status == JobStatus::Done ? "done" : "aborted");
+  callbacks_.jobEnded(write.job, write.status, revision);
+  answerCancelWaiters(*job, write.status);
+  if (write.status == JobStatus::Cancelled) {
     lastCancelled_ = std::max(lastCancelled_, revision);
     job->waiting.clear();
-    stopTasks(*job, machines);
+    stopTasks(*job, machinesToCommand);
   }
-  // Stopping its last task may have removed it.
-  if (Job* remaining = state_.job(end.job)) removeJobIfEnded(*remaining);
+  // Stopping its last task may have removed the job.
+  if (Job* remaining = state_.job(write.job)) removeJobIfEnded(*remaining);
 }
 
 void ShardScheduler::answerCancelWaiters(Job& job, JobStatus status) {
@@ -275,26 +277,26 @@
   for (auto& answer : waiters) answer(status);
 }
 
-// Orders the end of all that is placed of a job, and names the machines. A job that is over leaves the shard
-// state with the last task that was never sent.
-void ShardScheduler::stopTasks(const Job& job, std::set<MachineId>& machines) {
+// Stops all placed tasks of a job and adds their machines to `machinesToCommand`. If the job has ended and
+// none of its tasks was sent to a machine, this removes the job from the shard state.
+void ShardScheduler::stopTasks(const Job& job, std::set<MachineId>& machinesToCommand) {
   struct PlacedTask {
     Machine* machine;
     TaskId task;
   };
-  // A copy, as stopping changes the job, and may remove it.
+  // Collected first, as stop() modifies the job and may remove it.
   std::vector<PlacedTask> placed;
   for (std::uint32_t index = 0; index < job.tasks.size(); ++index)
     if (Machine* machine = job.tasks[index].machine) placed.push_back({machine, TaskId{job.id, index}});
   for (const auto& [machine, task] : placed) {
-    machines.insert(machine->id);
+    machinesToCommand.insert(machine->id);
     auto placement = machine->placements.find(task);
     if (placement != machine->placements.end()) stop(*machine, task, placement->second);
   }
 }
 
-// A job that is over leaves the shard state once none of its tasks can be on a machine of this shard. What
-// pages say of it is of no more use then, and goes when they are written anew.
+// Removes an ended job from the shard state once none of its tasks can be on a machine of this shard. Its
+// records in placement pages are obsolete then and are dropped when the pages are next rewritten.
 void ShardScheduler::removeJobIfEnded(Job& job) {
   if (job.status == JobStatus::Open || job.placed > 0) return;
   auto id = job.id;
--- a/tests/unit/command_fence_test.cpp
+++ b/tests/unit/command_fence_test.cpp
@@ -1,4 +1,4 @@
-// Which heartbeats of a worker count, and when commands sent to it can no longer take effect.
+// CommandFence: which heartbeats are accepted, and when commands sent earlier can no longer take effect.
 #include "scheduler/command_fence.h"
 
 #include <gtest/gtest.h>
@@ -9,14 +9,14 @@
 constexpr FencingToken kOwnToken{100};
 
 wire::WorkerHeartbeat heartbeat(std::uint64_t incarnation, std::uint64_t sequence, FencingToken token) {
-  wire::WorkerHeartbeat made;
-  made.incarnation = Incarnation{incarnation};
-  made.sequence = SequenceNumber{sequence};
-  made.token = token;
-  return made;
+  wire::WorkerHeartbeat result;
+  result.incarnation = Incarnation{incarnation};
+  result.sequence = SequenceNumber{sequence};
+  result.token = token;
+  return result;
 }
 
-// A fence whose worker has sent heartbeat 5 of incarnation 2 under the owner's token.
+// A fence that has accepted heartbeat 5 of incarnation 2, which carries the owner's token.
 class CommandFenceTest : public ::testing::Test {
  protected:
   CommandFenceTest() { fence_.accept(heartbeat(2, 5, kOwnToken)); }
@@ -24,45 +24,45 @@
   CommandFence fence_{kOwnToken};
 };
 
-TEST_F(CommandFenceTest, ALaterHeartbeatIsNewer) {
+TEST_F(CommandFenceTest, LaterHeartbeatIsNewer) {
   EXPECT_TRUE(fence_.isNewer(heartbeat(2, 6, kOwnToken)));
   EXPECT_TRUE(fence_.isNewer(heartbeat(3, 1, kOwnToken)));
 }
 
-TEST_F(CommandFenceTest, ACopyOrALateHeartbeatIsNotNewer) {
+TEST_F(CommandFenceTest, DuplicateOrDelayedHeartbeatIsNotNewer) {
   EXPECT_FALSE(fence_.isNewer(heartbeat(2, 5, kOwnToken)));
   EXPECT_FALSE(fence_.isNewer(heartbeat(1, 9, kOwnToken)));
 }
 
-TEST_F(CommandFenceTest, ALowerTokenThanTheWorkerHasShownIsNotNewer) {
+TEST_F(CommandFenceTest, HeartbeatWithLowerTokenThanAcknowledgedIsNotNewer) {
   auto lower = heartbeat(2, 6, FencingToken{kOwnToken.value - 1});
   EXPECT_TRUE(fence_.carriesLowerToken(lower));
   EXPECT_FALSE(fence_.isNewer(lower));
 }
 
-TEST_F(CommandFenceTest, NothingOfAnExpiredIncarnationIsNewer) {
+TEST_F(CommandFenceTest, HeartbeatOfExpiredIncarnationIsNotNewer) {
   fence_.expireIncarnation();
   EXPECT_FALSE(fence_.isNewer(heartbeat(2, 6, kOwnToken)));
   EXPECT_TRUE(fence_.isNewer(heartbeat(3, 1, kOwnToken)));
 }
 
-TEST_F(CommandFenceTest, ATokenAboveTheOwnersSupersedesIt) {
+TEST_F(CommandFenceTest, HigherTokenSupersedesOwner) {
   EXPECT_FALSE(fence_.supersededBy(heartbeat(2, 6, kOwnToken)));
   EXPECT_TRUE(fence_.supersededBy(heartbeat(2, 6, FencingToken{kOwnToken.value + 1})));
 }
 
-TEST_F(CommandFenceTest, OnlyATokenOfThisOwnerProvesThePresent) {
+TEST_F(CommandFenceTest, OnlyTokenOfThisOwnerIsRecognizedAsOwn) {
   EXPECT_TRUE(fence_.carriesOwnToken(heartbeat(2, 6, kOwnToken)));
   EXPECT_FALSE(fence_.carriesOwnToken(heartbeat(2, 6, FencingToken{kOwnToken.value - 1})));
 }
 
-TEST_F(CommandFenceTest, TheFirstHeartbeatOfAllStartsNoIncarnation) {
+TEST_F(CommandFenceTest, FirstHeartbeatDoesNotStartNewIncarnation) {
   EXPECT_FALSE(CommandFence{kOwnToken}.startsNewIncarnation(heartbeat(4, 1, kOwnToken)));
   EXPECT_FALSE(fence_.startsNewIncarnation(heartbeat(2, 6, kOwnToken)));
   EXPECT_TRUE(fence_.startsNewIncarnation(heartbeat(3, 1, kOwnToken)));
 }
 
-TEST_F(CommandFenceTest, AnUnansweredCommandIsInDoubtUntilAHigherTokenIsShown) {
+TEST_F(CommandFenceTest, UnansweredCommandIsInDoubtUntilHigherTokenIsAcknowledged) {
   fence_.recordUnansweredCommand(fence_.token());
   EXPECT_GT(fence_.token(), kOwnToken);
   fence_.accept(heartbeat(2, 6, kOwnToken));
@@ -71,19 +71,19 @@
   EXPECT_TRUE(fence_.noCommandInDoubt());
 }
 
-TEST_F(CommandFenceTest, AnAdvancedTokenPutsAllSentBeforeInDoubt) {
+TEST_F(CommandFenceTest, AdvancingTokenPutsEarlierCommandsInDoubt) {
   fence_.advanceToken();
   EXPECT_EQ(fence_.token(), FencingToken{kOwnToken.value + 1});
   EXPECT_FALSE(fence_.noCommandInDoubt());
 }
 
-TEST_F(CommandFenceTest, TheEndOfTheIncarnationEndsTheDoubt) {
+TEST_F(CommandFenceTest, IncarnationExpiryClearsCommandInDoubt) {
   fence_.recordUnansweredCommand(fence_.token());
   fence_.expireIncarnation();
   EXPECT_TRUE(fence_.noCommandInDoubt());
 }
 
-TEST_F(CommandFenceTest, AHigherLowestTokenStartsANewGeneration) {
+TEST_F(CommandFenceTest, HigherBaseTokenResetsGeneration) {
   fence_.advanceToken();
   fence_.raiseBaseToken(FencingToken{200});
   EXPECT_EQ(fence_.token(), FencingToken{200});
@@ -91,7 +91,7 @@
   EXPECT_EQ(fence_.token(), FencingToken{200});
 }
 
-TEST_F(CommandFenceTest, TheExpectedIncarnationNeverFallsNorNamesAnExpiredOne) {
+TEST_F(CommandFenceTest, ExpectedIncarnationNeverDecreasesNorNamesExpiredOne) {
   EXPECT_EQ(CommandFence{kOwnToken}.expectedIncarnation(), Incarnation{1});
   fence_.raiseExpectedIncarnation(Incarnation{1});
   EXPECT_EQ(fence_.expectedIncarnation(), Incarnation{2});
@@ -99,8 +99,9 @@
   EXPECT_EQ(fence_.expectedIncarnation(), Incarnation{4});
 }
 
-// A new process counts from one again; starts meant for the old one may still reach it.
-TEST_F(CommandFenceTest, AfterARestartTheAnswerIsNewerAndEarlierCommandsAreInDoubt) {
+// A new agent process restarts its counters at one; start commands sent to the old process may still reach
+// it.
+TEST_F(CommandFenceTest, AfterWorkerRestartAnswerIsNewerAndEarlierCommandsAreInDoubt) {
   auto answer = heartbeat(1, 1, kOwnToken);
   EXPECT_FALSE(fence_.isNewer(answer));
   fence_.resetForRestartedWorker(answer);
