--- a/src/scheduler/commits.cpp
+++ b/src/scheduler/commits.cpp
@@ -277,8 +277,8 @@
   for (auto& answer : waiters) answer(status);
 }
 
-// Stops all placed tasks of a job and adds their machines to `machinesToCommand`. If the job has ended and
-// none of its tasks was sent to a machine, this removes the job from the shard state.
+// Stops all placed tasks of a job and adds their machines to `machinesToCommand`. If the job has ended and no
+// placed task of it was ever sent to a machine, this also removes the job from the shard state.
 void ShardScheduler::stopTasks(const Job& job, std::set<MachineId>& machinesToCommand) {
   struct PlacedTask {
     Machine* machine;
--- a/src/scheduler/failure_attribution.cpp
+++ b/src/scheduler/failure_attribution.cpp
@@ -5,22 +5,28 @@
 namespace cherryloft {
 namespace {
 
-constexpr unsigned kFailuresToBackOff = 3;  // in a row, before a job waits between tries
-constexpr Duration kFirstBackOff{1'000};    // doubled with each further failure
-constexpr Duration kLongestBackOff{60'000};
-constexpr unsigned kMostDoublings = 6;  // enough for the longest
-constexpr Duration kKeepsOff{45'000};   // for how long a job keeps off a machine that recordFailure it
-constexpr std::size_t kMachinesToBlameJob = 3;   // that recordFailure it while it worked nowhere
-constexpr std::size_t kJobsToBlameMachine = 2;   // that it recordFailure and that work elsewhere
-constexpr std::size_t kWorkingMachinesKept = 2;  // so that one of them is another than any given one
-constexpr int kLongerThanFailed = 2;        // times as long as the recordFailure task, to count as working
-constexpr Duration kSettlesWithin{15'000};  // mostly; by then the job has run on elsewhere, or recordFailure
-constexpr Duration kBlameKept{600'000};  // after that, a machine that recordCompletion nothing starts afresh
+constexpr unsigned kFailuresBeforeBackoff = 3;  // consecutive failures before retries of a job are delayed
+constexpr Duration kInitialBackoff{1'000};      // doubled with each further failure
+constexpr Duration kMaxBackoff{60'000};
+constexpr unsigned kMaxBackoffDoublings = 6;  // enough to reach kMaxBackoff
+constexpr Duration kAvoidanceTime{45'000};    // how long a job avoids a machine that failed it
+// Number of machines that must fail a job, or a task of it, for the failures to be attributed to the job.
+constexpr std::size_t kMachinesToBlameJob = 3;
+// Number of jobs failed by a machine and succeeding elsewhere that make the machine count as faulty.
+constexpr std::size_t kJobsToBlameMachine = 2;
+// With two entries, at least one differs from any given machine.
+constexpr std::size_t kMaxSuccessMachines = 2;
+// A run counts as a success if it lasts this many times as long as the longest failed run.
+constexpr int kSustainedRunFactor = 2;
+// Time in which a failure is usually attributed: by then the job has kept running elsewhere, or failed.
+constexpr Duration kAttributionTime{15'000};
+// How long an attributed failure counts against a machine that completes nothing.
+constexpr Duration kAttributionLifetime{600'000};
 
 }  // namespace
 
 bool FailureAttribution::failsEverywhere(const JobRecord& record) {
-  if (record.worksOn.empty()) return record.failedOn.size() >= kMachinesToBlameJob;
+  if (record.succeededOn.empty()) return record.failedOn.size() >= kMachinesToBlameJob;
   return std::any_of(record.byTask.begin(), record.byTask.end(),
                      [](const auto& task) { return task.second.size() >= kMachinesToBlameJob; });
 }
@@ -28,101 +34,102 @@
 std::optional<Duration> FailureAttribution::recordFailure(const TaskId& task, const MachineId& machine,
                                                           Duration ranFor, std::size_t machines, Time now) {
   auto& record = jobs_[task.job];
-  // Many tasks that one machine fails together count once.
-  bool another = record.failedOn.insert_or_assign(machine, now).second;
+  // Several tasks that fail together on one machine count as one failure.
+  bool newMachine = record.failedOn.insert_or_assign(machine, now).second;
   record.byTask[task.index].insert(machine);
-  record.worksOn.erase(machine);
-  record.longestRun = std::max(record.longestRun, ranFor);
-  if (another || record.failedOn.size() >= machines) ++record.failuresInARow;
+  record.succeededOn.erase(machine);
+  record.longestFailedRun = std::max(record.longestFailedRun, ranFor);
+  if (newMachine || record.failedOn.size() >= machines) ++record.consecutiveFailures;
   lastFailure_[machine] = now;
-  settle(task.job, record, now);
-  if (record.failuresInARow < kFailuresToBackOff) return std::nullopt;
-  auto doublings = std::min(record.failuresInARow - kFailuresToBackOff, kMostDoublings);
-  return std::min(kFirstBackOff * (1 << doublings), kLongestBackOff);
+  updateAttribution(task.job, record, now);
+  if (record.consecutiveFailures < kFailuresBeforeBackoff) return std::nullopt;
+  auto doublings = std::min(record.consecutiveFailures - kFailuresBeforeBackoff, kMaxBackoffDoublings);
+  return std::min(kInitialBackoff * (1 << doublings), kMaxBackoff);
 }
 
 void FailureAttribution::recordCompletion(const JobId& job, const MachineId& machine, Time now) {
-  blame_.erase(machine);
+  attributedFailures_.erase(machine);
   lastFailure_.erase(machine);
-  works(job, machine, now);
+  recordSuccess(job, machine, now);
 }
 
 void FailureAttribution::recordSustainedRun(const JobId& job, const MachineId& machine, Time now) {
-  works(job, machine, now);
+  recordSuccess(job, machine, now);
 }
 
-void FailureAttribution::works(const JobId& job, const MachineId& machine, Time now) {
+void FailureAttribution::recordSuccess(const JobId& job, const MachineId& machine, Time now) {
   auto& record = jobs_[job];
-  record.failuresInARow = 0;
-  if (record.worksOn.size() < kWorkingMachinesKept) record.worksOn.insert(machine);
-  if (!record.failedOn.empty()) settle(job, record, now);
+  record.consecutiveFailures = 0;
+  if (record.succeededOn.size() < kMaxSuccessMachines) record.succeededOn.insert(machine);
+  if (!record.failedOn.empty()) updateAttribution(job, record, now);
 }
 
-// Decides anew whom the job's failures count against.
-void FailureAttribution::settle(const JobId& job, const JobRecord& record, Time now) {
+// Re-evaluates whether the failures of the job are attributed to the machines that failed it.
+void FailureAttribution::updateAttribution(const JobId& job, const JobRecord& record, Time now) {
   for (const auto& failure : record.failedOn) {
     const MachineId& machine = failure.first;
-    bool worksElsewhere = std::any_of(record.worksOn.begin(), record.worksOn.end(),
-                                      [&](const MachineId& other) { return other != machine; });
-    if (worksElsewhere && !failsEverywhere(record))
-      blame_[machine].try_emplace(job, now);
-    else if (auto blamed = blame_.find(machine); blamed != blame_.end())
-      blamed->second.erase(job);
+    bool succeedsElsewhere = std::any_of(record.succeededOn.begin(), record.succeededOn.end(),
+                                         [&](const MachineId& other) { return other != machine; });
+    if (succeedsElsewhere && !failsEverywhere(record))
+      attributedFailures_[machine].try_emplace(job, now);
+    else if (auto attributed = attributedFailures_.find(machine); attributed != attributedFailures_.end())
+      attributed->second.erase(job);
   }
 }
 
 std::vector<JobId> FailureAttribution::unattributedJobs() const {
-  std::vector<JobId> out;
+  std::vector<JobId> jobs;
   for (const auto& [id, record] : jobs_)
-    if (!record.failedOn.empty() && record.worksOn.empty()) out.push_back(id);
-  return out;
+    if (!record.failedOn.empty() && record.succeededOn.empty()) jobs.push_back(id);
+  return jobs;
 }
 
 Duration FailureAttribution::sustainedRunThreshold(const JobId& job) const {
   const auto* record = find(job);
-  return (record ? kLongerThanFailed * record->longestRun : Duration{}) + 2 * reportInterval_;
+  return (record ? kSustainedRunFactor * record->longestFailedRun : Duration{}) + 2 * reportInterval_;
 }
 
 bool FailureAttribution::isSuspect(const JobId& job) const {
   const auto* record = find(job);
-  return record && record->worksOn.empty() && record->failuresInARow >= kFailuresToBackOff;
+  return record && record->succeededOn.empty() && record->consecutiveFailures >= kFailuresBeforeBackoff;
 }
 
 bool FailureAttribution::shouldAvoid(const JobId& job, const MachineId& machine, std::size_t machines,
                                      Time now) const {
   const auto* record = find(job);
   if (!record || record->failedOn.size() >= machines) return false;
-  auto recordFailure = record->failedOn.find(machine);
-  return recordFailure != record->failedOn.end() && now - recordFailure->second <= kKeepsOff;
+  auto failure = record->failedOn.find(machine);
+  return failure != record->failedOn.end() && now - failure->second <= kAvoidanceTime;
 }
 
 std::vector<MachineId> FailureAttribution::faultyMachines(const JobId& job, Time now) const {
-  std::vector<MachineId> out;
+  std::vector<MachineId> machines;
   const auto* record = find(job);
-  if (!record) return out;
+  if (!record) return machines;
   for (const auto& [machine, _] : record->failedOn) {
-    auto blamed = blame_.find(machine);
-    if (blamed == blame_.end()) continue;
-    auto recent = std::count_if(blamed->second.begin(), blamed->second.end(),
-                                [&](const auto& entry) { return now - entry.second <= kBlameKept; });
-    if (static_cast<std::size_t>(recent) >= kJobsToBlameMachine) out.push_back(machine);
+    auto attributed = attributedFailures_.find(machine);
+    if (attributed == attributedFailures_.end()) continue;
+    auto recent = std::count_if(attributed->second.begin(), attributed->second.end(), [&](const auto& entry) {
+      return now - entry.second <= kAttributionLifetime;
+    });
+    if (static_cast<std::size_t>(recent) >= kJobsToBlameMachine) machines.push_back(machine);
   }
-  return out;
+  return machines;
 }
 
 void FailureAttribution::forget(const JobId& job) { jobs_.erase(job); }
 
 bool FailureAttribution::hasUnattributedFailure(const MachineId& machine, Time now) const {
-  auto recordFailure = lastFailure_.find(machine);
-  return recordFailure != lastFailure_.end() && now - recordFailure->second <= kSettlesWithin;
+  auto failure = lastFailure_.find(machine);
+  return failure != lastFailure_.end() && now - failure->second <= kAttributionTime;
 }
 
 void FailureAttribution::forget(const MachineId& machine) {
-  blame_.erase(machine);
+  attributedFailures_.erase(machine);
   lastFailure_.erase(machine);
   for (auto& [_, record] : jobs_) {
     record.failedOn.erase(machine);
-    record.worksOn.erase(machine);
+    record.succeededOn.erase(machine);
   }
 }
 
--- a/src/scheduler/failure_attribution.h
+++ b/src/scheduler/failure_attribution.h
@@ -1,11 +1,10 @@
-// Tells faultyMachines machines from jobs submitted with a mistake. No I/O and no clock of its own.
+// Attributes task failures to faulty machines or to faulty jobs. Does no I/O and reads no clock.
 //
-// A recordFailure task alone tells nothing: its machine may be faultyMachines, or its job may fail
-// everywhere. What decides is contrast. The failure counts against the machine once another machine has
-// worked with the same job: recordCompletion a task of it, or kept one running for well longer than the
-// recordFailure one lasted. It counts against the job once the job recordFailure on several machines and
-// worked on none, or once one task of it did. Until then the job keeps off that machine, and the machine
-// keeps working.
+// A single failed task is inconclusive: its machine may be faulty, or its job may fail everywhere. A failure
+// is attributed to the machine once the job has succeeded on another machine, which completed a task of it or
+// kept one running for well longer than the failed one lasted. It is attributed to the job once the job
+// failed on several machines and succeeded on none, or once a single task of it failed on several. Until then
+// the job avoids that machine, and the machine stays in service.
 #pragma once
 
 #include <map>
@@ -21,28 +20,29 @@
  public:
   explicit FailureAttribution(Duration reportInterval) : reportInterval_(reportInterval) {}
 
-  // A task recordFailure after it had run for so long. Returns how long its job should wait before the next
-  // try, if it should; machines is how many there are to try.
+  // Records that a task failed after running for `ranFor`. Returns the delay before its job should be
+  // retried, or nullopt for none. `machines` is the number of machines available to try.
   std::optional<Duration> recordFailure(const TaskId& task, const MachineId& machine, Duration ranFor,
                                         std::size_t machines, Time now);
-  // The machine recordCompletion a task of the job.
+  // Records that the machine completed a task of the job.
   void recordCompletion(const JobId& job, const MachineId& machine, Time now);
-  // The machine has kept a task of the job running for at least sustainedRunThreshold().
+  // Records that the machine has kept a task of the job running for at least sustainedRunThreshold().
   void recordSustainedRun(const JobId& job, const MachineId& machine, Time now);
 
-  // Jobs whose failures no machine's success contrasts with yet.
+  // Jobs that failed and have not yet succeeded on any machine.
   std::vector<JobId> unattributedJobs() const;
-  // For how long a task of the job must run to show that the job works.
+  // How long a task of the job must run to count as a success of the job.
   Duration sustainedRunThreshold(const JobId& job) const;
-  // It recordFailure several times in a row and never worked: one task of it at a time is enough to try.
+  // The job failed several times in a row and succeeded on no machine: only one task of it should be tried at
+  // a time.
   bool isSuspect(const JobId& job) const;
-  // It should rather be tried on other machines.
+  // The job should preferably be tried on other machines.
   bool shouldAvoid(const JobId& job, const MachineId& machine, std::size_t machines, Time now) const;
-  // Machines that recordFailure this job and, of late, enough jobs that work elsewhere.
+  // Machines that failed this job and have recently failed enough jobs that succeed elsewhere.
   std::vector<MachineId> faultyMachines(const JobId& job, Time now) const;
 
-  // The machine has just recordFailure a task and recordCompletion none since: whose fault that was may be
-  // known soon, and by its present owner only.
+  // The machine has recently failed a task and completed none since. The failure may be attributed soon, but
+  // only by the machine's current owner.
   bool hasUnattributedFailure(const MachineId& machine, Time now) const;
 
   void forget(const JobId& job);
@@ -50,23 +50,23 @@
 
  private:
   struct JobRecord {
-    std::map<MachineId, Time> failedOn;                   // and when it last did
-    std::map<std::uint32_t, std::set<MachineId>> byTask;  // where each of its tasks recordFailure
-    std::set<MachineId> worksOn;                          // two of them are enough to have one elsewhere
-    Duration longestRun{};                                // of its recordFailure tasks
-    unsigned failuresInARow = 0;
+    std::map<MachineId, Time> failedOn;                   // with the time of the last failure
+    std::map<std::uint32_t, std::set<MachineId>> byTask;  // machines on which each task failed
+    std::set<MachineId> succeededOn;                      // at most kMaxSuccessMachines
+    Duration longestFailedRun{};
+    unsigned consecutiveFailures = 0;
   };
   const JobRecord* find(const JobId& job) const;
-  void works(const JobId& job, const MachineId& machine, Time now);
+  void recordSuccess(const JobId& job, const MachineId& machine, Time now);
   static bool failsEverywhere(const JobRecord& record);
-  void settle(const JobId& job, const JobRecord& record, Time now);
+  void updateAttribution(const JobId& job, const JobRecord& record, Time now);
 
   Duration reportInterval_;
   std::map<JobId, JobRecord> jobs_;
-  // Jobs whose failures count against a machine, and since when. They outlast the jobs: small ones are soon
-  // over.
-  std::map<MachineId, std::map<JobId, Time>> blame_;
-  std::map<MachineId, Time> lastFailure_;  // of machines that recordCompletion nothing since
+  // Jobs whose failures are attributed to a machine, with the time of the attribution. Entries outlive their
+  // jobs, as small jobs end before enough failures have accumulated.
+  std::map<MachineId, std::map<JobId, Time>> attributedFailures_;
+  std::map<MachineId, Time> lastFailure_;  // of machines that have completed no task since
 };
 
 }  // namespace cherryloft
--- a/src/scheduler/task_failures.cpp
+++ b/src/scheduler/task_failures.cpp
@@ -1,4 +1,4 @@
-// Tasks that ended, and what recordFailure ones say of their machine and of their job.
+// Handling of task exits, and attribution of task failures to machines or jobs.
 #include "scheduler/shard_scheduler.h"
 
 namespace cherryloft {
@@ -6,11 +6,11 @@
 using wire::ExitCause;
 using wire::TaskPhase;
 
-constexpr Duration kReviewFailuresEvery{1'000};
-// Before a job is tried again whose task its machine refused ...
-constexpr Duration kRetryAfterRefusal{500};
-// ... or whose task ended for no known cause.
-constexpr Duration kRetryAfterUnknownEnd{1'000};
+constexpr Duration kFailureReviewInterval{1'000};
+// Delay before the next attempt of a job after a machine refused a task of it.
+constexpr Duration kRetryDelayAfterRefusal{500};
+// The same after a task of it exited for an unknown cause.
+constexpr Duration kRetryDelayAfterUnknownExit{1'000};
 }  // namespace
 
 void ShardScheduler::handleTaskExit(Machine& machine, const wire::ReportedTask& reported) {
@@ -43,21 +43,21 @@
   bool ran = placement.shown && placement.phase == TaskPhase::Running;
   auto ranFor = ran ? now - placement.runningSince : Duration{};
   state_.markGone(machine, reported.task, now);
-  log_->debug("task ended without success task={} machine={} cause={}", wire::encodeTask(reported.task),
-              machine.id.value, static_cast<int>(reported.cause));
+  log_->debug("task failed: task={} machine={} cause={}", wire::encodeTask(reported.task), machine.id.value,
+              static_cast<int>(reported.cause));
   switch (reported.cause) {
     case ExitCause::Error:
-      if (auto wait =
+      if (auto backoff =
               failures_.recordFailure(reported.task, machine.id, ranFor, state_.machines().size(), now))
-        job.notBefore = now + *wait;
+        job.notBefore = now + *backoff;
       quarantineFaultyMachines(job.id);
       break;
     case ExitCause::NoRoom:
     case ExitCause::Busy:
-      job.notBefore = now + kRetryAfterRefusal;
+      job.notBefore = now + kRetryDelayAfterRefusal;
       break;
     case ExitCause::Unknown:
-      job.notBefore = now + kRetryAfterUnknownEnd;
+      job.notBefore = now + kRetryDelayAfterUnknownExit;
       break;
     default:
       break;
@@ -68,21 +68,21 @@
   removeJobIfEnded(job);
 }
 
-// Machines whose failures of the job, beside its success elsewhere, show that the fault is theirs.
+// Decommissions the machines to which failures of the job and of other jobs are attributed.
 void ShardScheduler::quarantineFaultyMachines(const JobId& job) {
   for (const auto& id : failures_.faultyMachines(job, runtime_.now())) {
     Machine* machine = state_.machine(id);
     if (!machine || machine->decommissioning) continue;
-    log_->info("machine quarantined: fails jobs that work elsewhere machine={}", id.value);
+    log_->info("machine quarantined: fails jobs that succeed elsewhere machine={}", id.value);
     decommission(*machine, kMoveToCloud);
     ++latencies_.counts.quarantined;
   }
 }
 
-// A task that has run on for longer than another of its job lasted before it recordFailure shows that the job
-// works.
+// Checks each job with unattributed failures for a task that has kept running for well longer than the failed
+// ones, which counts as a success of the job.
 void ShardScheduler::reviewFailures(Time now) {
-  if (now - failuresReviewed_ < kReviewFailuresEvery) return;
+  if (now - failuresReviewed_ < kFailureReviewInterval) return;
   failuresReviewed_ = now;
   for (const auto& id : failures_.unattributedJobs()) {
     const Job* job = state_.job(id);
@@ -95,15 +95,15 @@
   }
 }
 
-// One that has kept a task of the job running for long enough, and was heard of late.
+// A machine that has kept a task of the job running for long enough and whose heartbeat is not overdue.
 const Machine* ShardScheduler::findMachineRunningJob(const Job& job, Time now) const {
-  auto longEnough = failures_.sustainedRunThreshold(job.id);
+  auto threshold = failures_.sustainedRunThreshold(job.id);
   for (std::uint32_t index = 0; index < job.tasks.size(); ++index) {
     const Machine* machine = job.tasks[index].machine;
     if (!machine) continue;
     const auto& placement = machine->placements.at({job.id, index});
     bool running = placement.shown && placement.phase == TaskPhase::Running;
-    if (!running || now - placement.runningSince < longEnough) continue;
+    if (!running || now - placement.runningSince < threshold) continue;
     if (timeSinceHeartbeat(*machine) <= heartbeatDueAfter()) return machine;
   }
   return nullptr;
