--- a/src/scheduler/commands.cpp
+++ b/src/scheduler/commands.cpp
@@ -1,5 +1,5 @@
-// Commands to workers: which ones are due, and how they go out, in answers to heartbeats and in calls of
-// their own.
+// Commands to workers: which commands are due, and how they are sent, either in heartbeat answers or as
+// direct requests.
 #include <algorithm>
 #include <optional>
 #include <utility>
@@ -13,16 +13,22 @@
 using wire::TaskPhase;
 
 constexpr Duration kDirectCommandTimeout{2'000};
-// How long no further direct command goes to a machine after one ...
-constexpr Duration kBackoffUnanswered{2'000};        // ... whose fate is unknown
-constexpr Duration kBackoffUnreachable{10'000};      // ... if only its heartbeats get through
-constexpr Duration kBackoffNotSent{1'000};           // ... that was not sent
-constexpr Duration kStopRetryInterval{1'500};        // of direct commands; answers repeat a stop each time
-constexpr double kCheckpointGraceMarginSeconds = 1;  // what a checkpoint may take longer than its job says
-constexpr double kCheckpointSlackSeconds = 5;        // beyond twice the time that a checkpoint takes
-constexpr std::size_t kMaxCommands = 300;            // keeps an answer's line under 64 KiB
-constexpr std::size_t kMaxProbesInFlight = 64;       // the answers to heartbeats that come meanwhile go first
-// Sockets are kept for a third of what a controller may have to command at once: all shards may be its own.
+// Delays before the next direct command to a machine, after one that was ...
+constexpr Duration kBackoffUnanswered{2'000};  // ... sent but not answered, so that its effect is unknown
+constexpr Duration kBackoffUnreachable{
+    10'000};                                   // ... the same, and only the machine's heartbeats get through
+constexpr Duration kBackoffNotSent{1'000};     // ... not sent
+constexpr Duration kStopRetryInterval{1'500};  // of direct commands; every heartbeat answer repeats a stop
+// How much longer than its job specifies a checkpoint may take.
+constexpr double kCheckpointGraceMarginSeconds = 1;
+// Added to twice the job's checkpoint time to get the time after which a stop no longer waits for a
+// checkpoint.
+constexpr double kCheckpointSlackSeconds = 5;
+constexpr std::size_t kMaxCommands = 300;  // keeps a heartbeat answer under 64 KiB
+// Limits probes in flight so that heartbeat answers are not delayed.
+constexpr std::size_t kMaxProbesInFlight = 64;
+// Allows one direct command in flight for each so many of the controller's pooled sockets. That limit is
+// shared by all shards, as one controller may own all of them.
 constexpr std::size_t kKeptSocketsPerCommand = 2;
 constexpr std::size_t kMinDirectCommandsInFlight = 8;
 
@@ -34,11 +40,12 @@
   }
 }
 
-// The committed state allows the task to run.
+// Whether the committed state allows the task to run.
 bool mayStart(const Job& job) {
-  // Perhaps its end is committed, without an answer to us, and told by a sibling (invariant 8).
+  // The job's end may have been committed without our receiving the answer, and a sibling may already have
+  // reported it to users (invariant 8).
   if (!job.open()) return false;
-  // No member of a gang starts before the attempts of all are written.
+  // No member of a gang starts before the attempts of all members are committed.
   return !job.isGang() || job.allCommitted();
 }
 
@@ -53,11 +60,11 @@
 // --- which commands are due ---
 
 void ShardScheduler::addCommands(std::vector<Command>& list, std::vector<Command> more) {
-  std::set<TaskAttempt> named;
-  for (const auto& command : list) named.insert({command.task, command.attempt});
+  std::set<TaskAttempt> listed;
+  for (const auto& command : list) listed.insert({command.task, command.attempt});
   for (auto& command : more) {
-    bool alreadyNamed = named.count({command.task, command.attempt}) > 0;
-    if (!alreadyNamed) list.push_back(std::move(command));
+    bool alreadyListed = listed.count({command.task, command.attempt}) > 0;
+    if (!alreadyListed) list.push_back(std::move(command));
   }
 }
 
@@ -66,7 +73,7 @@
   return seconds(2 * job.spec->checkpointSeconds + kCheckpointSlackSeconds + waitForPeers);
 }
 
-// A cancelled job's work is of no use to anyone, and nothing saves for ever.
+// The progress of a cancelled job need not be saved, and the time for a checkpoint is limited.
 bool ShardScheduler::mayCheckpoint(const Placement& placement, Time now) const {
   const Job& job = *placement.job;
   if (job.spec->checkpointIntervalSeconds <= 0 || !job.open() || placement.skipCheckpoint) return false;
@@ -89,7 +96,7 @@
   for (auto& [task, placement] : machine.placements) {
     if (commands.size() >= kMaxCommands) break;
     if (placement.awaitsStart()) {
-      // A direct command may be about to start it.
+      // A direct command in flight may already carry the start.
       if (machine.commandInFlight || !mayStart(*placement.job)) continue;
       commands.push_back(startCommand(task, placement));
       placement.startSent = true;
@@ -123,7 +130,7 @@
 }
 
 void ShardScheduler::addCommandsForUnknownTasks(Machine& machine, std::vector<Command>& commands) {
-  // By then no copy of their start can still arrive (invariant 3).
+  // Workers may forget exited tasks once no duplicate of their start command can arrive (invariant 3).
   bool mayForget = machine.noCommandInDoubt() && !machine.commandInFlight;
   for (const auto& reported : machine.reported) {
     if (commands.size() >= kMaxCommands) return;
@@ -135,7 +142,7 @@
   }
 }
 
-// Done is committed before the last trace of it is forgotten (invariant 8).
+// A task's completion must be committed before the worker is told to forget the task (invariant 8).
 bool ShardScheduler::isCompletionUncommitted(const TaskId& id) {
   const Job* job = state_.job(id.job);
   if (!job || id.index >= job->tasks.size()) return false;
@@ -174,7 +181,7 @@
                 }));
 }
 
-// Without commands to send, a machine that was not heard, or not of late, is asked for a heartbeat.
+// If there are no commands to send, a machine without a recent heartbeat is probed for one.
 bool ShardScheduler::probeDue(const Machine& machine) const {
   return !machine.heard || heartbeatOverdue(machine) || machine.sendAgain;
 }
@@ -196,7 +203,7 @@
   Machine* machine = state_.machine(id);
   if (!machine) return;
   machine->commandInFlight = false;
-  // 409: the worker refused the command, as it knows a higher token or has another incarnation.
+  // 409: the worker rejected the command because it has seen a higher token or has another incarnation.
   bool answered = result.answered(200) || result.answered(409);
   auto heartbeat = answered ? wire::parseHeartbeat(result.response.body) : std::nullopt;
   if (heartbeat && heartbeat->machine == id)
@@ -207,18 +214,18 @@
 
 void ShardScheduler::handleCommandAnswered(Machine& machine, const DirectCommand& sent,
                                            const wire::WorkerHeartbeat& heartbeat) {
-  if (machine.fence.supersededBy(heartbeat)) return;  // its heartbeats will say so
+  if (machine.fence.supersededBy(heartbeat)) return;  // handled when its next heartbeat arrives
   machine.unansweredProbes = 0;
   bool olderThanSent = positionOf(heartbeat) <= sent.latestHeartbeat;
   if (olderThanSent || machine.fence.isExpired(heartbeat.incarnation))
     handleWorkerRestart(machine, heartbeat);
   auto id = machine.id;
   reconcile(machine, heartbeat, HeartbeatSource::DirectAnswer);
-  Machine* present = state_.machine(id);
-  if (!present) return;
-  // The first command could not know the incarnation.
+  Machine* current = state_.machine(id);  // reconcile() may have removed it
+  if (!current) return;
+  // The first command to a machine is sent without knowing its incarnation.
   bool wrongIncarnation = heartbeat.incarnation != sent.incarnation;
-  if (wrongIncarnation || present->sendAgain) sendCommands(*present);
+  if (wrongIncarnation || current->sendAgain) sendCommands(*current);
 }
 
 void ShardScheduler::handleCommandUnanswered(Machine& machine, const DirectCommand& sent,
@@ -231,24 +238,25 @@
     machine.sendNotBefore = now + kBackoffNotSent;
     return;
   }
-  // It may be executed minutes later. The advanced token shuts it out once the worker has seen it (invariant
-  // 3).
+  // The command may be executed minutes later, unless the worker has seen the advanced token by then
+  // (invariant 3).
   log_->debug("command unanswered: machine={} in_a_row={}", machine.id.value, machine.unansweredProbes);
   machine.fence.recordUnansweredCommand(sent.token);
   machine.contactDue = true;
-  // Where only its heartbeats get through, commands go in their answers: each lost command would shut it out
-  // of new work until it has acknowledged the advanced token.
+  // If only its heartbeats get through, commands are sent in their answers: each lost direct command would
+  // exclude the machine from new work until it has acknowledged the advanced token.
   bool onlyHeartbeatsArrive = unreachable && now - machine.lastHeard < heartbeatDueAfter();
   machine.sendNotBefore = now + (onlyHeartbeatsArrive ? kBackoffUnreachable : kBackoffUnanswered);
   markTokenUnacknowledged(machine);
   state_.reindex(machine);
 }
 
-// Perhaps only we can't reach it: then its heartbeats are relayed, and it is not to be given up.
+// The machine may be unreachable only from this controller. Then peers relay its heartbeats, and it must not
+// be returned to the cloud.
 void ShardScheduler::probeThroughPeers(const Machine& machine) {
   callbacks_.probe(machine.address,
-                   guarded([this, id = machine.id, asked = machine.fence.latestPosition()](
-                               const std::string& body) { handlePeerProbe(id, asked, body); }));
+                   guarded([this, id = machine.id, latest = machine.fence.latestPosition()](
+                               const std::string& body) { handlePeerProbe(id, latest, body); }));
 }
 
 void ShardScheduler::handlePeerProbe(const MachineId& id, const HeartbeatPosition& latestWhenAsked,
--- a/src/scheduler/heartbeats.cpp
+++ b/src/scheduler/heartbeats.cpp
@@ -1,4 +1,4 @@
-// Heartbeats of workers: how they are answered, and how the shard state is reconciled with what they show.
+// Handling of worker heartbeats: answering them, and reconciling the shard state with what they report.
 #include <algorithm>
 #include <utility>
 
@@ -11,41 +11,42 @@
 using wire::TaskPhase;
 
 constexpr int kHttpOk = 200;
-constexpr int kHttpMisdirected = 421;  // the worker turns to another controller
+constexpr int kHttpMisdirected = 421;  // makes the worker switch to another controller
 constexpr int kHttpUnavailable = 503;
 
-// Heartbeats in a row that lack what an answer should have started: one lost answer is bad luck, two show
-// that answers do not arrive.
+// Consecutive heartbeats without a task that an earlier answer should have started: one lost answer can
+// happen by chance, two indicate that answers do not arrive.
 constexpr unsigned kMissedStartsToAdvanceToken = 2;
-// What a worker's clock may lag behind ours, and what an answer takes to reach it.
+// Margins for the rate by which a worker's clock may be slower than ours and for the latency of an answer.
 constexpr double kLeaseClockDrift = 1.002;
 constexpr double kLeaseMarginSeconds = 1.0;
 
-// The worker would list the task by now if the answer that carried its start had arrived; even a start that
-// it refuses shows.
+// The worker would list the task if the answer with its start command had arrived; it lists even tasks that
+// it refused to start.
 bool startMissed(const Placement& placement, const wire::WorkerHeartbeat& heartbeat) {
   bool answerCarriedStart = placement.startSentWith.value > 0;
   return placement.wanted && !placement.shown && answerCarriedStart &&
          heartbeat.sequence > placement.startSentWith;
 }
 
-// A start of the task may still reach the worker after it sent this heartbeat (invariants 3 and 4).
+// A start command for the task may still have reached the worker after it sent this heartbeat (invariants 3
+// and 4).
 bool startMayArrive(const Machine& machine, const Placement& placement,
                     const wire::WorkerHeartbeat& heartbeat, HeartbeatSource source) {
   return machine.commandInFlight || !machine.noCommandInDoubt() || source == HeartbeatSource::DirectAnswer ||
          heartbeat.sequence <= placement.startSentWith;
 }
 
-// The heartbeat lacks the task: whether that proves that the task is gone (invariant 2).
+// Whether the absence of the task from the heartbeat proves that it is not on the machine (invariant 2).
 bool absenceProvesGone(const Machine& machine, const Placement& placement,
                        const wire::WorkerHeartbeat& heartbeat, HeartbeatSource source) {
   if (placement.shown) return true;
-  // No start of a former owner can act under our token.
+  // A former owner's start command has no effect once the worker has seen our token.
   if (placement.restored && !placement.startSent) return true;
   return placement.startSent && !placement.wanted && !startMayArrive(machine, placement, heartbeat, source);
 }
 
-// The task ends by itself before the cloud takes the machine.
+// The task is expected to complete before the cloud reclaims the machine.
 bool endsWithin(const Placement& placement, double secondsLeft, Time now) {
   const auto& spec = *placement.job->spec;
   bool running = placement.shown && placement.phase == TaskPhase::Running;
@@ -65,7 +66,7 @@
   Machine* machine = state_.machine(heartbeat.machine);
   if (!machine) return {kHttpUnavailable, R"({"error":"unknown machine"})"};
   if (machine->fence.supersededBy(heartbeat)) {
-    // Invariant 5: somebody else has the right to this machine now.
+    // Invariant 5: another controller owns this machine now.
     log_->info("machine has a later owner: machine={} token={}", heartbeat.machine.value,
                heartbeat.token.value);
     return {kHttpMisdirected, "{}"};
@@ -73,19 +74,20 @@
   auto result = reconcile(*machine, heartbeat, HeartbeatSource::WorkerReport);
   machine = state_.machine(heartbeat.machine);
   if (!machine) return {kHttpUnavailable, R"({"error":"unknown machine"})"};
-  // Until it has acknowledged our token, a former owner may be answering it as well (invariant 6).
+  // Until the worker has acknowledged our token, a former owner may be answering it as well (invariant 6).
   if (!machine->heard) machine->aliveUntil = std::max(machine->aliveUntil, now + maxLeaseAfterAnswer());
-  // What is cancelled ends with every answer: its lease must not go on without (invariant 16).
+  // Every answer stops cancelled tasks, as it renews the lease under which they run (invariant 16).
   auto commands = view_.stopCommandsForCancelled(heartbeat);
-  // A late copy gets no other commands: whoever waits for its answer, the present machine does not (invariant
+  // A delayed duplicate gets no other commands, as the current worker does not wait for its answer (invariant
   // 12).
   if (owns() && result == ReconcileResult::Accepted)
     addCommands(commands, commandsInAnswer(*machine, heartbeat));
   return {kHttpOk, wire::encodeHeartbeatAnswer(machine->token(), commands)};
 }
 
-// The worker's lease must not run out while we load; build() counts the time from its own, later, moment.
-// What the former owner cancelled may be unknown to us, for so long only (invariant 16).
+// Keeps the worker's lease alive while the shard is loading; build() computes the lease from its own, later
+// time. Cancellations by the former owner may be unknown here, so this is allowed for a limited time only
+// (invariant 16).
 ShardScheduler::HeartbeatAnswer ShardScheduler::answerWhileLoading(
     const wire::WorkerHeartbeat& heartbeat) const {
   if (runtime_.now() >= store_.currentAsOf(keys::kJobs) + settings_.blindFor())
@@ -111,8 +113,8 @@
     return ReconcileResult::Ignored;
   }
   if (!machine.fence.isNewer(heartbeat)) {
-    // It is late, or a copy of the former worker's (invariants 4 and 12). Or the machine's worker restarted
-    // and counts from one again: its own answer to a question tells.
+    // It is delayed, or a duplicate of an earlier worker's heartbeat (invariants 4 and 12). Or the worker
+    // restarted and counts from one again, which its answer to a probe shows.
     if (machine.fence.carriesLowerToken(heartbeat) && source == HeartbeatSource::WorkerReport) {
       machine.sendAgain = true;
       machine.contactDue = true;
@@ -120,9 +122,9 @@
     return ReconcileResult::Ignored;
   }
   auto change = acceptHeartbeat(machine, heartbeat, source);
-  bool nothingNew =
+  bool unchanged =
       !change.any() && !machine.contactDue && heartbeat.tasks == machine.reported && !heartbeat.reclaimInS;
-  if (nothingNew) {
+  if (unchanged) {
     state_.reindex(machine);
     bool hasFreeCores = machine.indexedFree && *machine.indexedFree > 0;
     if (hasFreeCores) requestRound(false, &machine.id);
@@ -143,8 +145,8 @@
   return ReconcileResult::Accepted;
 }
 
-// A heartbeat without our token may be a copy from any time before: nothing in it is the present but that
-// what is done is done (invariant 12). The incarnation it names is tried in commands.
+// A heartbeat without our token may be a duplicate of any earlier one. Only task completions are taken from
+// it, as they are final (invariant 12). The next commands are addressed to the incarnation that it names.
 void ShardScheduler::reconcileUnverified(Machine& machine, const wire::WorkerHeartbeat& heartbeat,
                                          HeartbeatSource source) {
   machine.fence.raiseExpectedIncarnation(heartbeat.incarnation);
@@ -158,7 +160,7 @@
   requestRound(false);
 }
 
-// Takes over what the heartbeat says of the worker itself, and prolongs its lease.
+// Applies what the heartbeat reports about the worker itself, and extends its lease.
 ShardScheduler::MachineChange ShardScheduler::acceptHeartbeat(Machine& machine,
                                                               const wire::WorkerHeartbeat& heartbeat,
                                                               HeartbeatSource source) {
@@ -172,7 +174,8 @@
   machine.aliveUntil = now + maxLeaseAfterAnswer();
   change.cordonLifted = std::exchange(machine.cordoned, false);
   change.firstHeartbeat = !machine.heard;
-  // It lost its lease although it was answered. It gets new work once it shows that it hears us.
+  // The worker lost its lease although its heartbeats were answered, so it gets new work only after it has
+  // acknowledged a higher token.
   bool lostAnsweredLease =
       !change.firstHeartbeat && change.newIncarnation && source == HeartbeatSource::WorkerReport;
   if (lostAnsweredLease) machine.fence.advanceToken();
@@ -183,7 +186,7 @@
   return change;
 }
 
-// Placements that the heartbeat lists: their phases, and their ends.
+// Updates the placements that the heartbeat lists: phase changes and exits.
 void ShardScheduler::reconcileReportedTasks(Machine& machine, const wire::WorkerHeartbeat& heartbeat) {
   auto now = runtime_.now();
   for (const auto& reported : heartbeat.tasks) {
@@ -200,15 +203,16 @@
   }
 }
 
-// Placements that the heartbeat does not list: which of them are known gone (invariants 2, 3 and 4).
+// Removes the placements that the heartbeat does not list, where that proves that they are gone (invariants
+// 2, 3 and 4).
 void ShardScheduler::reconcileMissingTasks(Machine& machine, const wire::WorkerHeartbeat& heartbeat,
                                            HeartbeatSource source) {
-  std::set<TaskAttempt> present;
-  for (const auto& reported : heartbeat.tasks) present.insert({reported.task, reported.attempt});
+  std::set<TaskAttempt> listedAttempts;
+  for (const auto& reported : heartbeat.tasks) listedAttempts.insert({reported.task, reported.attempt});
   std::vector<TaskId> lostTasks;
   bool missed = false;
   for (const auto& [task, placement] : machine.placements) {
-    bool listed = present.count({task, placement.attempt}) > 0;
+    bool listed = listedAttempts.count({task, placement.attempt}) > 0;
     if (listed || !placement.committed) continue;
     if (source == HeartbeatSource::WorkerReport && startMissed(placement, heartbeat)) missed = true;
     if (absenceProvesGone(machine, placement, heartbeat, source)) lostTasks.push_back(task);
@@ -217,7 +221,8 @@
   handleTasksLost(machine, lostTasks);
 }
 
-// Once a start was missed too often, the machine must show a higher token before it gets more (invariant 11).
+// After too many missed starts, the machine must acknowledge a higher token before it gets more work
+// (invariant 11).
 void ShardScheduler::countMissedStart(Machine& machine, bool missed) {
   machine.missedStarts = missed ? machine.missedStarts + 1 : 0;
   if (machine.missedStarts < kMissedStartsToAdvanceToken || !machine.noCommandInDoubt()) return;
@@ -225,16 +230,16 @@
   markTokenUnacknowledged(machine);
 }
 
-// Heartbeats come, but they do not show that our answers arrive (invariant 11).
+// Heartbeats arrive, but do not show that the worker receives our answers (invariant 11).
 void ShardScheduler::markTokenUnacknowledged(Machine& machine) {
   if (!machine.tokenUnacknowledgedSince) machine.tokenUnacknowledgedSince = runtime_.now();
 }
 
 // --- incarnations ---
 
-// The machine's own answer to a question is older than what it said before the question: a new worker, that
-// counts from one again, has taken the place of the old one. What the old one held is gone with it, but
-// starts that were on their way may reach the new one, until it has seen a higher token (invariant 3).
+// The worker's answer to a direct command has a lower position than its earlier heartbeats: a new worker
+// process, which counts from one again, has replaced the old one. The old one's tasks are gone, but start
+// commands in flight may reach the new process until it has seen a higher token (invariant 3).
 void ShardScheduler::handleWorkerRestart(Machine& machine, const wire::WorkerHeartbeat& answer) {
   log_->info("worker restarted: machine={} incarnation={}", machine.id.value, answer.incarnation.value);
   machine.fence.resetForRestartedWorker(answer);
@@ -250,7 +255,7 @@
   machine.contactDue = true;
 }
 
-// The worker killed and forgot everything of the incarnation before (invariant 2).
+// The worker has killed and discarded all tasks of the previous incarnation (invariant 2).
 void ShardScheduler::beginIncarnation(Machine& machine) {
   machine.fence.clearCommandInDoubt();
   machine.reported.clear();
@@ -259,11 +264,11 @@
   }));
 }
 
-// --- tasks that are gone ---
+// --- lost tasks ---
 
 void ShardScheduler::handleTaskLost(Machine& machine, const TaskId& task) {
   auto found = machine.placements.find(task);
-  if (found == machine.placements.end()) return;  // went together with another member of its gang
+  if (found == machine.placements.end()) return;  // already removed with another member of its gang
   Job& job = *found->second.job;
   state_.markGone(machine, task, runtime_.now());
   completeGangIfDone(job);
@@ -289,7 +294,7 @@
   });
   for (const auto& task : tasksToMove) {
     auto found = machine.placements.find(task);
-    if (found == machine.placements.end()) continue;  // it went with another member of its gang
+    if (found == machine.placements.end()) continue;  // already removed with another member of its gang
     Job& job = *found->second.job;
     if (job.isGang())
       stopGang(job, job.spec->checkpointSeconds >= secondsLeft ? GangCheckpoint::Skipped
@@ -305,7 +310,7 @@
   placement.wanted = false;
   machine.contactDue = true;
   if (!placement.committed || placement.startSent || placement.restored) return;
-  handleTaskLost(machine, task);  // committed but never sent: it is nowhere
+  handleTaskLost(machine, task);  // committed but never sent, so it runs on no machine
 }
 
 }  // namespace cherryloft
--- a/src/scheduler/liveness.cpp
+++ b/src/scheduler/liveness.cpp
@@ -1,5 +1,5 @@
-// Failure detection: machines whose leases ran out, that get no new work for now, or that are suspected and
-// returned to the cloud.
+// Failure detection: expires leases, cordons machines without recent heartbeats, and returns suspected
+// machines to the cloud.
 #include <algorithm>
 
 #include "scheduler/shard_scheduler.h"
@@ -7,24 +7,28 @@
 namespace cherryloft {
 namespace {
 
-// A heartbeat may come a quarter late; one that is later still is asked for.
+// A heartbeat may be late by a quarter of the report interval; after that the machine is probed.
 constexpr double kOverdueAfterHeartbeats = 1.25;
 constexpr Duration kOverdueMargin{1'000};
-constexpr double kCordonAfterHeartbeats = 2.6;  // report intervals after which a machine gets no new work
-// A worker gives up on one controller and reports to the next.
-constexpr Duration kNextController{6'500};
-// After these a machine is suspected that we hear and that does not show that it hears us.
+constexpr double kCordonAfterHeartbeats = 2.6;  // report intervals without a heartbeat until it is cordoned
+// Time a worker may take to give up on one controller and report to the next.
+constexpr Duration kControllerFailoverTime{6'500};
+// A machine is suspected if its heartbeats do not acknowledge our token for this many report intervals plus
+// the margin.
 constexpr double kUnacknowledgedHeartbeats = 2.5;
 constexpr Duration kUnacknowledgedMargin{4'000};
-// Where more machines than this are late or suspected, the fault is likely not theirs.
-constexpr double kSuspectedFraction = 0.26;
-constexpr double kSuspectedFractionOfZone = 0.5;
-constexpr double kFewMachines = 3;  // so many are returned singly even where that is much of a small shard
+// If more than this fraction of the machines is overdue or suspected, the cause is probably not the machines
+// themselves.
+constexpr double kMassSuspicionFraction = 0.26;
+constexpr double kMassSuspicionFractionOfZone = 0.5;
+// Up to this many machines are never treated as mass suspicion, even if they are a large part of a small
+// shard.
+constexpr double kMinMassSuspicion = 3;
 
 }  // namespace
 
 bool ShardScheduler::SuspectCount::exceedsFraction(double fraction) const {
-  return static_cast<double>(overdue) > std::max(kFewMachines, fraction * static_cast<double>(machines));
+  return static_cast<double>(overdue) > std::max(kMinMassSuspicion, fraction * static_cast<double>(machines));
 }
 
 Duration ShardScheduler::timeSinceHeartbeat(const Machine& machine) const {
@@ -52,7 +56,7 @@
   if (!machine.heard || heartbeatOverdue(machine)) machine.contactDue = true;
 }
 
-// Its worker has killed all its tasks, whatever happened (invariant 2).
+// Whatever happened to the worker, it has killed all its tasks by now (invariant 2).
 void ShardScheduler::expireLease(Machine& machine) {
   log_->info("lease of machine expired: machine={} tasks={}", machine.id.value, machine.placements.size());
   machine.fence.expireIncarnation();
@@ -68,13 +72,13 @@
 bool ShardScheduler::suspected(const Machine& machine, Time now) const {
   if (machine.known.record.phase != wire::MachinePhase::InUse) return false;
   if (tokenUnacknowledgedTooLong(machine, now)) return true;
-  // One that was never heard is still booting, which the leader watches.
+  // A machine that never sent a heartbeat is still booting, which the leader monitors.
   if (!machine.heard && machine.placements.empty()) return false;
   return machine.unansweredProbes >= kUnansweredProbesToSuspect &&
-         timeSinceHeartbeat(machine) > heartbeatDueAfter() + kNextController;
+         timeSinceHeartbeat(machine) > heartbeatDueAfter() + kControllerFailoverTime;
 }
 
-// We hear it, and it does not show that it hears us (invariant 11).
+// Its heartbeats arrive, but do not show that it receives our answers (invariant 11).
 bool ShardScheduler::tokenUnacknowledgedTooLong(const Machine& machine, Time now) const {
   if (!machine.tokenUnacknowledgedSince) return false;
   auto unacknowledgedFor = now - std::max(*machine.tokenUnacknowledgedSince, resumed_);
@@ -87,8 +91,8 @@
   if (isRecent(massSuspicionAt_, now)) return;
   for (Machine* machine : survey.suspected) {
     auto zone = massSuspicionInZoneAt_.find(machine->zone());
-    bool zoneFault = zone != massSuspicionInZoneAt_.end() && isRecent(zone->second, now);
-    if (machine->returnNow || zoneFault) continue;
+    bool massSuspicionInZone = zone != massSuspicionInZoneAt_.end() && isRecent(zone->second, now);
+    if (machine->returnNow || massSuspicionInZone) continue;
     log_->info("returning suspected machine: machine={} reason={}", machine->id.value,
                machine->tokenUnacknowledgedSince ? "token_unacknowledged" : "no_heartbeat");
     machine->returnNow = true;
@@ -97,14 +101,15 @@
   }
 }
 
-// Counts all that are late, not the suspected alone: machines behind a network cut become suspected one after
-// the other, over a whole report interval, and the first must not be returned before the rest shows.
+// Counts all overdue machines, not only the suspected ones: machines behind a network partition become
+// suspected one after another, over a whole report interval, and the first must not be returned before the
+// others are noticed.
 ShardScheduler::SuspicionSurvey ShardScheduler::surveySuspects(Time now) {
   SuspicionSurvey survey;
   for (auto& [_, machine] : state_.machines()) {
     bool isSuspected = suspected(machine, now);
-    bool everUp = machine.heard || !machine.known.record.address.empty();
-    if (!isSuspected && !everUp) continue;
+    bool wasEverUp = machine.heard || !machine.known.record.address.empty();
+    if (!isSuspected && !wasEverUp) continue;
     auto& zone = survey.zones[machine.zone()];
     ++zone.machines;
     ++survey.shard.machines;
@@ -117,14 +122,14 @@
 }
 
 void ShardScheduler::recordMassSuspicion(const SuspicionSurvey& survey, Time now) {
-  if (survey.shard.exceedsFraction(kSuspectedFraction)) massSuspicionAt_ = now;
+  if (survey.shard.exceedsFraction(kMassSuspicionFraction)) massSuspicionAt_ = now;
   for (const auto& [zone, count] : survey.zones)
-    if (count.exceedsFraction(kSuspectedFractionOfZone)) massSuspicionInZoneAt_[zone] = now;
+    if (count.exceedsFraction(kMassSuspicionFractionOfZone)) massSuspicionInZoneAt_[zone] = now;
 }
 
-// When such a fault ends, the machines come back one after the other as well.
-bool ShardScheduler::isRecent(std::optional<Time> noted, Time now) const {
-  return noted && now - *noted < heartbeatDueAfter() + kNextController;
+// Mass suspicion stays in effect for a while, as machines also recover one after another.
+bool ShardScheduler::isRecent(std::optional<Time> time, Time now) const {
+  return time && now - *time < heartbeatDueAfter() + kControllerFailoverTime;
 }
 
 }  // namespace cherryloft
--- a/src/scheduler/machine_drain.cpp
+++ b/src/scheduler/machine_drain.cpp
@@ -1,4 +1,5 @@
-// What becomes of the shard's machines: the leader's directives, and how a draining machine gets empty.
+// Draining and decommissioning of the shard's machines: the leader's directives, and how a draining machine
+// is emptied.
 #include <algorithm>
 
 #include "scheduler/shard_scheduler.h"
@@ -24,8 +25,8 @@
       return;
     case mesh::MachineDirective::Move:
       if (!machine->placements.empty()) return;
-      // A faulty machine is idle all the time, and must not go from shard to shard before it is known for
-      // one.
+      // A faulty machine is often idle, and must not be moved between shards before its failures have been
+      // attributed to it.
       if (failures_.hasUnattributedFailure(machine->id, runtime_.now())) return;
       decommission(*machine, static_cast<std::int32_t>(directive.toShard));
       return;
@@ -34,14 +35,15 @@
   }
 }
 
-// The machine takes no more work, and goes to that shard or to the cloud once it is empty.
+// The machine takes no new work and, once it is empty, is moved to that shard or returned to the cloud.
 void ShardScheduler::decommission(Machine& machine, std::int32_t moveTarget) {
   machine.decommissioning = true;
   machine.moveTarget = moveTarget;
   state_.reindex(machine);
 }
 
-// The machine's replicas, if all of them could move to machines that have their image and so be back at once.
+// The machine's service replicas, or nullopt unless all of them can move to machines that already have their
+// image, so that they restart without delay.
 std::optional<std::vector<TaskId>> ShardScheduler::movableReplicas(const Machine& machine) const {
   ReplicaMoves moves;
   std::vector<TaskId> movable;
@@ -57,7 +59,7 @@
   return movable;
 }
 
-// A machine with the job's image that can take one more replica from that machine, beside those planned.
+// A machine with the job's image that can take one more replica from `from` in addition to the planned moves.
 const Machine* ShardScheduler::targetForReplica(const Job& job, const Machine& from,
                                                 ReplicaMoves& moves) const {
   unsigned examined = 0;
@@ -66,7 +68,7 @@
     ++examined;
     if (examined > settings_.tuning.sampleSize) continue;
     auto free = moves.freeAfterwards.try_emplace(number, candidate->free()).first->second;
-    // Within its zone it changes nothing for the zones' rules; elsewhere they must allow one more.
+    // A move within a zone does not affect the zone constraints; a move to another zone must satisfy them.
     bool zoneFits =
         candidate->zone() == from.zone() ||
         constraints_.allowsZone(job, candidate->zone(), moves.intoZone[{&job, candidate->zone()}]);
@@ -76,8 +78,8 @@
   return nullptr;
 }
 
-// Arrays end by themselves; then the replicas are moved. Once the machine is empty, the leader says where it
-// goes.
+// Batch tasks are left to complete; then the service replicas are moved. Once the machine is empty, the
+// leader decides where it goes.
 void ShardScheduler::advanceDrain(Machine& machine) {
   if (!machine.draining || machine.decommissioning || machine.placements.empty()) return;
   bool onlyReplicas =
@@ -92,7 +94,7 @@
     state_.reindex(machine);
     return;
   }
-  log_->info("draining machine: moving its replicas machine={} replicas={}", machine.id.value,
+  log_->info("draining machine: moving its replicas: machine={} replicas={}", machine.id.value,
              replicas->size());
   for (const auto& task : *replicas) {
     auto placement = machine.placements.find(task);
