--- a/src/scheduler/heartbeats.cpp
+++ b/src/scheduler/heartbeats.cpp
@@ -170,7 +170,7 @@
   if (change.newIncarnation) beginIncarnation(machine);
   machine.fence.accept(heartbeat);
   machine.lastHeard = now;
-  // The answer to this heartbeat, and to any older one, renews its lease until then at the latestPosition.
+  // Upper bound of the lease that the answers to this heartbeat and to earlier ones grant.
   machine.aliveUntil = now + maxLeaseAfterAnswer();
   change.cordonLifted = std::exchange(machine.cordoned, false);
   change.firstHeartbeat = !machine.heard;
--- a/src/scheduler/machine_record_writer.cpp
+++ b/src/scheduler/machine_record_writer.cpp
@@ -6,20 +6,20 @@
 
 namespace cherryloft {
 namespace {
-// Machines of a group come up one after the other: their addresses are written together.
-constexpr Duration kAddressesGatheredFor{3'000};
-constexpr Duration kWriteDeadline{2'000};
-// The cluster view is to show what was written before it is compared again.
-constexpr Duration kUntilWriteShows{300};
+// Machines of a group come up one after another: their addresses are batched into one write.
+constexpr Duration kAddressBatchingTime{3'000};
+constexpr Duration kWriteTimeout{2'000};
+// Time for a write to become visible in the cluster view, before it is compared with the shard state again.
+constexpr Duration kViewUpdateDelay{300};
 
-// Nothing of this shard's can still act on the machine.
-bool mayLeave(const Machine& machine) {
+// Whether the machine is to leave the shard, and nothing the shard sent can still take effect on it.
+bool readyToLeave(const Machine& machine) {
   return machine.moveTarget && machine.placements.empty() && machine.noCommandInDoubt() &&
          !machine.commandInFlight;
 }
 
-bool goesBackToCloud(const Machine& machine) {
-  return machine.returnNow || (mayLeave(machine) && *machine.moveTarget < 0);
+bool returnsToCloud(const Machine& machine) {
+  return machine.returnNow || (readyToLeave(machine) && *machine.moveTarget < 0);
 }
 }  // namespace
 
@@ -36,14 +36,14 @@
       shardLost_(std::move(shardLost)) {}
 
 void MachineRecordWriter::writeChanges(Time now) {
-  if (writeInFlight_ || now < notBefore_) return;
+  if (writeInFlight_ || now < nextWriteNotBefore_) return;
   auto changes = collectChanges(now);
   if (changes.empty()) return;
   auto batch = chooseBatch(changes);
   lastBatch_ = batch;
   TransactionBuilder transaction(settings_.txnOps);
   transaction.require(keys::shard(takeover_.shard), takeover_.version);
-  // What this shard sent under its token must have no effect under the next owner's (invariant 5).
+  // Commands sent under this shard's token must have no effect under the next owner's token (invariant 5).
   Epoch token{view_.epoch.value + 1};
   if (batch == Batch::Moves)
     transaction.add({keys::kEpoch, wire::encodeEpochCounter(token), {}}, view_.epochVersion);
@@ -52,9 +52,9 @@
   if (transaction.writes() == writesBefore) return;
   addressUnwrittenSince_ = Time{};
   writeInFlight_ = true;
-  store_.transact(RequestPriority::Work, transaction.take(), kWriteDeadline,
+  store_.transact(RequestPriority::Work, transaction.take(), kWriteTimeout,
                   [this, alive = std::weak_ptr<bool>(alive_)](const TransactionResult& result) {
-                    if (alive.lock()) written(result);
+                    if (alive.lock()) handleWriteResult(result);
                   });
 }
 
@@ -63,20 +63,20 @@
   for (const auto& [id, machine] : state_.machines()) {
     const auto& record = machine.known.record;
     if (record.phase != wire::MachinePhase::InUse) continue;
-    if (goesBackToCloud(machine)) {
+    if (returnsToCloud(machine)) {
       changes[machine.known.group].returned.insert(id);
-    } else if (mayLeave(machine)) {
+    } else if (readyToLeave(machine)) {
       ShardId to{static_cast<std::uint32_t>(*machine.moveTarget)};
       changes[machine.known.group].movedToShard[to].push_back(&machine);
     } else if (machine.heard && machine.address != record.address) {
       if (addressUnwrittenSince_ == Time{}) addressUnwrittenSince_ = now;
-      if (now - addressUnwrittenSince_ >= kAddressesGatheredFor) changes.try_emplace(machine.known.group);
+      if (now - addressUnwrittenSince_ >= kAddressBatchingTime) changes.try_emplace(machine.known.group);
     }
   }
   return changes;
 }
 
-// While there are changes of both kinds, they take turns.
+// Alternates between the two kinds of batch while there are changes of both kinds.
 MachineRecordWriter::Batch MachineRecordWriter::chooseBatch(const GroupChanges& changes) const {
   auto hasMoves = [](const auto& change) { return !change.second.movedToShard.empty(); };
   bool anyMoves = std::any_of(changes.begin(), changes.end(), hasMoves);
@@ -98,7 +98,8 @@
   }
 }
 
-// Of a group whose machines go to more shards than fit the transaction, those of the first go now.
+// If the moves of a group go to more shards than fit into the transaction, only those to the first shards are
+// included.
 bool MachineRecordWriter::addGroupChange(TransactionBuilder& transaction, const std::string& key,
                                          GroupChange& change, Epoch token) {
   auto add = [&] {
@@ -123,7 +124,7 @@
     created.insert(created.end(), parts.begin(), parts.end());
   }
   updateMembers(group, change);
-  // One write of the transaction is the epoch that a move takes.
+  // A move uses one write of the transaction for the epoch counter.
   auto rewrite =
       rewriteGroup(key, view_.groupVersion(key), group, settings_.valueBytes, settings_.txnOps - 1, exists);
   if (!rewrite.splits) rewrite.writes.insert(rewrite.writes.end(), created.begin(), created.end());
@@ -155,9 +156,9 @@
   }
 }
 
-void MachineRecordWriter::written(const TransactionResult& result) {
+void MachineRecordWriter::handleWriteResult(const TransactionResult& result) {
   writeInFlight_ = false;
-  notBefore_ = runtime_.now() + kUntilWriteShows;
+  nextWriteNotBefore_ = runtime_.now() + kViewUpdateDelay;
   auto shardKey = keys::shard(takeover_.shard);
   if (std::count(result.conflictingKeys.begin(), result.conflictingKeys.end(), shardKey) > 0) shardLost_();
 }
--- a/src/scheduler/machine_record_writer.h
+++ b/src/scheduler/machine_record_writer.h
@@ -1,9 +1,9 @@
-// MachineRecordWriter: brings the stored records of a shard's machines up to date with what the shard decided
-// and heard: addresses, machines that go back to the cloud, machines that move to another shard.
+// MachineRecordWriter: updates the stored records of a shard's machines with the shard's decisions and with
+// what the machines report: addresses, machines to return to the cloud, machines to move to another shard.
 //
-// Machines are recorded in groups, as a fleet boots and goes in groups: one write tells of many machines. At
-// most one transaction is in flight. It requires the shard's key unchanged, so that a former owner writes
-// nothing (invariant 5).
+// Machines are stored in groups, as fleets are started and released in groups, so that one write covers many
+// machines. At most one transaction is in flight. It requires the shard's key to be unchanged, so that a
+// former owner can't write (invariant 5).
 #pragma once
 
 #include <functional>
@@ -24,28 +24,29 @@
 
 namespace cherryloft {
 
-// As Machine::moveTarget: back to the cloud rather than to another shard.
+// Value of Machine::moveTarget for returning the machine to the cloud instead of moving it to a shard.
 inline constexpr std::int32_t kMoveToCloud = -1;
 
 class MachineRecordWriter {
  public:
-  // All references must outlive the writer. shardLost is called when a write failed as the shard's key had
-  // changed: another controller owns it.
+  // All references must outlive the writer. `shardLost` is called if a write fails because the shard's key
+  // has changed: another controller owns the shard.
   MachineRecordWriter(const Settings& settings, const Runtime& runtime, KeyValueStore& store,
                       const ClusterView& view, ShardTakeover takeover, const ShardState& state,
                       std::function<void()> shardLost);
 
-  // Writes what differs from the records, unless a write is in flight or was answered only just now. Call
-  // only while the shard is owned.
+  // Writes what differs from the stored records, unless a write is in flight or has just been answered. Must
+  // be called only while the shard is owned.
   void writeChanges(Time now);
 
  private:
   struct GroupChange {
-    std::set<MachineId> returned;                                 // to the cloud
-    std::map<ShardId, std::vector<const Machine*>> movedToShard;  // with what is known of them
+    std::set<MachineId> returned;  // machines to return to the cloud
+    std::map<ShardId, std::vector<const Machine*>> movedToShard;
   };
-  using GroupChanges = std::map<std::string, GroupChange>;  // by the group's key
-  // Moves need an epoch, for which shards compete; all else does not wait for that.
+  using GroupChanges = std::map<std::string, GroupChange>;  // by group key
+  // Moves need a new epoch, and transactions of different shards conflict on the epoch counter. Other changes
+  // are written separately so that they don't wait for that.
   enum class Batch { Moves, NoMoves };
 
   GroupChanges collectChanges(Time now);
@@ -57,7 +58,7 @@
   wire::GroupRecord movedGroup(const wire::GroupRecord& group, ShardId to,
                                const std::vector<const Machine*>& machines, Epoch token) const;
   void updateMembers(wire::GroupRecord& group, const GroupChange& change) const;
-  void written(const TransactionResult& result);
+  void handleWriteResult(const TransactionResult& result);
 
   const Settings& settings_;
   const Runtime& runtime_;
@@ -69,10 +70,10 @@
 
   bool writeInFlight_ = false;
   Batch lastBatch_ = Batch::NoMoves;
-  Time notBefore_{};
-  Time addressUnwrittenSince_{};  // since when some address is not written; the epoch of the clock: none is
+  Time nextWriteNotBefore_{};
+  Time addressUnwrittenSince_{};  // when an unwritten address was first seen; Time{} if there is none
   MachineGroupSplits groupSplits_;
-  std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);  // the answer may come after the writer's end
+  std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);  // results may arrive after destruction
 };
 
 }  // namespace cherryloft
--- a/tests/unit/machine_record_writer_test.cpp
+++ b/tests/unit/machine_record_writer_test.cpp
@@ -1,4 +1,4 @@
-// When the records of a shard's machines are written, and with what.
+// MachineRecordWriter: when the records of a shard's machines are written, and with which contents.
 #include "scheduler/machine_record_writer.h"
 
 #include <gtest/gtest.h>
@@ -28,13 +28,13 @@
     machine.decommissioning = true;
     machine.moveTarget = target;
   }
-  // Calls the writer, and gives its transaction time to be sent.
-  void write() {
+  // Calls the writer, then advances the clock so that its transaction is sent.
+  void writeChanges() {
     writer_.writeChanges(runtime_.now());
-    wait(Duration{100});
+    advanceClock(Duration{100});
   }
-  void wait(Duration time) { runtime_.clock.run(runtime_.clock.now() + time.count()); }
-  bool lastRequestHas(const std::string& text) const {
+  void advanceClock(Duration time) { runtime_.clock.run(runtime_.clock.now() + time.count()); }
+  bool lastRequestContains(const std::string& text) const {
     return runtime_.requests.back().body.find(text) != std::string::npos;
   }
 
@@ -51,68 +51,68 @@
       }};
 };
 
-TEST_F(MachineRecordWriterTest, WritesNothingWhileTheRecordsAreRight) {
+TEST_F(MachineRecordWriterTest, WritesNothingIfRecordsAreUpToDate) {
   addMachine("m-1", "host/m-1.7");
-  write();
+  writeChanges();
   EXPECT_TRUE(runtime_.requests.empty());
 }
 
-TEST_F(MachineRecordWriterTest, AnAddressIsWrittenOnceOthersHadTimeToJoinIt) {
+TEST_F(MachineRecordWriterTest, AddressIsWrittenAfterBatchingTime) {
   addMachine("m-1", "host/m-1.7").address = "10.1.0.2:9000";
-  write();
+  writeChanges();
   EXPECT_TRUE(runtime_.requests.empty());
-  wait(Duration{3'000});
-  write();
+  advanceClock(Duration{3'000});
+  writeChanges();
   ASSERT_EQ(runtime_.requests.size(), 1U);
-  EXPECT_TRUE(lastRequestHas("10.1.0.2:9000"));
+  EXPECT_TRUE(lastRequestContains("10.1.0.2:9000"));
 }
 
-TEST_F(MachineRecordWriterTest, AWriteRequiresTheShardUnchanged) {
+TEST_F(MachineRecordWriterTest, WriteRequiresUnchangedShardKey) {
   decommission(addMachine("m-1", "host/m-1.7"), kMoveToCloud);
-  write();
+  writeChanges();
   ASSERT_EQ(runtime_.requests.size(), 1U);
-  EXPECT_TRUE(lastRequestHas(R"({"path":"share/2","stamp":70})"));
+  EXPECT_TRUE(lastRequestContains(R"({"path":"share/2","stamp":70})"));
 }
 
-TEST_F(MachineRecordWriterTest, AMachineThatMayStillActOnACommandStays) {
+TEST_F(MachineRecordWriterTest, MachineWithCommandInFlightIsNotReturned) {
   auto& machine = addMachine("m-1", "host/m-1.7");
   decommission(machine, kMoveToCloud);
   machine.commandInFlight = true;
-  write();
+  writeChanges();
   EXPECT_TRUE(runtime_.requests.empty());
 }
 
-TEST_F(MachineRecordWriterTest, AMoveWritesTheNextEpoch) {
+TEST_F(MachineRecordWriterTest, MoveWritesNextEpoch) {
   view_.epoch = Epoch{9};
   decommission(addMachine("m-1", "host/m-1.7"), 1);
-  write();
+  writeChanges();
   ASSERT_EQ(runtime_.requests.size(), 1U);
-  EXPECT_TRUE(lastRequestHas(R"({"write":"share/epoch")"));
-  EXPECT_TRUE(lastRequestHas(R"({"write":"host/m-1.10")"));
+  EXPECT_TRUE(lastRequestContains(R"({"write":"share/epoch")"));
+  EXPECT_TRUE(lastRequestContains(R"({"write":"host/m-1.10")"));
 }
 
-TEST_F(MachineRecordWriterTest, ReturnsDoNotWaitForMovesThatAreWrittenFirst) {
+TEST_F(MachineRecordWriterTest, ReturnsAreWrittenInSeparateBatchAfterMoves) {
   decommission(addMachine("m-1", "host/m-1.7"), 1);
   decommission(addMachine("m-2", "host/m-2.7"), kMoveToCloud);
-  write();
-  EXPECT_TRUE(lastRequestHas("share/epoch"));
+  writeChanges();
+  EXPECT_TRUE(lastRequestContains("share/epoch"));
   runtime_.answer(0, 200, R"({"ledger_rev":80})");
-  wait(Duration{300});
-  write();
+  advanceClock(Duration{300});
+  writeChanges();
   ASSERT_EQ(runtime_.requests.size(), 2U);
-  EXPECT_FALSE(lastRequestHas("share/epoch"));
+  EXPECT_FALSE(lastRequestContains("share/epoch"));
 }
 
-TEST_F(MachineRecordWriterTest, OneWriteIsInFlightAtATime) {
+TEST_F(MachineRecordWriterTest, OnlyOneWriteIsInFlight) {
   decommission(addMachine("m-1", "host/m-1.7"), kMoveToCloud);
-  write();
-  write();
+  writeChanges();
+  writeChanges();
   EXPECT_EQ(runtime_.requests.size(), 1U);
 }
 
-TEST_F(MachineRecordWriterTest, AWriteThatFailsOnTheShardsKeyMeansThatItIsLost) {
+TEST_F(MachineRecordWriterTest, ConflictOnShardKeyReportsShardLost) {
   decommission(addMachine("m-1", "host/m-1.7"), kMoveToCloud);
-  write();
+  writeChanges();
   runtime_.answer(0, 409, R"({"failed":["share/2"]})");
   EXPECT_EQ(shardsLost_, 1);
 }
