--- a/src/scheduler/commands.cpp
+++ b/src/scheduler/commands.cpp
@@ -14,10 +14,10 @@
 
 constexpr Duration kDirectCommandTimeout{2'000};
 // Delays before the next direct command to a machine, after one that was ...
-constexpr Duration kBackoffUnanswered{2'000};  // ... sent but not answered, so that its effect is unknown
-constexpr Duration kBackoffUnreachable{
-    10'000};                                   // ... the same, and only the machine's heartbeats get through
 constexpr Duration kBackoffNotSent{1'000};     // ... not sent
+constexpr Duration kBackoffUnanswered{2'000};  // ... sent but not answered, so that its effect is unknown
+// ... not answered, where only the machine's heartbeats get through
+constexpr Duration kBackoffUnreachable{10'000};
 constexpr Duration kStopRetryInterval{1'500};  // of direct commands; every heartbeat answer repeats a stop
 // How much longer than its job specifies a checkpoint may take.
 constexpr double kCheckpointGraceMarginSeconds = 1;
@@ -27,8 +27,8 @@
 constexpr std::size_t kMaxCommands = 300;  // keeps a heartbeat answer under 64 KiB
 // Limits probes in flight so that heartbeat answers are not delayed.
 constexpr std::size_t kMaxProbesInFlight = 64;
-// Allows one direct command in flight for each so many of the controller's pooled sockets. That limit is
-// shared by all shards, as one controller may own all of them.
+// Number of the controller's pooled sockets per direct command in flight. The resulting limit is shared by
+// all shards, as one controller may own all of them.
 constexpr std::size_t kKeptSocketsPerCommand = 2;
 constexpr std::size_t kMinDirectCommandsInFlight = 8;
 
--- a/src/scheduler/task_failures.cpp
+++ b/src/scheduler/task_failures.cpp
@@ -43,8 +43,8 @@
   bool ran = placement.shown && placement.phase == TaskPhase::Running;
   auto ranFor = ran ? now - placement.runningSince : Duration{};
   state_.markGone(machine, reported.task, now);
-  log_->debug("task ended without success: task={} machine={} cause={}", wire::encodeTask(reported.task), machine.id.value,
-              static_cast<int>(reported.cause));
+  log_->debug("task ended without success: task={} machine={} cause={}", wire::encodeTask(reported.task),
+              machine.id.value, static_cast<int>(reported.cause));
   switch (reported.cause) {
     case ExitCause::Error:
       if (auto backoff =
