--- a/src/scheduler/commit_in_flight.cpp
+++ b/src/scheduler/commit_in_flight.cpp
@@ -4,12 +4,12 @@
 
 namespace cherryloft {
 
-bool CommitInFlight::endsJob(const JobId& job) const {
+bool CommitInFlight::ends(const JobId& job) const {
   return std::any_of(jobEnds.begin(), jobEnds.end(),
                      [&](const JobEndWrite& write) { return write.job == job; });
 }
 
-bool CommitInFlight::migratesJob(const JobId& job) const {
+bool CommitInFlight::migrates(const JobId& job) const {
   return std::find(migrations.begin(), migrations.end(), job) != migrations.end();
 }
 
--- a/src/scheduler/commit_in_flight.h
+++ b/src/scheduler/commit_in_flight.h
@@ -70,8 +70,8 @@
   std::vector<DelegationReturn> delegationReturns;
 
   // Whether the transaction writes the job's terminal status, or its migration.
-  [[nodiscard]] bool endsJob(const JobId& job) const;
-  [[nodiscard]] bool migratesJob(const JobId& job) const;
+  [[nodiscard]] bool ends(const JobId& job) const;
+  [[nodiscard]] bool migrates(const JobId& job) const;
 };
 
 }  // namespace cherryloft
--- a/src/scheduler/shard_scheduler.cpp
+++ b/src/scheduler/shard_scheduler.cpp
@@ -174,8 +174,7 @@
   // Its end is on its way or in doubt, or the shard is: a sibling may have seen it, and told the user, before
   // us.
   if (ownershipTransferSent_) return std::nullopt;
-  if (commitInFlight_ && (commitInFlight_->endsJob(id) || commitInFlight_->migratesJob(id)))
-    return std::nullopt;
+  if (commitInFlight_ && (commitInFlight_->ends(id) || commitInFlight_->migrates(id))) return std::nullopt;
   const auto& j = it->second;
   return wire::JobView{JobStatus::Open, static_cast<std::uint32_t>(j.tasks.size()), j.done, j.running};
 }
