--- a/src/autoscaler/planning.cpp
+++ b/src/autoscaler/planning.cpp
@@ -28,8 +28,8 @@
     auto reported = loads_.find(shard);
     if (reported == loads_.end() || now - reported->second.at > kLoadStale) continue;
     fleets[shard] = fleetOf(shard);
-    targets[shard] =
-        policy::targets(fleets[shard], prices_, settings_.tuning.spareFraction, settings_.patienceS());
+    targets[shard] = policy::computeCapacityTargets(fleets[shard], prices_, settings_.tuning.spareFraction,
+                                                    settings_.patienceS());
   }
   bool rebalancingDue = now - lastRebalance_ >= settings_.tuning.moveEvery;
   if (rebalancingDue) lastRebalance_ = now;
@@ -38,7 +38,7 @@
   double spareCores = 0;
   double largestArrival = 0;
   for (const auto& [shard, fleet] : fleets) {
-    spareCores += policy::coresOf(fleet) - targets[shard].spotTarget;
+    spareCores += policy::capacityCores(fleet) - targets[shard].totalWithSpot;
     largestArrival = std::max(largestArrival, fleet.spotAllowed.largestJob);
   }
   scaleOutInTurn(fleets, targets);
@@ -87,16 +87,16 @@
       bool drains = std::any_of(fleet.machines.begin(), fleet.machines.end(),
                                 [](const auto& machine) { return machine.draining; });
       // planShard takes a draining machine back into use first.
-      if (calls_ < 1 || (drains && policy::isShort(fleet, targets.at(shard)))) continue;
+      if (calls_ < 1 || (drains && policy::isBelowTarget(fleet, targets.at(shard)))) continue;
       auto request = policy::nextScaleOut(fleet, targets.at(shard), prices_, refused);
       if (!request) continue;
       startScaleOut(shard, *request);
       policy::FleetMachine ordered;
-      ordered.type = request->offer.type;
-      ordered.zone = request->offer.zone;
-      ordered.spot = request->offer.spot;
+      ordered.type = request->offering.type;
+      ordered.zone = request->offering.zone;
+      ordered.spot = request->offering.spot;
       ordered.cores = request->cores;
-      ordered.counts = true;
+      ordered.countsAsCapacity = true;
       fleet.machines.push_back(ordered);
       requested = true;
     }
@@ -109,7 +109,8 @@
   shards.reserve(fleets.size());
   for (const auto& [shard, _] : fleets) shards.push_back(shard);
   std::stable_sort(shards.begin(), shards.end(), [&](ShardId a, ShardId b) {
-    return policy::pressure(fleets.at(a), targets.at(a)) > policy::pressure(fleets.at(b), targets.at(b));
+    return policy::targetToCapacityRatio(fleets.at(a), targets.at(a)) >
+           policy::targetToCapacityRatio(fleets.at(b), targets.at(b));
   });
   return shards;
 }
@@ -118,8 +119,9 @@
                            const policy::CapacityTargets& target, double spareSpotCores) {
   logShard(shard, fleet, target);
   returnDrained(shard);
-  if (policy::isShort(fleet, target)) return cancelOneDrain(shard);
-  if (auto small = policy::replacement(fleet, target, prices_, unavailable(), kMinAgeS); small && calls_ >= 1)
+  if (policy::isBelowTarget(fleet, target)) return cancelOneDrain(shard);
+  if (auto small = policy::cheaperReplacement(fleet, target, prices_, unavailable(), kMinAgeS);
+      small && calls_ >= 1)
     return startScaleOut(shard, *small);
   releaseIdle(shard, fleet, target, spareSpotCores);
   drainSome(shard, fleet, target);
@@ -131,7 +133,7 @@
   double onDemandCores = 0;
   double spotCores = 0;
   for (const auto& machine : fleet.machines)
-    if (machine.counts) (machine.spot ? spotCores : onDemandCores) += machine.cores;
+    if (machine.countsAsCapacity) (machine.spot ? spotCores : onDemandCores) += machine.cores;
   log_->debug(
       "shard capacity: shard={} on_demand_used={} on_demand_waiting={} spot_used={} spot_waiting={} "
       "target_on_demand={} target_total={} has_on_demand={} has_spot={}",
@@ -172,7 +174,7 @@
     auto index = policy::machineToRelease(remaining, target, prices_, kMinIdleS, spareSpotCores);
     if (!index) break;
     auto& machine = remaining.machines[*index];
-    machine.counts = false;
+    machine.countsAsCapacity = false;
     if (machine.spot) spareSpotCores -= machine.cores;
     if (!mayAskAgain(machine.id)) continue;
     log_->info("idle machine released: machine={} shard={}", machine.id.value, shard.value);
@@ -219,7 +221,7 @@
     double missingCores = needy.onDemandOnly.waiting + needy.spotAllowed.waiting - coresMovingTo(to);
     for (const auto& [from, fleet] : fleets) {
       if (from == to) continue;
-      double spareCores = policy::coresOf(fleet) - targets.at(from).total;
+      double spareCores = policy::capacityCores(fleet) - targets.at(from).total;
       moveFrom(from, {to, needy.spotAllowed.waiting > 0}, spareCores, missingCores, scope);
     }
   }
--- a/src/autoscaler/scale_out.cpp
+++ b/src/autoscaler/scale_out.cpp
@@ -28,7 +28,7 @@
 }
 
 void ScaleOut::start(ShardId shard, const policy::ScaleOutRequest& request) {
-  const auto& offer = request.offer;
+  const auto& offer = request.offering;
   auto rental = std::make_shared<ProvisionRequest>();
   rental->request = {nextClaim(), offer.type, offer.zone, offer.spot, request.count};
   rental->shard = shard;
--- a/src/autoscaler/shard_fleet.cpp
+++ b/src/autoscaler/shard_fleet.cpp
@@ -26,7 +26,7 @@
   machine.ageS = load.ageS;
   machine.usedCores = machine.cores - load.freeCores;
   if (load.usable) machine.idleS = load.idleS > 0 ? load.idleS : -1;
-  machine.counts = !machine.draining && !load.decommissioning && (load.usable || boots);
+  machine.countsAsCapacity = !machine.draining && !load.decommissioning && (load.usable || boots);
 }
 
 }  // namespace
@@ -53,7 +53,7 @@
       applyLoad(*it->second, boots, machine);
     } else {
       // In plain use, as the owner does not name it; or not yet seen by it.
-      machine.counts = load || boots;
+      machine.countsAsCapacity = load || boots;
       machine.usedCores = ageS < kNotYetTold ? 0 : machine.cores;
       machine.pinned = true;
     }
--- a/src/controller/user_api.cpp
+++ b/src/controller/user_api.cpp
@@ -72,7 +72,7 @@
   // What can't be taken is answered at once.
   if (!callbacks_.holdsLease()) return done(Unavailable{kNoStateService});
   if (view_.catalog.empty()) return done(Unavailable{"the machine types are not known yet"});
-  if (auto why = policy::neverRuns(spec, settings_, view_.catalog))
+  if (auto why = policy::infeasibilityReason(spec, settings_, view_.catalog))
     return reject(spec.id, {Rejection::NeverRuns, *why}, std::move(done));
   if (auto wait = store_.creationBacklogDelay())
     return done(Overloaded{std::min(static_cast<int>(wait->count()), kMaxRetryAfterSeconds)});
--- a/src/policy/admission.cpp
+++ b/src/policy/admission.cpp
@@ -4,7 +4,8 @@
 
 namespace cherryloft::policy {
 
-std::optional<std::string> neverRuns(const JobSpec& job, const Settings& settings, const Catalog& catalog) {
+std::optional<std::string> infeasibilityReason(const JobSpec& job, const Settings& settings,
+                                               const Catalog& catalog) {
   const Team* team = settings.team(job.team);
   if (!team) return "unknown team";
   std::set<Zone> zones;  // in which one task fits
--- a/src/policy/admission.h
+++ b/src/policy/admission.h
@@ -9,6 +9,7 @@
 
 namespace cherryloft::policy {
 
-std::optional<std::string> neverRuns(const JobSpec& job, const Settings& settings, const Catalog& catalog);
+std::optional<std::string> infeasibilityReason(const JobSpec& job, const Settings& settings,
+                                               const Catalog& catalog);
 
 }  // namespace cherryloft::policy
--- a/src/policy/autoscaling.cpp
+++ b/src/policy/autoscaling.cpp
@@ -27,7 +27,7 @@
 Capacity capacityOf(const ShardFleet& fleet) {
   Capacity capacity;
   for (const auto& machine : fleet.machines)
-    if (machine.counts) (machine.spot ? capacity.spot : capacity.onDemand) += machine.cores;
+    if (machine.countsAsCapacity) (machine.spot ? capacity.spot : capacity.onDemand) += machine.cores;
   return capacity;
 }
 
@@ -87,8 +87,8 @@
 
 }  // namespace
 
-CapacityTargets targets(const ShardFleet& fleet, const Catalog& catalog, double spareFraction,
-                        double patienceS) {
+CapacityTargets computeCapacityTargets(const ShardFleet& fleet, const Catalog& catalog, double spareFraction,
+                                       double patienceS) {
   double bootS = 0;
   double ratio = 0;  // of ordinary to spot price
   for (const auto& type : catalog) {
@@ -107,17 +107,17 @@
   double largest = 0;
   for (const auto& type : catalog) largest = std::max(largest, type.size.cores);
   target.busy = kOversizedFactor * target.total + kOversizedMachines * largest;
-  target.spotTarget = target.total + spotWork * spareFraction * std::max(0.0, ratio - 1);
+  target.totalWithSpot = target.total + spotWork * spareFraction * std::max(0.0, ratio - 1);
   // What is there, or about to be, frees capacity at least as fast as its tasks take on average.
   double turnover = fleet.spotAllowed.departing;
   if (fleet.spotAllowed.runS > 0)
-    turnover = std::max(
-        turnover, std::min(spotWork, coresOf(fleet) - fleet.onDemandOnly.used) / fleet.spotAllowed.runS);
+    turnover = std::max(turnover, std::min(spotWork, capacityCores(fleet) - fleet.onDemandOnly.used) /
+                                      fleet.spotAllowed.runS);
   target.total -= std::clamp(turnover * patienceS, 0.0, spotWork);
   return target;
 }
 
-bool isShort(const ShardFleet& fleet, const CapacityTargets& target) {
+bool isBelowTarget(const ShardFleet& fleet, const CapacityTargets& target) {
   auto have = capacityOf(fleet);
   return target.onDemand - have.onDemand > kEnough || target.total - have.onDemand - have.spot > kEnough;
 }
@@ -130,7 +130,8 @@
     auto covered = [&](const Zone& zone) {
       return std::any_of(fleet.machines.begin(), fleet.machines.end(), [&](const auto& machine) {
         // One that boots is not used yet; those that are up and full help nobody.
-        return machine.counts && machine.zone == zone && (!machine.spot || workload == &fleet.spotAllowed) &&
+        return machine.countsAsCapacity && machine.zone == zone &&
+               (!machine.spot || workload == &fleet.spotAllowed) &&
                machine.cores - machine.usedCores >= workload->largestTask - kResourceSlack;
       });
     };
@@ -156,36 +157,38 @@
   const auto& kind = fleet.spotAllowed.used + fleet.spotAllowed.waiting + fleet.spotAllowed.arriving > 0
                          ? fleet.spotAllowed
                          : fleet.onDemandOnly;
-  if (&kind == &fleet.spotAllowed && target.spotTarget - all > kEnough)
-    if (auto request = cheapest(fleet, kind, target.spotTarget - all, true, catalog, unavailable))
+  if (&kind == &fleet.spotAllowed && target.totalWithSpot - all > kEnough)
+    if (auto request = cheapest(fleet, kind, target.totalWithSpot - all, true, catalog, unavailable))
       return request;
   if (target.total - all <= kEnough) return std::nullopt;
   return cheapest(fleet, kind, target.total - all, false, catalog, unavailable);
 }
 
-double coresOf(const ShardFleet& fleet) {
+double capacityCores(const ShardFleet& fleet) {
   auto capacity = capacityOf(fleet);
   return capacity.onDemand + capacity.spot;
 }
 
-double pressure(const ShardFleet& fleet, const CapacityTargets& target) {
-  return target.total / std::max(coresOf(fleet), 1.0);
+double targetToCapacityRatio(const ShardFleet& fleet, const CapacityTargets& target) {
+  return target.total / std::max(capacityCores(fleet), 1.0);
 }
 
-std::optional<ScaleOutRequest> replacement(const ShardFleet& fleet, const CapacityTargets& target,
-                                           const Catalog& catalog,
-                                           const std::set<InstanceOffering>& unavailable, double minAgeS) {
+std::optional<ScaleOutRequest> cheaperReplacement(const ShardFleet& fleet, const CapacityTargets& target,
+                                                  const Catalog& catalog,
+                                                  const std::set<InstanceOffering>& unavailable,
+                                                  double minAgeS) {
   constexpr double kWorthReplacing = 0.6;  // of the price, at most
   auto have = capacityOf(fleet);
   for (const auto& machine : fleet.machines) {
     const auto* type = findType(catalog, machine.type);
-    if (machine.spot || machine.pinned || !machine.counts || !type || machine.ageS < minAgeS) continue;
+    if (machine.spot || machine.pinned || !machine.countsAsCapacity || !type || machine.ageS < minAgeS)
+      continue;
     double missing =
         std::max(target.onDemand - (have.onDemand - machine.cores),
                  target.total + surplus(target.total, catalog) - (have.onDemand + have.spot - machine.cores));
     if (missing <= kEnough) continue;
     auto request = cheapest(fleet, fleet.onDemandOnly, missing, false, catalog, unavailable);
-    const auto* small = request ? findType(catalog, request->offer.type) : nullptr;
+    const auto* small = request ? findType(catalog, request->offering.type) : nullptr;
     if (!small) continue;
     request->count = static_cast<unsigned>(std::ceil(missing / small->size.cores - 1e-9));
     request->cores = request->count * small->size.cores;
@@ -201,7 +204,7 @@
   double bestPrice = 0;
   for (std::size_t i = 0; i < fleet.machines.size(); ++i) {
     const auto& machine = fleet.machines[i];
-    if (!machine.counts || machine.idleS < minIdleS) continue;
+    if (!machine.countsAsCapacity || machine.idleS < minIdleS) continue;
     const auto* type = findType(catalog, machine.type);
     // Where it is wanted again, another would have to boot, and is paid for meanwhile. A dear machine is not
     // kept for that while there is plenty.
@@ -224,12 +227,12 @@
 
 std::vector<std::size_t> machinesToDrain(const ShardFleet& fleet, const CapacityTargets& target,
                                          const Catalog& catalog, double minAgeS, std::size_t most) {
-  bool anyIdle = machineToRelease(fleet, target, catalog, 0, coresOf(fleet)).has_value();
+  bool anyIdle = machineToRelease(fleet, target, catalog, 0, capacityCores(fleet)).has_value();
   auto have = capacityOf(fleet);
   std::vector<std::pair<double, std::size_t>> choices;  // what is gained by each
   for (std::size_t i = 0; i < fleet.machines.size(); ++i) {
     const auto& machine = fleet.machines[i];
-    if (!machine.counts) continue;
+    if (!machine.countsAsCapacity) continue;
     // Idle machines will go first; nothing need be moved for them.
     if (machine.idleS >= 0) (machine.spot ? have.spot : have.onDemand) -= machine.cores;
     if (machine.draining || machine.pinned || machine.idleS >= 0 || machine.ageS < minAgeS) continue;
@@ -243,7 +246,7 @@
   for (const auto& [_, i] : choices) {
     if (chosen.size() >= most) break;
     const auto& machine = fleet.machines[i];
-    double keep = machine.spot ? target.spotTarget : target.total;
+    double keep = machine.spot ? target.totalWithSpot : target.total;
     double left = have.onDemand + have.spot - machine.cores;
     if (left < keep + surplus(keep, catalog)) continue;
     if (!machine.spot && have.onDemand - machine.cores < target.onDemand) continue;
--- a/src/policy/autoscaling.h
+++ b/src/policy/autoscaling.h
@@ -30,8 +30,8 @@
   Zone zone;
   bool spot = false;
   double cores = 0;
-  bool counts = false;  // in use or about to be
-  double idleS = -1;    // negative: busy or not up
+  bool countsAsCapacity = false;  // in use or about to be
+  double idleS = -1;              // negative: busy or not up
   double usedCores = 0;
   double ageS = 0;
   bool draining = false;
@@ -48,16 +48,16 @@
 
 // What a shard should have.
 struct CapacityTargets {
-  double onDemand = 0;    // cores of ordinary machines at least
-  double total = 0;       // cores in all, for which ordinary machines are requested too
-  double spotTarget = 0;  // cores in all as long as they are cheap
-  double busy = 0;        // cores in all above which several busy machines are drained at a time
+  double onDemand = 0;       // cores of ordinary machines at least
+  double total = 0;          // cores in all, for which ordinary machines are requested too
+  double totalWithSpot = 0;  // cores in all as long as they are cheap
+  double busy = 0;           // cores in all above which several busy machines are drained at a time
 };
 // Capacity for what is there, for what comes while a machine boots, and for one more task of each kind;
 // beyond that, the cheaper spot machines are, the more capacity is kept on them. Dear machines are not for
 // work that finds capacity on the cheap ones within its patience.
-CapacityTargets targets(const ShardFleet& fleet, const Catalog& catalog, double spareFraction,
-                        double patienceS);
+CapacityTargets computeCapacityTargets(const ShardFleet& fleet, const Catalog& catalog, double spareFraction,
+                                       double patienceS);
 
 // A kind of machine that the cloud offers in a zone.
 struct InstanceOffering {
@@ -68,13 +68,14 @@
 };
 // So many machines of one offering.
 struct ScaleOutRequest {
-  InstanceOffering offer;
+  InstanceOffering offering;
   unsigned count = 1;
   double cores = 0;  // of all of them that the work can fill
 };
 // What ordinary machines would be requested for is not there.
-bool isShort(const ShardFleet& fleet, const CapacityTargets& target);
-// The next scale-out request, or nothing when the targets are met or nothing fitting is on offer.
+bool isBelowTarget(const ShardFleet& fleet, const CapacityTargets& target);
+// The next scale-out request, or nothing when the computeCapacityTargets are met or nothing fitting is on
+// offering.
 std::optional<ScaleOutRequest> nextScaleOut(const ShardFleet& fleet, const CapacityTargets& target,
                                             const Catalog& catalog,
                                             const std::set<InstanceOffering>& unavailable);
@@ -84,13 +85,14 @@
 std::optional<std::size_t> machineToRelease(const ShardFleet& fleet, const CapacityTargets& target,
                                             const Catalog& catalog, double minIdleS, double spareSpot);
 // A small ordinary machine to put in the place of a large one that little runs on.
-std::optional<ScaleOutRequest> replacement(const ShardFleet& fleet, const CapacityTargets& target,
-                                           const Catalog& catalog,
-                                           const std::set<InstanceOffering>& unavailable, double minAgeS);
+std::optional<ScaleOutRequest> cheaperReplacement(const ShardFleet& fleet, const CapacityTargets& target,
+                                                  const Catalog& catalog,
+                                                  const std::set<InstanceOffering>& unavailable,
+                                                  double minAgeS);
 // Of all machines that count.
-double coresOf(const ShardFleet& fleet);
+double capacityCores(const ShardFleet& fleet);
 // How much of what a shard wants it lacks: 1 is balance.
-double pressure(const ShardFleet& fleet, const CapacityTargets& target);
+double targetToCapacityRatio(const ShardFleet& fleet, const CapacityTargets& target);
 
 // Indices of busy machines that should take no more work, as the others have capacity enough for all without
 // those that are idle: the dearest for what runs on them first, and at most so many.
--- a/src/policy/coupling.cpp
+++ b/src/policy/coupling.cpp
@@ -7,7 +7,7 @@
 
 namespace cherryloft::policy {
 
-double alphaOf(ImageLocality locality) {
+double localityAlpha(ImageLocality locality) {
   switch (locality) {
     case ImageLocality::OutsideZone:
       return 1.0;
@@ -21,7 +21,7 @@
 
 double couplingProbability(double alpha, const SampleEstimate& estimate, double waitingTasks) {
   double beta = 0.1 + 0.9 * (1.0 - std::exp(-waitingTasks / std::max(estimate.machinesWithCapacity, 1.0)));
-  double probability = 1.0 - alpha * std::pow(estimate.holderFraction, beta) *
+  double probability = 1.0 - alpha * std::pow(estimate.cachedFraction, beta) *
                                  (1.0 - std::exp(-estimate.machinesWithCapacity));
   return std::clamp(probability, 0.0, 1.0);
 }
--- a/src/policy/coupling.h
+++ b/src/policy/coupling.h
@@ -12,7 +12,7 @@
 
 // What a random sample of the shard's machines says about all of them (the paper's random peeking).
 struct SampleEstimate {
-  double holderFraction = 0;  // the paper's p-hat: sampled machines that cache the image and have capacity
+  double cachedFraction = 0;  // the paper's p-hat: sampled machines that cache the image and have capacity
   double machinesWithCapacity = 0;  // the paper's N-hat: machines times the sampled fraction with capacity
 };
 
@@ -24,7 +24,7 @@
 };
 
 // The paper's alpha: 1.0, 0.8 or 0.7. The lower, the likelier a start on the machine.
-[[nodiscard]] double alphaOf(ImageLocality locality);
+[[nodiscard]] double localityAlpha(ImageLocality locality);
 
 // The probability, in [0, 1], of starting a task on a machine that does not cache its image; `waitingTasks`
 // is the paper's M, the tasks of the job that wait.
--- a/src/policy/gang.cpp
+++ b/src/policy/gang.cpp
@@ -5,24 +5,25 @@
 
 namespace cherryloft::policy {
 
-std::vector<Zone> zonesToTry(std::vector<GangZone> zones, std::uint32_t members) {
-  std::erase_if(zones, [&](const GangZone& zone) { return zone.capacity < members; });
-  auto slowestFetch = [&](const GangZone& zone) {
-    return zone.capacityOnHolders >= members ? 0 : zone.fetchSeconds;
+std::vector<Zone> rankZones(std::vector<GangZoneCapacity> zones, std::uint32_t members) {
+  std::erase_if(zones, [&](const GangZoneCapacity& zone) { return zone.capacity < members; });
+  auto slowestFetch = [&](const GangZoneCapacity& zone) {
+    return zone.capacityWithImage >= members ? 0 : zone.fetchSeconds;
   };
-  std::stable_sort(zones.begin(), zones.end(), [&](const GangZone& left, const GangZone& right) {
-    double leftFetch = slowestFetch(left);
-    double rightFetch = slowestFetch(right);
-    if (leftFetch != rightFetch) return leftFetch < rightFetch;
-    return left.capacity > right.capacity;
-  });
+  std::stable_sort(zones.begin(), zones.end(),
+                   [&](const GangZoneCapacity& left, const GangZoneCapacity& right) {
+                     double leftFetch = slowestFetch(left);
+                     double rightFetch = slowestFetch(right);
+                     if (leftFetch != rightFetch) return leftFetch < rightFetch;
+                     return left.capacity > right.capacity;
+                   });
   std::vector<Zone> order;
   order.reserve(zones.size());
   for (const auto& zone : zones) order.push_back(zone.zone);
   return order;
 }
 
-double lostSinceCheckpoint(double ranSeconds, double checkpointIntervalSeconds) {
+double progressSinceCheckpoint(double ranSeconds, double checkpointIntervalSeconds) {
   return checkpointIntervalSeconds > 0 ? std::fmod(ranSeconds, checkpointIntervalSeconds) : ranSeconds;
 }
 
--- a/src/scheduler/commits.cpp
+++ b/src/scheduler/commits.cpp
@@ -150,7 +150,7 @@
   if (transferred)
     callbacks_.dropOwnership();
   else
-    requestRound(true);
+    requestPlacementRound(true);
 }
 
 void ShardScheduler::commitAt(Time due) {
@@ -205,7 +205,7 @@
   for (const auto& end : commit.jobEnds) jobEndCommitted(end, revision, machines);
   // Only now: a start must not go out beside the end of its own job.
   sendCommandsToAll(machines);
-  requestRound(false);
+  requestPlacementRound(false);
 }
 
 void ShardScheduler::migrationCommitted(const JobId& id) {
@@ -240,7 +240,7 @@
   if (!placement.wanted || !machine->open()) {
     // Never sent, so it is nowhere.
     taskLost(*machine, written.task);
-    requestRound(true);
+    requestPlacementRound(true);
     return;
   }
   machines.insert(written.machine);
--- a/src/scheduler/eviction_planner.cpp
+++ b/src/scheduler/eviction_planner.cpp
@@ -50,7 +50,7 @@
   double seconds = isRunning ? inSeconds(now_ - placement.runningSince) : 0;
   if (placement.job->isGang()) {
     double perMember =
-        policy::lostSinceCheckpoint(seconds, spec.checkpointIntervalSeconds) + kGangLossSeconds;
+        policy::progressSinceCheckpoint(seconds, spec.checkpointIntervalSeconds) + kGangLossSeconds;
     seconds = perMember * placement.job->placed;
   } else if (spec.checkpointIntervalSeconds > 0) {
     seconds = std::min(seconds, spec.checkpointIntervalSeconds);
@@ -72,7 +72,7 @@
   return candidates;
 }
 
-bool EvictionPlanner::isHolderWorthPreempting(const Job& job) const {
+bool EvictionPlanner::shouldPreemptForCachedImage(const Job& job) const {
   const policy::Preemptor preemptor{job.spec->priority, false};
   if (!state_.mayPreempt(preemptor.priority, preemptor.withinGuarantee)) return false;
   unsigned examined = 0;
--- a/src/scheduler/eviction_planner.h
+++ b/src/scheduler/eviction_planner.h
@@ -43,7 +43,7 @@
 
   // One of up to K machines that cache the job's image could be preempted for less than what a start in time
   // is worth.
-  [[nodiscard]] bool isHolderWorthPreempting(const Job& job) const;
+  [[nodiscard]] bool shouldPreemptForCachedImage(const Job& job) const;
 
   // The machines to consider: up to K that cache the image, and of all others as many as a random sample of K
   // (the draws from `rng`) has.
--- a/src/scheduler/gangs.cpp
+++ b/src/scheduler/gangs.cpp
@@ -10,9 +10,9 @@
 
 namespace cherryloft {
 
-std::vector<policy::GangZone> ShardScheduler::gangZones(const Job& job) const {
+std::vector<policy::GangZoneCapacity> ShardScheduler::gangZoneCapacities(const Job& job) const {
   const auto& spec = *job.spec;
-  std::map<Zone, policy::GangZone> zones;
+  std::map<Zone, policy::GangZoneCapacity> zones;
   for (const auto& [zone, capacity] : capacityByZone(job)) zones[zone] = {zone, capacity, 0, spec.imageGb};
   for (const auto& pool : state_.pools()) {
     auto zone = zones.find(pool.zone);
@@ -24,11 +24,11 @@
   for (const auto& [_, machine] : *job.holders) {
     auto zone = zones.find(machine->zone());
     if (zone == zones.end() || !constraints_.allowsMachine(job, *machine)) continue;
-    auto& members = zone->second.capacityOnHolders;
+    auto& members = zone->second.capacityWithImage;
     for (auto free = machine->free(); spec.each.fitsIn(free) && members < spec.tasks; free -= spec.each)
       ++members;
   }
-  std::vector<policy::GangZone> list;
+  std::vector<policy::GangZoneCapacity> list;
   list.reserve(zones.size());
   for (const auto& [_, zone] : zones) list.push_back(zone);
   return list;
@@ -38,7 +38,7 @@
   if (job.placed > 0 || job.recalling) return true;  // what is left of an earlier try must go first
   if (job.delegation && job.begun) return true;      // its attempt was tried: it goes back to its owner
   if (!job.spec->oneZone) return placeAllMembers(job);
-  for (const auto& zone : policy::zonesToTry(gangZones(job), job.waiting.size())) {
+  for (const auto& zone : policy::rankZones(gangZoneCapacities(job), job.waiting.size())) {
     job.onlyZone = zone;
     bool placed = placeAllMembers(job);
     job.onlyZone.reset();
--- a/src/scheduler/heartbeats.cpp
+++ b/src/scheduler/heartbeats.cpp
@@ -125,7 +125,7 @@
   if (nothingNew) {
     state_.reindex(machine);
     bool hasFreeCores = machine.indexedFree && *machine.indexedFree > 0;
-    if (hasFreeCores) requestRound(false, &machine.id);
+    if (hasFreeCores) requestPlacementRound(false, &machine.id);
     return ReconcileResult::Accepted;
   }
   auto placementsBefore = machine.placements.size();
@@ -139,7 +139,7 @@
   state_.reindex(machine);
   bool capacityFreed =
       machine.placements.size() < placementsBefore || change.firstHeartbeat || change.cordonLifted;
-  requestRound(capacityFreed, &machine.id);
+  requestPlacementRound(capacityFreed, &machine.id);
   return ReconcileResult::Accepted;
 }
 
@@ -155,7 +155,7 @@
   }
   if (source == HeartbeatSource::WorkerReport) noteTokenUnacknowledged(machine);
   machine.contactDue = true;
-  requestRound(false);
+  requestPlacementRound(false);
 }
 
 // Takes over what the heartbeat says of the worker itself, and prolongs its lease.
--- a/src/scheduler/liveness.cpp
+++ b/src/scheduler/liveness.cpp
@@ -57,7 +57,7 @@
   machine.heard = false;
   machine.reported.clear();
   tasksLost(machine, machine.tasksWhere([](const Placement& placement) { return placement.committed; }));
-  requestRound(true);
+  requestPlacementRound(true);
 }
 
 // --- suspicion ---
--- a/src/scheduler/machine_drain.cpp
+++ b/src/scheduler/machine_drain.cpp
@@ -12,7 +12,7 @@
     case mesh::MachineDirective::Keep:
       machine->draining = false;
       state_.reindex(*machine);
-      requestRound(true);
+      requestPlacementRound(true);
       return;
     case mesh::MachineDirective::Drain:
       machine->draining = true;
@@ -70,7 +70,7 @@
     bool zoneFits =
         candidate->zone() == from.zone() ||
         constraints_.allowsZone(job, candidate->zone(), moves.intoZone[{&job, candidate->zone()}]);
-    if (job.spec->each.fitsIn(free) && constraints_.allowsMachineKind(job, *candidate) && zoneFits)
+    if (job.spec->each.fitsIn(free) && constraints_.allowsMachineIgnoringZone(job, *candidate) && zoneFits)
       return candidate;
   }
   return nullptr;
--- a/src/scheduler/placement_constraints.cpp
+++ b/src/scheduler/placement_constraints.cpp
@@ -34,7 +34,7 @@
   return allowsZone(job, pool.zone);
 }
 
-bool PlacementConstraints::allowsMachineKind(const Job& job, const Machine& machine) const {
+bool PlacementConstraints::allowsMachineIgnoringZone(const Job& job, const Machine& machine) const {
   const auto& spec = *job.spec;
   if (!spec.allowsType(machine.known.record.type)) return false;
   if (machine.spot() && (!spec.spotAllowed || job.avoidSpot)) return false;
@@ -42,7 +42,7 @@
 }
 
 bool PlacementConstraints::allowsMachine(const Job& job, const Machine& machine) const {
-  return machine.open() && allowsZone(job, machine.zone()) && allowsMachineKind(job, machine);
+  return machine.open() && allowsZone(job, machine.zone()) && allowsMachineIgnoringZone(job, machine);
 }
 
 bool PlacementConstraints::hasCapacity(const Job& job) const {
--- a/src/scheduler/placement_constraints.h
+++ b/src/scheduler/placement_constraints.h
@@ -22,7 +22,7 @@
   // Machine type, spot or on demand, and zone, for all machines of a pool at once.
   [[nodiscard]] bool allowsPool(const Job& job, const Pool& pool) const;
   // Machine type, spot or on demand, and the job's failures there; not the zone.
-  [[nodiscard]] bool allowsMachineKind(const Job& job, const Machine& machine) const;
+  [[nodiscard]] bool allowsMachineIgnoringZone(const Job& job, const Machine& machine) const;
   // Everything but free capacity: the machine takes work, and its zone and kind are allowed.
   [[nodiscard]] bool allowsMachine(const Job& job, const Machine& machine) const;
 
--- a/src/scheduler/placement_rounds.cpp
+++ b/src/scheduler/placement_rounds.cpp
@@ -18,7 +18,7 @@
 
 }  // namespace
 
-void ShardScheduler::requestRound(bool allMachines, const MachineId* reportedMachine) {
+void ShardScheduler::requestPlacementRound(bool allMachines, const MachineId* reportedMachine) {
   roundScope_.allMachines |= allMachines;
   if (reportedMachine) roundScope_.machines.insert(*reportedMachine);
   if (roundScheduled_) return;
@@ -27,11 +27,11 @@
   auto wait = std::max(lastRound_ + kMinRoundInterval - runtime_.now(), Duration{0});
   runtime_.after(wait, guarded([this] {
                    roundScheduled_ = false;
-                   runRound();
+                   runPlacementRound();
                  }));
 }
 
-void ShardScheduler::runRound() {
+void ShardScheduler::runPlacementRound() {
   lastRound_ = runtime_.now();
   bool mayPlace = loaded_ && owns() && !ownershipTransferSent_ && !committing_ && !commitInFlight_;
   if (!mayPlace) {
@@ -55,7 +55,7 @@
   });
   roundScope_ = {};
   if (anyWithoutCapacity && cancelDrains()) {
-    requestRound(true);
+    requestPlacementRound(true);
     return;
   }
   preempt(blocked);
--- a/src/scheduler/placement_turn.cpp
+++ b/src/scheduler/placement_turn.cpp
@@ -71,7 +71,7 @@
   std::uniform_real_distribution<double> uniform(0.0, 1.0);
   for (Machine* machine : machines) {
     double probability =
-        policy::couplingProbability(policy::alphaOf(localityOf(*machine)), estimate, waitingTasks);
+        policy::couplingProbability(policy::localityAlpha(localityOf(*machine)), estimate, waitingTasks);
     if (uniform(context_.rng) < probability) {
       // From now on it counts as a holder: the rest of the turn may fill it.
       holders_.push_back(machine);
@@ -108,7 +108,7 @@
   if (now < job_.anyStartUntil || job_.isGang()) return false;
   if (!context_.constraints.fetchMissesStartObjective(job_, bestOther)) return false;
   return EvictionPlanner(context_.settings, context_.state, context_.constraints, now)
-      .isHolderWorthPreempting(job_);
+      .shouldPreemptForCachedImage(job_);
 }
 
 std::vector<Machine*> PlacementTurn::otherMachines() const {
--- a/src/scheduler/preemption.cpp
+++ b/src/scheduler/preemption.cpp
@@ -59,7 +59,7 @@
   runtime_.after(wait, guarded([this, due] {
                    if (preemptionDue_ != due) return;
                    preemptionDue_.reset();
-                   requestRound(false);
+                   requestPlacementRound(false);
                  }));
 }
 
@@ -78,7 +78,7 @@
     // The holders are promised already: the rest need not wait for them.
     if (constraints_.fetchMissesStartObjective(job, *eviction->machine))
       job.anyStartUntil = runtime_.now() + kAnyStartPeriod;
-    carryOut(*eviction, pending, round);
+    applyEviction(*eviction, pending, round);
   }
 }
 
@@ -89,11 +89,11 @@
   const EvictionPlanner planner(settings_, state_, constraints_, runtime_.now());
   auto plan = planner.planForGang(pending, planner.sampleMachines(job, rng_), round.forecast);
   if (!plan) return;
-  for (const auto& eviction : *plan) carryOut(eviction, pending, round);
+  for (const auto& eviction : *plan) applyEviction(eviction, pending, round);
 }
 
-void ShardScheduler::carryOut(const PlannedEviction& eviction, const PendingJob& pending,
-                              PreemptionRound& round) {
+void ShardScheduler::applyEviction(const PlannedEviction& eviction, const PendingJob& pending,
+                                   PreemptionRound& round) {
   const Job& job = *pending.job;
   Machine& machine = *eviction.machine;
   const EvictionPlanner planner(settings_, state_, constraints_, runtime_.now());
--- a/src/scheduler/remote_capacity.cpp
+++ b/src/scheduler/remote_capacity.cpp
@@ -69,7 +69,7 @@
 void ShardScheduler::reviewMigrations(Time now) {
   if (now - migrationsReviewed_ < kCapacityReviewInterval) return;
   migrationsReviewed_ = now;
-  if (jobMigration_.releaseEnded(now) > 0) requestRound(true);
+  if (jobMigration_.releaseEnded(now) > 0) requestPlacementRound(true);
   jobOffers_.dropExpired(now);
   if (transferringTo_ || ownershipTransferSent_) return;
   mesh::CapacityRequest request;
@@ -89,7 +89,7 @@
   if (!maxConcurrent) return false;
   jobMigration_.plan(job, offer->shard, *maxConcurrent);
   jobOffers_.remove(job.id);
-  requestRound(false);
+  requestPlacementRound(false);
   return true;
 }
 
--- a/src/scheduler/shard_scheduler.cpp
+++ b/src/scheduler/shard_scheduler.cpp
@@ -56,7 +56,7 @@
   log_->info("shard loaded shard={} jobs={} machines={} ms={}", takeover_.shard.value, state_.jobs().size(),
              state_.machines().size(), recovery_.sinceStart().count());
   tick();
-  requestRound(true);
+  requestPlacementRound(true);
 }
 
 void ShardScheduler::addKnownJob(const JobId& id, const JobEntry& known) {
@@ -108,7 +108,7 @@
 void ShardScheduler::leaseValidity(const LeaseValidity& s) {
   bool back = !owns() && s.owns(runtime_.now());
   leaseValidity_ = s;
-  if (back && loaded_) requestRound(true);
+  if (back && loaded_) requestPlacementRound(true);
 }
 
 void ShardScheduler::jobChanged(const JobId& id) {
@@ -130,7 +130,7 @@
   loadReporter_.workArrived(now, std::min(job.unfinished().cores, team ? team->coreQuota : 0),
                             job.spec->spotAllowed);
   log_->debug("job {} came: {} tasks of {} cores", id.value, job.tasks.size(), job.spec->each.cores);
-  requestRound(true);
+  requestPlacementRound(true);
 }
 
 void ShardScheduler::machineChanged(const MachineId& id) {
@@ -163,7 +163,7 @@
   roundScope_.machines.erase(id);
   failures_.forget(id);
   state_.removeMachine(id);
-  if (held) requestRound(true);
+  if (held) requestPlacementRound(true);
 }
 
 std::optional<wire::JobView> ShardScheduler::poll(const JobId& id) const {
@@ -189,14 +189,14 @@
   j->cancelWaiters.push_back(std::move(done));
   if (!j->finished()) j->cancelRequested = true;
   ending_.insert(id);
-  requestRound(false);
+  requestPlacementRound(false);
   return true;
 }
 
 void ShardScheduler::returnToPreferredOwner(const ControllerId& to) {
   if (!loaded_ || transferringTo_) return;
   transferringTo_ = to;
-  requestRound(false);
+  requestPlacementRound(false);
 }
 
 // --- upkeep ---
@@ -223,10 +223,10 @@
   bool due = std::any_of(state_.jobs().begin(), state_.jobs().end(), [&](const auto& j) {
     return !j.second.waiting.empty() && j.second.notBefore > now - 2 * kTick && j.second.notBefore <= now;
   });
-  if (due) requestRound(true);
+  if (due) requestPlacementRound(true);
   bool toWrite = !unwrittenTasks_.empty() || !ending_.empty() || jobMigration_.cleanupsPlanned() ||
                  taskDelegation_.anyPlanned();
-  if (toWrite || delegatedTasks_.anyReturnable(now)) requestRound(false);
+  if (toWrite || delegatedTasks_.anyReturnable(now)) requestPlacementRound(false);
 }
 
 // Whoever stood still hears first what has been waiting, and judges nobody before. What went unanswered
--- a/src/scheduler/shard_scheduler.h
+++ b/src/scheduler/shard_scheduler.h
@@ -244,8 +244,8 @@
 
   // Placement rounds (placement_rounds.cpp).
   // Has the next round consider all machines with capacity, or beside others the one that reported.
-  void requestRound(bool allMachines, const MachineId* reportedMachine = nullptr);
-  void runRound();
+  void requestPlacementRound(bool allMachines, const MachineId* reportedMachine = nullptr);
+  void runPlacementRound();
   void placePendingJobs();
   // Returns the jobs that found no capacity; those that had no turn stay in the list.
   std::vector<PendingJob> runTurns(std::vector<PendingJob>& pending);
@@ -258,7 +258,7 @@
   bool cancelDrains();
   // Gangs (gangs.cpp, invariant 19).
   // What each zone that the gang may be in has for it.
-  std::vector<policy::GangZone> gangZones(const Job& job) const;
+  std::vector<policy::GangZoneCapacity> gangZoneCapacities(const Job& job) const;
   // The attempt that all members share; nothing if the job is no gang.
   std::optional<Attempt> attemptForGang(const Job& job);
   // Places all members or none. False: it found no capacity; true also if it must not be tried yet.
@@ -283,7 +283,7 @@
   void preempt(const std::vector<PendingJob>& blocked);
   void preemptForTasks(const PendingJob& pending, PreemptionRound& round);
   void preemptForGang(const PendingJob& pending, PreemptionRound& round);
-  void carryOut(const PlannedEviction& eviction, const PendingJob& pending, PreemptionRound& round);
+  void applyEviction(const PlannedEviction& eviction, const PendingJob& pending, PreemptionRound& round);
   // How long the job still waits for others to end by themselves.
   Duration timeUntilPreemption(const PendingJob& pending) const;
   void schedulePreemption(Duration wait);
--- a/src/scheduler/task_delegation_delegate.cpp
+++ b/src/scheduler/task_delegation_delegate.cpp
@@ -54,7 +54,7 @@
     if (delegatedTasks_.returnedSince(id, entry.version)) return;
     if (!delegation || entry.status != JobStatus::Open || !entry.spec) return;
     acceptDelegation(id, entry, *delegation);
-    requestRound(true);
+    requestPlacementRound(true);
     return;
   }
   if (!job->delegation || job->status != JobStatus::Open) return;
@@ -75,7 +75,7 @@
   std::set<MachineId> machines;
   stopTasks(job, machines);
   sendCommandsToAll(machines);
-  requestRound(false);
+  requestPlacementRound(false);
 }
 
 void ShardScheduler::cancelDelegated(Job& job) {
@@ -86,7 +86,7 @@
   stopTasks(job, machines);
   if (Job* remaining = state_.job(id)) cleanUp(*remaining);
   sendCommandsToAll(machines);
-  requestRound(true);
+  requestPlacementRound(true);
 }
 
 // --- what went back to the owner ---
--- a/src/scheduler/task_delegation_owner.cpp
+++ b/src/scheduler/task_delegation_owner.cpp
@@ -31,7 +31,7 @@
     bool splitGang = job->isGang() && job->remote > 0;
     if (splitGang) planRecall(*job);  // the members here found no capacity after all
     if (splitGang || planDelegations(*job, now))
-      requestRound(false);
+      requestPlacementRound(false);
     else
       request.jobs.push_back(taskCapacityNeed(*job));
   }
@@ -115,7 +115,7 @@
   completeGangIfDone(job);
   if (!returned->unfinished.empty()) handleGangMemberLost(job);
   endIfFinished(job);
-  if (returned->any()) requestRound(true);
+  if (returned->any()) requestPlacementRound(true);
 }
 
 }  // namespace cherryloft
--- a/src/scheduler/task_failures.cpp
+++ b/src/scheduler/task_failures.cpp
@@ -89,7 +89,7 @@
     if (!machine) continue;
     failures_.keptRunning(id, machine->id, now);
     quarantineFaulty(id);
-    requestRound(true);
+    requestPlacementRound(true);
   }
 }
 
--- a/tests/unit/gang_test.cpp
+++ b/tests/unit/gang_test.cpp
@@ -14,23 +14,23 @@
 }
 
 TEST(Gang, OnlyZonesWithCapacityForAllMembersAreTried) {
-  EXPECT_TRUE(zonesToTry({{Zone{"a"}, 3, 3, 1}, {Zone{"b"}, 2, 0, 1}}, 4).empty());
-  EXPECT_EQ(namesOf(zonesToTry({{Zone{"a"}, 3, 3, 1}, {Zone{"b"}, 4, 0, 9}}, 4)),
+  EXPECT_TRUE(rankZones({{Zone{"a"}, 3, 3, 1}, {Zone{"b"}, 2, 0, 1}}, 4).empty());
+  EXPECT_EQ(namesOf(rankZones({{Zone{"a"}, 3, 3, 1}, {Zone{"b"}, 4, 0, 9}}, 4)),
             (std::vector<std::string>{"b"}));
 }
 
 // A gang starts with its slowest member: a zone where most find the image is no better than one where none
 // does.
 TEST(Gang, TheSlowestMemberDecidesThenTheCapacityThatIsLeft) {
-  auto order = zonesToTry({{Zone{"most"}, 20, 3, 4}, {Zone{"all"}, 4, 4, 4}, {Zone{"quick"}, 5, 0, 2}}, 4);
+  auto order = rankZones({{Zone{"most"}, 20, 3, 4}, {Zone{"all"}, 4, 4, 4}, {Zone{"quick"}, 5, 0, 2}}, 4);
   EXPECT_EQ(namesOf(order), (std::vector<std::string>{"all", "quick", "most"}));
-  order = zonesToTry({{Zone{"little"}, 5, 0, 2}, {Zone{"much"}, 50, 0, 2}}, 4);
+  order = rankZones({{Zone{"little"}, 5, 0, 2}, {Zone{"much"}, 50, 0, 2}}, 4);
   EXPECT_EQ(namesOf(order), (std::vector<std::string>{"much", "little"}));
 }
 
 TEST(Gang, ProgressSinceTheLastCheckpointIsLost) {
-  EXPECT_DOUBLE_EQ(lostSinceCheckpoint(47, 20), 7);
-  EXPECT_DOUBLE_EQ(lostSinceCheckpoint(47, 0), 47);
+  EXPECT_DOUBLE_EQ(progressSinceCheckpoint(47, 20), 7);
+  EXPECT_DOUBLE_EQ(progressSinceCheckpoint(47, 0), 47);
 }
 
 }  // namespace
--- a/tests/unit/policy_test.cpp
+++ b/tests/unit/policy_test.cpp
@@ -22,9 +22,9 @@
   // Fewer than one machine with room counts as one in beta.
   beta = 0.1 + 0.9 * (1 - std::exp(-2.0));
   EXPECT_NEAR(couplingProbability(1.0, {0.5, 0.5}, 2), 1 - std::pow(0.5, beta) * (1 - std::exp(-0.5)), 1e-12);
-  EXPECT_DOUBLE_EQ(alphaOf(ImageLocality::InZoneWithJobTasks), 0.7);
-  EXPECT_DOUBLE_EQ(alphaOf(ImageLocality::InZone), 0.8);
-  EXPECT_DOUBLE_EQ(alphaOf(ImageLocality::OutsideZone), 1.0);
+  EXPECT_DOUBLE_EQ(localityAlpha(ImageLocality::InZoneWithJobTasks), 0.7);
+  EXPECT_DOUBLE_EQ(localityAlpha(ImageLocality::InZone), 0.8);
+  EXPECT_DOUBLE_EQ(localityAlpha(ImageLocality::OutsideZone), 1.0);
 }
 
 TEST(Coupling, SampleIsWithoutReplacement) {
@@ -102,29 +102,31 @@
                   {"l", {32, 0, 128}, 50, 1, 2.18, 0.61, 20, {Zone{"a"}, Zone{"b"}}}};
   ShardFleet f;
   f.spotAllowed = {0, 32, 0, 0, 0, 4, 0, 1, {}, {}};
-  auto t = targets(f, catalog, 0, 0);
+  auto t = computeCapacityTargets(f, catalog, 0, 0);
   auto w = nextScaleOut(f, t, catalog, {});
   ASSERT_TRUE(w);
-  EXPECT_TRUE(w->offer.spot);
-  EXPECT_EQ(w->offer.type, "s");
+  EXPECT_TRUE(w->offering.spot);
+  EXPECT_EQ(w->offering.type, "s");
   auto none =
       nextScaleOut(f, t, catalog, {{"s", Zone{"a"}, true}, {"l", Zone{"a"}, true}, {"l", Zone{"b"}, true}});
   ASSERT_TRUE(none);
-  EXPECT_FALSE(none->offer.spot);  // ordinary when no spot machine is to be had
-  f.spotAllowed.ramPerCore = 3;    // now memory decides: the small type holds few tasks
-  EXPECT_EQ(nextScaleOut(f, t, catalog, {})->offer.type, "l");
+  EXPECT_FALSE(none->offering.spot);  // ordinary when no spot machine is to be had
+  f.spotAllowed.ramPerCore = 3;       // now memory decides: the small type holds few tasks
+  EXPECT_EQ(nextScaleOut(f, t, catalog, {})->offering.type, "l");
   f.spotAllowed = {};
   f.machines = {{"l", Zone{"a"}, true, 32, true, 60, 0, 100},
                 {"l", Zone{"a"}, false, 32, true, 60, 0, 100},
                 {"s", Zone{"a"}, false, 8, true, 2, 0, 100}};
-  auto go = machineToRelease(f, targets(f, catalog, 0, 0), catalog, 10, 1000);
+  auto go = machineToRelease(f, computeCapacityTargets(f, catalog, 0, 0), catalog, 10, 1000);
   ASSERT_TRUE(go);
   EXPECT_EQ(*go, 1U);
   f.machines[1].ageS = 30;  // the cloud charges a minute whatever happens
-  EXPECT_NE(machineToRelease(f, targets(f, catalog, 0, 0), catalog, 10, 1000), std::optional<std::size_t>(1));
+  EXPECT_NE(machineToRelease(f, computeCapacityTargets(f, catalog, 0, 0), catalog, 10, 1000),
+            std::optional<std::size_t>(1));
   f.machines[1].ageS = 100;
   f.onDemandOnly.used = 40;  // all ordinary machines are needed
-  EXPECT_NE(machineToRelease(f, targets(f, catalog, 0, 0), catalog, 10, 1000), std::optional<std::size_t>(1));
+  EXPECT_NE(machineToRelease(f, computeCapacityTargets(f, catalog, 0, 0), catalog, 10, 1000),
+            std::optional<std::size_t>(1));
 }
 
 // Guards against a fleet that stays large after a burst: one busy machine a turn, and none while any is idle,
@@ -138,14 +140,14 @@
   f.machines[0].idleS = 5;
   f.machines[1].pinned = true;
   f.machines[2].usedCores = 1;
-  auto t = targets(f, catalog, 0, 0);
+  auto t = computeCapacityTargets(f, catalog, 0, 0);
   auto chosen = machinesToDrain(f, t, catalog, 60, 4);
   ASSERT_EQ(chosen.size(), 4U);
   EXPECT_EQ(chosen.front(), 2U);  // the least runs there
   EXPECT_EQ(std::count(chosen.begin(), chosen.end(), 0U) + std::count(chosen.begin(), chosen.end(), 1U), 0);
   // Nothing is emptied below what is needed, however many may be.
   auto all = machinesToDrain(f, t, catalog, 60, 20);
-  EXPECT_GE(coresOf(f) - 32.0 * static_cast<double>(all.size()), t.total);
+  EXPECT_GE(capacityCores(f) - 32.0 * static_cast<double>(all.size()), t.total);
   // Near the target, and in a small fleet, one at a time, and none while an idle machine can go.
   f.machines.resize(12, busy);
   f.machines[0].idleS = -1;
@@ -228,11 +230,11 @@
   JobSpec job;
   job.team = TeamId{"team-0"};
   job.each = {4, 0, 4};
-  EXPECT_FALSE(neverRuns(job, s, catalog));
+  EXPECT_FALSE(infeasibilityReason(job, s, catalog));
   auto bad = [&](auto f) {
     auto j = job;
     f(j);
-    return neverRuns(j, s, catalog).has_value();
+    return infeasibilityReason(j, s, catalog).has_value();
   };
   EXPECT_TRUE(bad([](auto& j) { j.team = TeamId{"nobody"}; }));
   EXPECT_TRUE(bad([](auto& j) { j.each.ram = 33; }));
--- a/tests/unit/scale_out_test.cpp
+++ b/tests/unit/scale_out_test.cpp
@@ -62,14 +62,14 @@
 TEST_F(RentalsTest, AnOfferWithoutCapacityIsRefusedForEverLonger) {
   scaleOut.start(ShardId{1}, request);
   runtime.answer(0, 503, kNoCapacity);
-  EXPECT_EQ(scaleOut.refused().count(request.offer), 1U);
+  EXPECT_EQ(scaleOut.refused().count(request.offering), 1U);
   runtime.clock.run(runtime.clock.now() + 9'100);
   EXPECT_TRUE(scaleOut.refused().empty());
   scaleOut.start(ShardId{1}, request);
   EXPECT_NE(runtime.claim(0), runtime.claim(1));
   runtime.answer(1, 503, kNoCapacity);
   runtime.clock.run(runtime.clock.now() + 15'000);
-  EXPECT_EQ(scaleOut.refused().count(request.offer), 1U);
-  scaleOut.offeringAvailable(request.offer);
+  EXPECT_EQ(scaleOut.refused().count(request.offering), 1U);
+  scaleOut.offeringAvailable(request.offering);
   EXPECT_TRUE(scaleOut.refused().empty());
 }
