--- a/src/policy/order.cpp
+++ b/src/policy/order.cpp
@@ -1,4 +1,4 @@
-#include "policy/order.h"
+#include "policy/placement_order.h"
 
 #include <limits>
 
--- a/src/scheduler/pending_jobs.h
+++ b/src/scheduler/pending_jobs.h
@@ -3,7 +3,7 @@
 
 #include <vector>
 
-#include "policy/order.h"
+#include "policy/placement_order.h"
 #include "scheduler/shard_state.h"
 
 namespace cherryloft {
--- a/tests/unit/policy_test.cpp
+++ b/tests/unit/policy_test.cpp
@@ -6,7 +6,7 @@
 #include "policy/admission.h"
 #include "policy/autoscaling.h"
 #include "policy/coupling.h"
-#include "policy/order.h"
+#include "policy/placement_order.h"
 #include "policy/preempt.h"
 #include "world/world.h"
 
