--- a/src/policy/preempt.cpp
+++ b/src/policy/preempt.cpp
@@ -1,4 +1,4 @@
-#include "policy/preempt.h"
+#include "policy/preemption.h"
 
 #include <algorithm>
 #include <numeric>
--- a/src/scheduler/eviction_planner.h
+++ b/src/scheduler/eviction_planner.h
@@ -10,7 +10,7 @@
 #include <set>
 #include <vector>
 
-#include "policy/preempt.h"
+#include "policy/preemption.h"
 #include "scheduler/pending_jobs.h"
 #include "scheduler/placement_constraints.h"
 
--- a/tests/unit/policy_test.cpp
+++ b/tests/unit/policy_test.cpp
@@ -7,7 +7,7 @@
 #include "policy/autoscaling.h"
 #include "policy/coupling.h"
 #include "policy/placement_order.h"
-#include "policy/preempt.h"
+#include "policy/preemption.h"
 #include "world/world.h"
 
 using namespace cherryloft;
