--- a/src/policy/admission.h
+++ b/src/policy/admission.h
@@ -1,4 +1,4 @@
-// What can never run (422), and why.
+// Admission control: rejects jobs that no shard could ever run (HTTP 422).
 #pragma once
 
 #include <optional>
@@ -9,6 +9,7 @@
 
 namespace cherryloft::policy {
 
+// Why the job can never run, as told to the user; nothing if it can.
 std::optional<std::string> infeasibilityReason(const JobSpec& job, const Settings& settings,
                                                const Catalog& catalog);
 
--- a/src/policy/autoscaling.cpp
+++ b/src/policy/autoscaling.cpp
@@ -7,17 +7,19 @@
 namespace cherryloft::policy {
 namespace {
 
-constexpr double kEnough = 0.5;        // cores
-constexpr double kIdleBoots = 1.0;     // boot times for which an idle machine is kept
-constexpr double kPaidS = 55;          // the cloud charges a minute at least
-constexpr double kMaxPerRequest = 50;  // machines that one request may ask for
-constexpr double kSurplus =
-    0.1;  // fraction of the total that must be left over before a busy machine is drained
-// A fleet is far too large beyond so many times what is there and comes, and some machines: in a small one
-// replicas would move in vain.
+constexpr double kShortageTolerance = 0.5;  // cores below a target that trigger no request
+constexpr double kIdleBootTimes = 1.0;      // boot times for which an idle machine is kept
+constexpr double kMinBilledS = 55;          // the cloud charges for at least one minute
+constexpr double kMaxPerRequest = 50;       // machines in one request
+// Headroom above the target that must remain when a machine is given up, as a fraction of the target: in a
+// small fleet, and in a large one, where two machines are added.
+constexpr double kHeadroomSmallFleet = 0.1;
+constexpr double kHeadroomLargeFleet = 0.02;
+constexpr double kHeadroomMachines = 2;
+// Several machines are drained at a time only if the capacity exceeds this multiple of the target by a number
+// of machines as well: in a small fleet replicas would be moved for no gain.
 constexpr double kOversizedFactor = 1.35;
 constexpr double kOversizedMachines = 8;
-constexpr double kSteadySurplus = 0.02;  // the same in a large fleet, and two machines
 
 struct Capacity {
   double onDemand = 0;  // cores
@@ -31,15 +33,15 @@
   return capacity;
 }
 
-// What must be left over before a machine is given up: a tenth in a small fleet, hardly more than two
-// machines in a large one, whose load is steadier.
-double surplus(double total, const Catalog& catalog) {
+// Headroom above a target of `total` cores that must remain when a machine is given up: a tenth in a small
+// fleet, little more than two machines in a large one, whose load is steadier.
+double headroom(double total, const Catalog& catalog) {
   double largest = 0;
   for (const auto& type : catalog) largest = std::max(largest, type.size.cores);
-  return std::min(kSurplus * total, kSteadySurplus * total + 2 * largest);
+  return std::min(kHeadroomSmallFleet * total, kHeadroomLargeFleet * total + kHeadroomMachines * largest);
 }
 
-// Cores of a machine that such work can fill before its memory is full.
+// Cores of a machine that the workload can use before its memory is exhausted; 0 if a task does not fit.
 double usableCores(const MachineType& type, const Workload& workload) {
   if (workload.largestTask > type.size.cores + 1e-9 ||
       workload.largestTask * workload.ramPerCore > type.size.ram + 1e-9)
@@ -48,38 +50,41 @@
                                  : type.size.cores;
 }
 
-bool listed(const Workload& workload, const std::string& type) {
+bool allowsType(const Workload& workload, const std::string& type) {
   return workload.types.empty() ||
          std::find(workload.types.begin(), workload.types.end(), type) != workload.types.end();
 }
 
-std::optional<ScaleOutRequest> cheapest(const ShardFleet& fleet, const Workload& workload, double missing,
-                                        bool spot, const Catalog& catalog,
-                                        const std::set<InstanceOffering>& unavailable) {
-  std::map<Zone, double> inZone;  // cores of that kind
+// The cheapest available offering for the missing cores; of equally cheap ones, in the zone with
+// fewest cores.
+std::optional<ScaleOutRequest> cheapestRequest(const ShardFleet& fleet, const Workload& workload,
+                                               double missing, bool spot, const Catalog& catalog,
+                                               const std::set<InstanceOffering>& unavailable) {
+  std::map<Zone, double> zoneCores;  // on machines of the same kind, spot or on-demand
   for (const auto& machine : fleet.machines)
-    if (machine.spot == spot) inZone[machine.zone] += machine.cores;
+    if (machine.spot == spot) zoneCores[machine.zone] += machine.cores;
   std::optional<ScaleOutRequest> best;
   double bestCost = 0;
-  double bestZone = 0;
+  double bestZoneCores = 0;
   for (const auto& type : catalog) {
-    double usable = listed(workload, type.name) ? usableCores(type, workload) : 0;
+    double usable = allowsType(workload, type.name) ? usableCores(type, workload) : 0;
     if (usable <= 0) continue;
     double price = spot ? type.spotPrice : type.price;
-    // A machine larger than what is missing is worth its rest only in part.
-    double worth = std::min(usable, missing) + 0.5 * std::max(0.0, usable - missing);
-    double cost = price / worth;
+    // Cores beyond the missing ones count half.
+    double effectiveCores = std::min(usable, missing) + 0.5 * std::max(0.0, usable - missing);
+    double cost = price / effectiveCores;
     for (const auto& zone : type.zones) {
       InstanceOffering offering{type.name, zone, spot};
       if (unavailable.count(offering) > 0) continue;
-      bool better = !best || cost < bestCost - 1e-12 || (cost < bestCost + 1e-12 && inZone[zone] < bestZone);
+      bool better =
+          !best || cost < bestCost - 1e-12 || (cost < bestCost + 1e-12 && zoneCores[zone] < bestZoneCores);
       if (!better) continue;
-      // Part of it only, so that the zones fill evenly.
-      auto part = missing / usable / static_cast<double>(type.zones.size());
-      auto count = static_cast<unsigned>(std::clamp(std::floor(part), 1.0, kMaxPerRequest));
+      // Requests only one zone's share, so that capacity spreads evenly over zones.
+      auto zoneShare = missing / usable / static_cast<double>(type.zones.size());
+      auto count = static_cast<unsigned>(std::clamp(std::floor(zoneShare), 1.0, kMaxPerRequest));
       best = ScaleOutRequest{offering, count, usable * count};
       bestCost = cost;
-      bestZone = inZone[zone];
+      bestZoneCores = zoneCores[zone];
     }
   }
   return best;
@@ -88,38 +93,39 @@
 }  // namespace
 
 CapacityTargets computeCapacityTargets(const ShardFleet& fleet, const Catalog& catalog, double spareFraction,
-                                       double patienceS) {
+                                       double maxQueueWaitS) {
   double bootS = 0;
-  double ratio = 0;  // of ordinary to spot price
+  double priceRatio = 0;  // on-demand to spot price, the highest of all types
   for (const auto& type : catalog) {
     bootS += type.bootS / static_cast<double>(catalog.size());
-    if (type.spotPrice > 0) ratio = std::max(ratio, type.price / type.spotPrice);
+    if (type.spotPrice > 0) priceRatio = std::max(priceRatio, type.price / type.spotPrice);
   }
-  double need = fleet.onDemandOnly.used + fleet.onDemandOnly.waiting + fleet.spotAllowed.used +
-                fleet.spotAllowed.waiting;
+  double demand = fleet.onDemandOnly.used + fleet.onDemandOnly.waiting + fleet.spotAllowed.used +
+                  fleet.spotAllowed.waiting;
   CapacityTargets target;
   target.onDemand = fleet.onDemandOnly.used + fleet.onDemandOnly.waiting + fleet.onDemandOnly.largestTask +
                     fleet.onDemandOnly.arriving * bootS;
-  // Arrays end about as fast as they come, so what is there tells what will be needed.
-  target.total = need + fleet.onDemandOnly.arriving * bootS + fleet.onDemandOnly.largestTask +
+  // Work that may use spot machines finishes about as fast as it arrives, so its arrivals are not added.
+  target.total = demand + fleet.onDemandOnly.arriving * bootS + fleet.onDemandOnly.largestTask +
                  fleet.spotAllowed.largestTask;
   double spotWork = fleet.spotAllowed.used + fleet.spotAllowed.waiting;
   double largest = 0;
   for (const auto& type : catalog) largest = std::max(largest, type.size.cores);
-  target.busy = kOversizedFactor * target.total + kOversizedMachines * largest;
-  target.totalWithSpot = target.total + spotWork * spareFraction * std::max(0.0, ratio - 1);
-  // What is there, or about to be, frees capacity at least as fast as its tasks take on average.
+  target.bulkDrainThreshold = kOversizedFactor * target.total + kOversizedMachines * largest;
+  target.totalWithSpot = target.total + spotWork * spareFraction * std::max(0.0, priceRatio - 1);
+  // Tasks free capacity at least as fast as their mean run time implies for the present or booting machines.
   double turnover = fleet.spotAllowed.departing;
   if (fleet.spotAllowed.runS > 0)
     turnover = std::max(turnover, std::min(spotWork, capacityCores(fleet) - fleet.onDemandOnly.used) /
                                       fleet.spotAllowed.runS);
-  target.total -= std::clamp(turnover * patienceS, 0.0, spotWork);
+  target.total -= std::clamp(turnover * maxQueueWaitS, 0.0, spotWork);
   return target;
 }
 
 bool isBelowTarget(const ShardFleet& fleet, const CapacityTargets& target) {
   auto have = capacityOf(fleet);
-  return target.onDemand - have.onDemand > kEnough || target.total - have.onDemand - have.spot > kEnough;
+  return target.onDemand - have.onDemand > kShortageTolerance ||
+         target.total - have.onDemand - have.spot > kShortageTolerance;
 }
 
 std::optional<ScaleOutRequest> nextScaleOut(const ShardFleet& fleet, const CapacityTargets& target,
@@ -127,41 +133,42 @@
                                             const std::set<InstanceOffering>& unavailable) {
   auto have = capacityOf(fleet);
   for (const auto* workload : {&fleet.onDemandOnly, &fleet.spotAllowed}) {
-    auto covered = [&](const Zone& zone) {
+    auto hasCapacityIn = [&](const Zone& zone) {
       return std::any_of(fleet.machines.begin(), fleet.machines.end(), [&](const auto& machine) {
-        // One that boots is not used yet; those that are up and full help nobody.
+        // Booting machines have no used cores yet and qualify; full machines do not.
         return machine.countsAsCapacity && machine.zone == zone &&
                (!machine.spot || workload == &fleet.spotAllowed) &&
                machine.cores - machine.usedCores >= workload->largestTask - kResourceSlack;
       });
     };
     if (workload->stuckZones.empty() ||
-        std::any_of(workload->stuckZones.begin(), workload->stuckZones.end(), covered))
+        std::any_of(workload->stuckZones.begin(), workload->stuckZones.end(), hasCapacityIn))
       continue;
-    auto elsewhere = unavailable;
+    auto excluded = unavailable;
     for (const auto& type : catalog)
       for (const auto& zone : type.zones)
         for (bool spot : {false, true})
           if (std::find(workload->stuckZones.begin(), workload->stuckZones.end(), zone) ==
               workload->stuckZones.end())
-            elsewhere.insert({type.name, zone, spot});
-    if (auto request = cheapest(fleet, *workload, workload->largestTask, false, catalog, elsewhere))
+            excluded.insert({type.name, zone, spot});
+    if (auto request = cheapestRequest(fleet, *workload, workload->largestTask, false, catalog, excluded))
       return request;
   }
-  if (target.onDemand - have.onDemand > kEnough) {
-    auto request =
-        cheapest(fleet, fleet.onDemandOnly, target.onDemand - have.onDemand, false, catalog, unavailable);
+  if (target.onDemand - have.onDemand > kShortageTolerance) {
+    auto request = cheapestRequest(fleet, fleet.onDemandOnly, target.onDemand - have.onDemand, false, catalog,
+                                   unavailable);
     if (request) return request;
   }
-  double all = have.onDemand + have.spot;
-  const auto& kind = fleet.spotAllowed.used + fleet.spotAllowed.waiting + fleet.spotAllowed.arriving > 0
-                         ? fleet.spotAllowed
-                         : fleet.onDemandOnly;
-  if (&kind == &fleet.spotAllowed && target.totalWithSpot - all > kEnough)
-    if (auto request = cheapest(fleet, kind, target.totalWithSpot - all, true, catalog, unavailable))
+  double capacity = have.onDemand + have.spot;
+  const auto& workload = fleet.spotAllowed.used + fleet.spotAllowed.waiting + fleet.spotAllowed.arriving > 0
+                             ? fleet.spotAllowed
+                             : fleet.onDemandOnly;
+  if (&workload == &fleet.spotAllowed && target.totalWithSpot - capacity > kShortageTolerance)
+    if (auto request =
+            cheapestRequest(fleet, workload, target.totalWithSpot - capacity, true, catalog, unavailable))
       return request;
-  if (target.total - all <= kEnough) return std::nullopt;
-  return cheapest(fleet, kind, target.total - all, false, catalog, unavailable);
+  if (target.total - capacity <= kShortageTolerance) return std::nullopt;
+  return cheapestRequest(fleet, workload, target.total - capacity, false, catalog, unavailable);
 }
 
 double capacityCores(const ShardFleet& fleet) {
@@ -177,28 +184,31 @@
                                                   const Catalog& catalog,
                                                   const std::set<InstanceOffering>& unavailable,
                                                   double minAgeS) {
-  constexpr double kWorthReplacing = 0.6;  // of the price, at most
+  constexpr double kMaxPriceFraction = 0.6;  // of the replaced machine's price
+  constexpr unsigned kMaxReplacements = 4;   // machines that replace one
   auto have = capacityOf(fleet);
   for (const auto& machine : fleet.machines) {
     const auto* type = findType(catalog, machine.type);
     if (machine.spot || machine.pinned || !machine.countsAsCapacity || !type || machine.ageS < minAgeS)
       continue;
-    double missing =
-        std::max(target.onDemand - (have.onDemand - machine.cores),
-                 target.total + surplus(target.total, catalog) - (have.onDemand + have.spot - machine.cores));
-    if (missing <= kEnough) continue;
-    auto request = cheapest(fleet, fleet.onDemandOnly, missing, false, catalog, unavailable);
+    double missing = std::max(
+        target.onDemand - (have.onDemand - machine.cores),
+        target.total + headroom(target.total, catalog) - (have.onDemand + have.spot - machine.cores));
+    if (missing <= kShortageTolerance) continue;
+    auto request = cheapestRequest(fleet, fleet.onDemandOnly, missing, false, catalog, unavailable);
     const auto* small = request ? findType(catalog, request->offering.type) : nullptr;
     if (!small) continue;
     request->count = static_cast<unsigned>(std::ceil(missing / small->size.cores - 1e-9));
     request->cores = request->count * small->size.cores;
-    if (request->count <= 4 && small->price * request->count < kWorthReplacing * type->price) return request;
+    if (request->count <= kMaxReplacements && small->price * request->count < kMaxPriceFraction * type->price)
+      return request;
   }
   return std::nullopt;
 }
 
 std::optional<std::size_t> machineToRelease(const ShardFleet& fleet, const CapacityTargets& target,
-                                            const Catalog& catalog, double minIdleS, double spareSpot) {
+                                            const Catalog& catalog, double minIdleS,
+                                            double releasableSpotCores) {
   auto have = capacityOf(fleet);
   std::optional<std::size_t> best;
   double bestPrice = 0;
@@ -206,14 +216,14 @@
     const auto& machine = fleet.machines[i];
     if (!machine.countsAsCapacity || machine.idleS < minIdleS) continue;
     const auto* type = findType(catalog, machine.type);
-    // Where it is wanted again, another would have to boot, and is paid for meanwhile. A dear machine is not
-    // kept for that while there is plenty.
-    bool plenty = !machine.spot &&
-                  have.onDemand + have.spot - machine.cores > target.total + surplus(target.total, catalog);
-    double keepS = plenty ? 0 : kIdleBoots * (type ? type->bootS : 0);
-    if (minIdleS > 0 && (machine.idleS < keepS || machine.ageS < kPaidS)) continue;
+    // If the capacity were needed again, a new machine would have to boot, and would be paid for meanwhile.
+    // On-demand machines are not kept for that while there is ample capacity.
+    bool ampleCapacity = !machine.spot && have.onDemand + have.spot - machine.cores >
+                                              target.total + headroom(target.total, catalog);
+    double keepS = ampleCapacity ? 0 : kIdleBootTimes * (type ? type->bootS : 0);
+    if (minIdleS > 0 && (machine.idleS < keepS || machine.ageS < kMinBilledS)) continue;
     if (have.onDemand + have.spot - machine.cores < target.total ||
-        (machine.spot && machine.cores > spareSpot))
+        (machine.spot && machine.cores > releasableSpotCores))
       continue;
     if (!machine.spot && have.onDemand - machine.cores < target.onDemand) continue;
     double price =
@@ -226,17 +236,16 @@
 }
 
 std::vector<std::size_t> machinesToDrain(const ShardFleet& fleet, const CapacityTargets& target,
-                                         const Catalog& catalog, double minAgeS, std::size_t most) {
+                                         const Catalog& catalog, double minAgeS, std::size_t maxMachines) {
   bool anyIdle = machineToRelease(fleet, target, catalog, 0, capacityCores(fleet)).has_value();
   auto have = capacityOf(fleet);
-  std::vector<std::pair<double, std::size_t>> choices;  // what is gained by each
+  std::vector<std::pair<double, std::size_t>> choices;  // price per used core, index
   for (std::size_t i = 0; i < fleet.machines.size(); ++i) {
     const auto& machine = fleet.machines[i];
     if (!machine.countsAsCapacity) continue;
-    // Idle machines will go first; nothing need be moved for them.
+    // Idle machines are released first and need no draining: their capacity is not counted on.
     if (machine.idleS >= 0) (machine.spot ? have.spot : have.onDemand) -= machine.cores;
     if (machine.draining || machine.pinned || machine.idleS >= 0 || machine.ageS < minAgeS) continue;
-    // Dear machines with little on them first.
     if (const auto* type = findType(catalog, machine.type))
       choices.emplace_back((machine.spot ? type->spotPrice : type->price) / (machine.usedCores + 1), i);
   }
@@ -244,15 +253,15 @@
                    [](const auto& a, const auto& b) { return a.first > b.first; });
   std::vector<std::size_t> chosen;
   for (const auto& [_, i] : choices) {
-    if (chosen.size() >= most) break;
+    if (chosen.size() >= maxMachines) break;
     const auto& machine = fleet.machines[i];
-    double keep = machine.spot ? target.totalWithSpot : target.total;
-    double left = have.onDemand + have.spot - machine.cores;
-    if (left < keep + surplus(keep, catalog)) continue;
+    double required = machine.spot ? target.totalWithSpot : target.total;
+    double remaining = have.onDemand + have.spot - machine.cores;
+    if (remaining < required + headroom(required, catalog)) continue;
     if (!machine.spot && have.onDemand - machine.cores < target.onDemand) continue;
-    // Near the target one at a time: what is drained in vain is missed where work comes in bursts.
-    bool single = left < target.busy;
-    if (single && (anyIdle || !chosen.empty())) continue;
+    // Near the target one machine at a time: with bursty arrivals the capacity may soon be needed again.
+    bool oneAtATime = remaining < target.bulkDrainThreshold;
+    if (oneAtATime && (anyIdle || !chosen.empty())) continue;
     (machine.spot ? have.spot : have.onDemand) -= machine.cores;
     chosen.push_back(i);
   }
--- a/src/policy/autoscaling.h
+++ b/src/policy/autoscaling.h
@@ -1,4 +1,5 @@
-// Sizing the fleet of one shard: which instances to request, which idle machine to release.
+// Capacity planning for one shard: target capacity, instances to request, machines to drain or release. Pure
+// functions.
 #pragma once
 
 #include <optional>
@@ -10,93 +11,93 @@
 
 namespace cherryloft::policy {
 
-// The work of one kind in a shard. Cores unless said otherwise.
+// Demand for one class of capacity in a shard, in cores unless stated otherwise.
 struct Workload {
   double used = 0;
   double waiting = 0;
-  double arriving = 0;   // cores per second of late
-  double departing = 0;  // cores per second that came free of late
-  double runS = 0;       // how long tasks take, as their owners say
+  double arriving = 0;   // recent arrival rate, cores per second
+  double departing = 0;  // recent completion rate, cores per second
+  double runS = 0;       // mean run time of tasks, as declared by users
   double largestTask = 0;
-  double largestJob = 0;  // of those that came of late
+  double largestJob = 0;  // of the recent arrivals
   double ramPerCore = 0;
-  std::vector<std::string> types;  // empty: any
-  std::vector<Zone> stuckZones;    // where machines are missing for tasks that may go nowhere else
+  std::vector<std::string> types;  // allowed machine types; empty: any
+  std::vector<Zone> stuckZones;    // the only zones allowed for some waiting tasks, and short of machines
 };
 
-// A machine of a shard as the leader knows it.
+// A machine of a shard, as known to the leader.
 struct FleetMachine {
   std::string type;
   Zone zone;
   bool spot = false;
   double cores = 0;
-  bool countsAsCapacity = false;  // in use or about to be
-  double idleS = -1;              // negative: busy or not up
+  bool countsAsCapacity = false;  // in use, or booting and expected to be
+  double idleS = -1;              // negative: busy or not up yet
   double usedCores = 0;
   double ageS = 0;
   bool draining = false;
-  bool pinned = false;  // can'target be drained now
+  bool pinned = false;  // must not be drained at present
   MachineId id{};       // empty: still being provisioned
 };
 
-// A shard's work and its machines.
+// The demand and the machines of a shard.
 struct ShardFleet {
-  Workload onDemandOnly;  // that spot machines may not run
+  Workload onDemandOnly;  // work that must not run on spot machines
   Workload spotAllowed;
   std::vector<FleetMachine> machines;
 };
 
-// What a shard should have.
+// The capacity that a shard should have, in cores.
 struct CapacityTargets {
-  double onDemand = 0;       // cores of ordinary machines at least
-  double total = 0;          // cores in all, for which ordinary machines are requested too
-  double totalWithSpot = 0;  // cores in all as long as they are cheap
-  double busy = 0;           // cores in all above which several busy machines are drained at a time
+  double onDemand = 0;            // minimum on on-demand machines
+  double total = 0;               // minimum on all machines, with on-demand ones requested if necessary
+  double totalWithSpot = 0;       // on all machines, with only spot machines requested beyond `total`
+  double bulkDrainThreshold = 0;  // capacity above this: several busy machines are drained at a time
 };
-// Capacity for what is there, for what comes while a machine boots, and for one more task of each kind;
-// beyond that, the cheaper spot machines are, the more capacity is kept on them. Dear machines are not for
-// work that finds capacity on the cheap ones within its patience.
+// Covers the present demand, arrivals during one machine boot, and one more task of each kind. Adds spare
+// spot capacity in proportion to the discount of spot machines. Excludes from `total` the work that will find
+// capacity freed by finished tasks within `maxQueueWaitS`, so that no on-demand machine is requested for it.
 CapacityTargets computeCapacityTargets(const ShardFleet& fleet, const Catalog& catalog, double spareFraction,
-                                       double patienceS);
+                                       double maxQueueWaitS);
 
-// A kind of machine that the cloud offers in a zone.
+// A machine type in a zone, spot or on-demand, as offered by the cloud.
 struct InstanceOffering {
   std::string type;
   Zone zone;
   bool spot = false;
   friend auto operator<=>(const InstanceOffering&, const InstanceOffering&) = default;
 };
-// So many machines of one offering.
+// A request for a number of machines of one offering.
 struct ScaleOutRequest {
   InstanceOffering offering;
   unsigned count = 1;
-  double cores = 0;  // of all of them that the work can fill
+  double cores = 0;  // that the work can use, of all requested machines
 };
-// What ordinary machines would be requested for is not there.
+// Capacity is below a target for which on-demand machines are requested.
 bool isBelowTarget(const ShardFleet& fleet, const CapacityTargets& target);
-// The next scale-out request, or nothing when the computeCapacityTargets are met or nothing fitting is on
-// offering.
+// The next scale-out request; nothing if the targets are met or no suitable offering is available.
 std::optional<ScaleOutRequest> nextScaleOut(const ShardFleet& fleet, const CapacityTargets& target,
                                             const Catalog& catalog,
                                             const std::set<InstanceOffering>& unavailable);
 
-// Index of an idle machine that may go, the dearest first; nothing if all are needed. Of spot machines,
-// spareSpot cores in all may go.
+// Index of the most expensive idle machine that can be released; nothing if all are needed. A spot machine is
+// released only if it has at most `releasableSpotCores`.
 std::optional<std::size_t> machineToRelease(const ShardFleet& fleet, const CapacityTargets& target,
-                                            const Catalog& catalog, double minIdleS, double spareSpot);
-// A small ordinary machine to put in the place of a large one that little runs on.
+                                            const Catalog& catalog, double minIdleS,
+                                            double releasableSpotCores);
+// A request for smaller on-demand machines that can replace an oversized one at a much lower price.
 std::optional<ScaleOutRequest> cheaperReplacement(const ShardFleet& fleet, const CapacityTargets& target,
                                                   const Catalog& catalog,
                                                   const std::set<InstanceOffering>& unavailable,
                                                   double minAgeS);
-// Of all machines that count.
+// The cores of all machines that count as capacity.
 double capacityCores(const ShardFleet& fleet);
-// How much of what a shard wants it lacks: 1 is balance.
+// Target over present capacity: 1 if they are equal, more if the shard lacks capacity.
 double targetToCapacityRatio(const ShardFleet& fleet, const CapacityTargets& target);
 
-// Indices of busy machines that should take no more work, as the others have capacity enough for all without
-// those that are idle: the dearest for what runs on them first, and at most so many.
+// Indices of at most `maxMachines` busy machines that can be drained because the remaining ones, without the
+// idle machines, have sufficient capacity. Highest price per used core first.
 std::vector<std::size_t> machinesToDrain(const ShardFleet& fleet, const CapacityTargets& target,
-                                         const Catalog& catalog, double minAgeS, std::size_t most);
+                                         const Catalog& catalog, double minAgeS, std::size_t maxMachines);
 
 }  // namespace cherryloft::policy
--- a/src/policy/coupling.cpp
+++ b/src/policy/coupling.cpp
@@ -32,13 +32,13 @@
     std::iota(all.begin(), all.end(), std::size_t{0});
     return all;
   }
-  std::set<std::size_t> picked;
+  std::set<std::size_t> sampled;
   for (std::size_t last = population - count; last < population; ++last) {
     auto drawn = std::uniform_int_distribution<std::size_t>(0, last)(rng);
-    bool isNew = picked.insert(drawn).second;
-    if (!isNew) picked.insert(last);
+    bool inserted = sampled.insert(drawn).second;
+    if (!inserted) sampled.insert(last);
   }
-  return {picked.begin(), picked.end()};
+  return {sampled.begin(), sampled.end()};
 }
 
 }  // namespace cherryloft::policy
--- a/src/policy/gang.cpp
+++ b/src/policy/gang.cpp
@@ -7,20 +7,20 @@
 
 std::vector<Zone> rankZones(std::vector<GangZoneCapacity> zones, std::uint32_t members) {
   std::erase_if(zones, [&](const GangZoneCapacity& zone) { return zone.capacity < members; });
-  auto slowestFetch = [&](const GangZoneCapacity& zone) {
+  auto slowestFetchSeconds = [&](const GangZoneCapacity& zone) {
     return zone.capacityWithImage >= members ? 0 : zone.fetchSeconds;
   };
   std::stable_sort(zones.begin(), zones.end(),
                    [&](const GangZoneCapacity& left, const GangZoneCapacity& right) {
-                     double leftFetch = slowestFetch(left);
-                     double rightFetch = slowestFetch(right);
+                     double leftFetch = slowestFetchSeconds(left);
+                     double rightFetch = slowestFetchSeconds(right);
                      if (leftFetch != rightFetch) return leftFetch < rightFetch;
                      return left.capacity > right.capacity;
                    });
-  std::vector<Zone> order;
-  order.reserve(zones.size());
-  for (const auto& zone : zones) order.push_back(zone.zone);
-  return order;
+  std::vector<Zone> ranked;
+  ranked.reserve(zones.size());
+  for (const auto& zone : zones) ranked.push_back(zone.zone);
+  return ranked;
 }
 
 double progressSinceCheckpoint(double ranSeconds, double checkpointIntervalSeconds) {
--- a/src/policy/placement_order.h
+++ b/src/policy/placement_order.h
@@ -7,21 +7,22 @@
 
 namespace cherryloft::policy {
 
-// What decides on a pending job's place in the order.
+// The sort key of a pending job.
 struct PlacementOrderKey {
-  bool firstStartOverdue = false;  // waited too long for its first start: before all others, for one turn
+  bool firstStartOverdue = false;  // waited too long for its first start: sorts first, for one turn
   PriorityClass priority = PriorityClass::Normal;
-  bool withinGuarantee = false;        // fits its team's guarantee along with the team's earlier jobs
-  bool objectiveFeasible = true;       // may still meet its deadline, or the tightest objective of its class
-  unsigned teamTurns = 0;              // turns its team had in this round
-  std::optional<double> slackSeconds;  // until the deadline, less the expected run time
-  double remainingCoreSeconds = 0;     // of work
-  double ageSeconds = 0;               // since submission
+  bool withinGuarantee = false;        // its team's guarantee covers it along with the team's earlier jobs
+  bool objectiveFeasible = true;       // can still meet its deadline, or the tightest objective of its class
+  unsigned teamTurns = 0;              // turns of its team's jobs in this round
+  std::optional<double> slackSeconds;  // until the deadline, minus the expected run time
+  double remainingCoreSeconds = 0;
+  double ageSeconds = 0;  // since submission
 };
 
-// Whether the job of `left` goes before that of `right`. In order of weight: an overdue first start,
-// priority, guarantee before borrowed capacity, feasible objectives, the team with fewer turns, least
-// deadline slack (jobs without a deadline last), least remaining work, age. A strict weak order.
+// Whether the job of `left` is placed before that of `right`. Criteria, the most significant first: overdue
+// first start, higher priority, guaranteed before borrowed capacity, feasible objective, fewer turns of the
+// team, least deadline slack (jobs without a deadline last), least remaining work, greatest age. A strict
+// weak ordering.
 [[nodiscard]] bool precedes(const PlacementOrderKey& left, const PlacementOrderKey& right);
 
 }  // namespace cherryloft::policy
--- a/src/policy/preemption.cpp
+++ b/src/policy/preemption.cpp
@@ -6,14 +6,14 @@
 namespace cherryloft::policy {
 namespace {
 
-constexpr double kLeastCores =
-    0.01;  // a task with fewer counts as having so many, so that it isn't free to stop
+// Lower bound for the cores that the cost is computed from: tasks with hardly any cores still have a cost.
+constexpr double kMinCostCores = 0.01;
 
 double lostCoreSeconds(const VictimCandidate& candidate) {
-  return candidate.lostSeconds * std::max(candidate.held.cores, kLeastCores);
+  return candidate.lostSeconds * std::max(candidate.allocated.cores, kMinCostCores);
 }
 
-std::vector<std::size_t> cheapestFirst(const std::vector<VictimCandidate>& candidates) {
+std::vector<std::size_t> indicesByCost(const std::vector<VictimCandidate>& candidates) {
   std::vector<std::size_t> order(candidates.size());
   std::iota(order.begin(), order.end(), std::size_t{0});
   std::stable_sort(order.begin(), order.end(), [&](std::size_t left, std::size_t right) {
@@ -34,15 +34,15 @@
   Resources available = free;
   VictimSelection selection;
   auto& victims = selection.victims;
-  for (auto index : cheapestFirst(candidates)) {
+  for (auto index : indicesByCost(candidates)) {
     if (needed.fitsIn(available)) break;
-    available += candidates[index].held;
+    available += candidates[index].allocated;
     victims.push_back(index);
   }
   if (!needed.fitsIn(available)) return std::nullopt;
-  // Spare the most expensive ones that later, larger victims made unnecessary.
+  // Drops victims made redundant by larger ones that were added later, the most expensive first.
   for (std::size_t position = victims.size(); position-- > 0;) {
-    auto without = available - candidates[victims[position]].held;
+    auto without = available - candidates[victims[position]].allocated;
     if (!needed.fitsIn(without)) continue;
     available = without;
     victims.erase(victims.begin() + static_cast<std::ptrdiff_t>(position));
