--- a/src/scheduler/eviction_planner.cpp
+++ b/src/scheduler/eviction_planner.cpp
@@ -8,17 +8,19 @@
 namespace cherryloft {
 namespace {
 
-constexpr double kServiceLossSeconds = 600;  // of work that moving a replica counts as
-constexpr double kGangLossSeconds = 120;     // the same for each member of a gang, as all start anew
-constexpr double kStartInTimeCoreSeconds =
-    100;                                     // of lost work that a start in time for its objective is worth
-constexpr double kStopToStartSeconds = 0.5;  // from a victim's end to the start of the task that replaces it
+// Preemption costs, in seconds of lost progress.
+constexpr double kReplicaMoveCostSeconds = 600;  // of a service replica, added to its progress
+constexpr double kGangRestartCostSeconds = 120;  // of each gang member, as the whole gang restarts
+// The lost work, in core-seconds, that a start within the start objective is worth.
+constexpr double kTimelyStartCoreSeconds = 100;
+// From the end of a victim to the start of the task that replaces it.
+constexpr double kStopToStartSeconds = 0.5;
 
 policy::Preemptor preemptorOf(const PendingJob& pending) {
   return {pending.job->spec->priority, pending.orderKey.withinGuarantee};
 }
 
-double totalLoss(const std::vector<PlannedEviction>& plan) {
+double totalLostCoreSeconds(const std::vector<PlannedEviction>& plan) {
   double sum = 0;
   for (const auto& eviction : plan) sum += eviction.lostCoreSeconds;
   return sum;
@@ -26,15 +28,15 @@
 
 }  // namespace
 
-Resources& CapacityForecast::of(const Machine& machine) {
-  auto [entry, isNew] = byMachine_.try_emplace(machine.no);
-  if (isNew) entry->second = machine.free() + machine.capacityBeingFreed();
+Resources& CapacityForecast::availableOn(const Machine& machine) {
+  auto [entry, inserted] = byMachine_.try_emplace(machine.no);
+  if (inserted) entry->second = machine.free() + machine.capacityBeingFreed();
   return entry->second;
 }
 
 bool EvictionPlanner::isEligibleVictim(const Job& job, const policy::Preemptor& preemptor,
                                        const Placement& placement) const {
-  // What this very round placed is not stopped by it: the two jobs would displace each other for ever.
+  // Placements of the current round are not evicted: the two jobs would displace each other indefinitely.
   if (!placement.committed || !placement.wanted) return false;
   const auto& spec = *placement.job->spec;
   const Team* team = settings_.team(spec.team);
@@ -43,19 +45,19 @@
   return policy::mayPreempt(preemptor, {spec.priority, spec.team == job.spec->team, teamAboveGuarantee});
 }
 
-// The progress that stopping the task loses, counting what its kind makes more costly.
+// The progress lost by stopping the task, plus the additional cost of service replicas and gang members.
 double EvictionPlanner::lostSeconds(const Placement& placement) const {
   const auto& spec = *placement.job->spec;
   bool isRunning = placement.shown && placement.phase == wire::TaskPhase::Running;
   double seconds = isRunning ? inSeconds(now_ - placement.runningSince) : 0;
   if (placement.job->isGang()) {
-    double perMember =
-        policy::progressSinceCheckpoint(seconds, spec.checkpointIntervalSeconds) + kGangLossSeconds;
-    seconds = perMember * placement.job->placed;
+    double secondsPerMember =
+        policy::progressSinceCheckpoint(seconds, spec.checkpointIntervalSeconds) + kGangRestartCostSeconds;
+    seconds = secondsPerMember * placement.job->placed;
   } else if (spec.checkpointIntervalSeconds > 0) {
     seconds = std::min(seconds, spec.checkpointIntervalSeconds);
   }
-  if (spec.kind == JobKind::Service) seconds += kServiceLossSeconds;
+  if (spec.kind == JobKind::Service) seconds += kReplicaMoveCostSeconds;
   return seconds;
 }
 
@@ -82,7 +84,7 @@
     if (examined > settings_.tuning.sampleSize) return false;
     auto selection = policy::selectVictims(machine->free() + machine->capacityBeingFreed(), job.spec->each,
                                            victimCandidates(job, preemptor, *machine, {}).costs);
-    if (selection && selection->lostCoreSeconds <= kStartInTimeCoreSeconds) return true;
+    if (selection && selection->lostCoreSeconds <= kTimelyStartCoreSeconds) return true;
   }
   return false;
 }
@@ -95,8 +97,8 @@
   }
   const auto& open = state_.openMachines();
   for (auto index : policy::sampleIndices(open.size(), settings_.tuning.sampleSize, rng)) {
-    bool isHolder = job.holders->count(open[index]->no) > 0;
-    if (!isHolder && constraints_.allowsMachine(job, *open[index])) machines.push_back(open[index]);
+    bool cachesImage = job.holders->count(open[index]->no) > 0;
+    if (!cachesImage && constraints_.allowsMachine(job, *open[index])) machines.push_back(open[index]);
   }
   return machines;
 }
@@ -115,10 +117,10 @@
   std::optional<PlannedEviction> best;
   for (Machine* machine : machines) {
     auto candidates = victimCandidates(job, preemptorOf(pending), *machine, excluded);
-    auto selection = policy::selectVictims(forecast.of(*machine), job.spec->each, candidates.costs);
+    auto selection = policy::selectVictims(forecast.availableOn(*machine), job.spec->each, candidates.costs);
     if (!selection) continue;
     double lost = selection->lostCoreSeconds;
-    if (constraints_.fetchMissesStartObjective(job, *machine)) lost += kStartInTimeCoreSeconds;
+    if (constraints_.fetchMissesStartObjective(job, *machine)) lost += kTimelyStartCoreSeconds;
     if (best && lost >= best->lostCoreSeconds) continue;
     best = PlannedEviction{machine, lost, {}};
     for (auto index : selection->victims) best->victims.push_back(candidates.tasks[index]);
@@ -129,15 +131,15 @@
 std::optional<std::vector<PlannedEviction>> EvictionPlanner::planForGang(
     const PendingJob& pending, const std::vector<Machine*>& machines,
     const CapacityForecast& forecast) const {
-  // Each zone by itself, or all of them together under no name.
-  std::map<Zone, std::vector<Machine*>> alternatives;
+  // Each zone separately, or all zones together under an empty key.
+  std::map<Zone, std::vector<Machine*>> candidatesByZone;
   for (Machine* machine : machines)
-    alternatives[pending.job->spec->oneZone ? machine->zone() : Zone{}].push_back(machine);
+    candidatesByZone[pending.job->spec->oneZone ? machine->zone() : Zone{}].push_back(machine);
   std::optional<std::vector<PlannedEviction>> best;
-  for (const auto& [_, alternative] : alternatives) {
-    auto plan = planAllMembers(pending, alternative, forecast);
+  for (const auto& [_, candidates] : candidatesByZone) {
+    auto plan = planAllMembers(pending, candidates, forecast);
     if (!plan) continue;
-    if (!best || totalLoss(*plan) < totalLoss(*best)) best = std::move(plan);
+    if (!best || totalLostCoreSeconds(*plan) < totalLostCoreSeconds(*best)) best = std::move(plan);
   }
   return best;
 }
@@ -149,7 +151,7 @@
   for (std::size_t member = 0; member < pending.job->waiting.size(); ++member) {
     auto eviction = cheapestEviction(pending, machines, forecast, victims);
     if (!eviction) return std::nullopt;
-    auto& available = forecast.of(*eviction->machine);
+    auto& available = forecast.availableOn(*eviction->machine);
     for (const auto& task : eviction->victims) {
       victims.insert(task);
       available += eviction->machine->placements.at(task).job->spec->each;
@@ -167,8 +169,8 @@
   if (pending.orderKey.withinGuarantee && settings_.guaranteeWithinS)
     startWithin = std::min(startWithin.value_or(*settings_.guaranteeWithinS), *settings_.guaranteeWithinS);
   if (!startWithin) return true;
-  bool isHolder = pending.job->holders->count(machine.no) > 0;
-  double fetchSeconds = isHolder ? 0 : machine.fetchS(spec);
+  bool cachesImage = pending.job->holders->count(machine.no) > 0;
+  double fetchSeconds = cachesImage ? 0 : machine.fetchS(spec);
   double slackSeconds = *startWithin - pending.orderKey.ageSeconds - fetchSeconds - kStopToStartSeconds;
   return slackSeconds < 0 || victim.checkpointSeconds <= slackSeconds;
 }
--- a/src/scheduler/eviction_planner.h
+++ b/src/scheduler/eviction_planner.h
@@ -1,7 +1,8 @@
-// Which tasks may be stopped for a pending job, and on which machine that loses least work.
+// Preemption planning: which running tasks to evict for a pending job, on the machine where least work is
+// lost.
 //
-// Plans only: reads the shard's state and changes nothing. Who carries a plan out stops its victims and takes
-// the capacity from the forecast.
+// Reads the shard state and never modifies it. The caller executes a plan by stopping its victims, and
+// updates the capacity forecast.
 #pragma once
 
 #include <map>
@@ -16,60 +17,61 @@
 
 namespace cherryloft {
 
-// What machines have free now, or will once the tasks being stopped are gone, less what this round has
-// promised to others.
+// The capacity of machines that is free or will be once the tasks being stopped are gone, minus what the
+// current preemption round has reserved.
 class CapacityForecast {
  public:
-  // To be changed as capacity is promised or freed.
-  Resources& of(const Machine& machine);
+  // The caller updates the value as capacity is reserved or freed.
+  Resources& availableOn(const Machine& machine);
 
  private:
-  std::map<std::uint32_t, Resources> byMachine_;  // by the machine's number in the shard's state
+  std::map<std::uint32_t, Resources> byMachine_;  // by machine number
 };
 
-// Capacity for one task on one machine.
+// A plan that frees capacity for one task on one machine.
 struct PlannedEviction {
-  Machine* machine = nullptr;  // owned by the shard's state
-  double lostCoreSeconds = 0;  // what stopping the victims loses, and a late start counts as
+  Machine* machine = nullptr;  // owned by the shard state
+  double lostCoreSeconds = 0;  // cost of the victims, plus a penalty if the start would be late
   std::vector<TaskId> victims;
 };
 
 class EvictionPlanner {
  public:
-  // The references must outlive this object; `now` is the moment that it plans for.
+  // The references must outlive this object; `now` is the time that plans are made for.
   EvictionPlanner(const Settings& settings, const ShardState& state, const PlacementConstraints& constraints,
                   Time now)
       : settings_(settings), state_(state), constraints_(constraints), now_(now) {}
 
-  // One of up to K machines that cache the job's image could be preempted for less than what a start in time
-  // is worth.
+  // Whether on one of up to K machines that cache the job's image preemption costs no more than a timely
+  // start is worth.
   [[nodiscard]] bool shouldPreemptForCachedImage(const Job& job) const;
 
-  // The machines to consider: up to K that cache the image, and of all others as many as a random sample of K
-  // (the draws from `rng`) has.
+  // The machines to consider: up to K that cache the image, and those of a random sample of K (drawn from
+  // `rng`) that do not.
   [[nodiscard]] std::vector<Machine*> sampleMachines(const Job& job, std::mt19937_64& rng) const;
 
-  // Capacity for one task where it loses least; nothing if no machine can be made to fit it.
+  // The cheapest plan for one task; nothing if preemption can make it fit on none of the machines.
   [[nodiscard]] std::optional<PlannedEviction> planForTask(const PendingJob& pending,
                                                            const std::vector<Machine*>& machines,
                                                            CapacityForecast& forecast) const;
 
-  // Capacity for all waiting members, in one zone if they must share one; nothing if there is none for all.
+  // The cheapest plan for all waiting members, in a single zone if the gang requires it; nothing if not all
+  // fit.
   [[nodiscard]] std::optional<std::vector<PlannedEviction>> planForGang(
       const PendingJob& pending, const std::vector<Machine*>& machines,
       const CapacityForecast& forecast) const;
 
-  // Whether a victim on that machine may save a checkpoint first: not if the task would then start too late
-  // for its class's objective or its team's guarantee, and would be in time otherwise.
+  // Whether a victim on the machine may save a checkpoint first. It may not if only the save would make the
+  // pending task miss the start objective of its class or its team's guarantee.
   [[nodiscard]] bool leavesTimeForCheckpoint(const PendingJob& pending, const Machine& machine,
                                              const JobSpec& victim) const;
 
  private:
   struct VictimCandidates {
     std::vector<TaskId> tasks;
-    std::vector<policy::VictimCandidate> costs;  // of each of the tasks
+    std::vector<policy::VictimCandidate> costs;  // parallel to `tasks`
   };
-  // `excluded` are victims of the same plan.
+  // `excluded`: victims that the same plan has selected already.
   VictimCandidates victimCandidates(const Job& job, const policy::Preemptor& preemptor,
                                     const Machine& machine, const std::set<TaskId>& excluded) const;
   bool isEligibleVictim(const Job& job, const policy::Preemptor& preemptor, const Placement& placement) const;
--- a/src/scheduler/gangs.cpp
+++ b/src/scheduler/gangs.cpp
@@ -1,8 +1,9 @@
-// Gangs: jobs whose tasks all run at the same time, or none of them does (invariant 19).
+// Gang scheduling: all tasks of a gang run at the same time, or none does (invariant 19).
 //
-// The members of a gang share one attempt. They are placed in one pass, all or none, and none is commanded
-// before the attempt of every member is written. When one is lost the others are stopped, and the gang starts
-// anew once nothing of the old attempt is left anywhere. One that is done proves all done.
+// The members of a gang share one attempt. They are placed in one pass, all or none, and no start command is
+// sent before the attempt of every member is committed. When a member is lost, the others are stopped, and
+// the gang restarts once no task of the old attempt remains. Members complete together: one completed member
+// means that all are.
 #include <algorithm>
 
 #include "policy/gang.h"
@@ -24,19 +25,19 @@
   for (const auto& [_, machine] : *job.holders) {
     auto zone = zones.find(machine->zone());
     if (zone == zones.end() || !constraints_.allowsMachine(job, *machine)) continue;
-    auto& members = zone->second.capacityWithImage;
-    for (auto free = machine->free(); spec.each.fitsIn(free) && members < spec.tasks; free -= spec.each)
-      ++members;
+    auto& fitting = zone->second.capacityWithImage;
+    for (auto free = machine->free(); spec.each.fitsIn(free) && fitting < spec.tasks; free -= spec.each)
+      ++fitting;
   }
-  std::vector<policy::GangZoneCapacity> list;
-  list.reserve(zones.size());
-  for (const auto& [_, zone] : zones) list.push_back(zone);
-  return list;
+  std::vector<policy::GangZoneCapacity> result;
+  result.reserve(zones.size());
+  for (const auto& [_, zone] : zones) result.push_back(zone);
+  return result;
 }
 
 bool ShardScheduler::placeGang(Job& job) {
-  if (job.placed > 0 || job.recalling) return true;  // what is left of an earlier try must go first
-  if (job.delegation && job.begun) return true;      // its attempt was tried: it goes back to its owner
+  if (job.placed > 0 || job.recalling) return true;  // tasks of an earlier attempt must end first
+  if (job.delegation && job.begun) return true;      // its attempt was used up: it returns to the owner shard
   if (!job.spec->oneZone) return placeAllMembers(job);
   for (const auto& zone : policy::rankZones(gangZoneCapacities(job), job.waiting.size())) {
     job.onlyZone = zone;
@@ -53,7 +54,7 @@
   bool begun = job.begun;
   auto unwrittenBefore = unwrittenTasks_.size();
   if (placeTasks(job, members) == members) return true;
-  // Undo: the gang waits on as if it had not been tried.
+  // Rolls back: the gang keeps waiting as if it had not been tried.
   unwrittenTasks_.resize(unwrittenBefore);
   for (std::uint32_t index = 0; index < job.tasks.size(); ++index)
     if (Machine* machine = job.tasks[index].machine)
@@ -67,7 +68,7 @@
 void ShardScheduler::handleGangMemberLost(Job& job) {
   if (!job.isGang() || job.status != JobStatus::Open || job.gangDone()) return;
   if (job.remote > 0 && !job.delegation) planRecall(job);
-  // What the members did since the last checkpoint is lost with the one, so that they need not save.
+  // The progress since the last checkpoint is lost along with the lost member: a final checkpoint is useless.
   stopGang(job, GangCheckpoint::Skipped);
 }
 
@@ -76,7 +77,7 @@
     MachineId machine;
     TaskId task;
   };
-  std::vector<Member> members;  // before any is stopped, as that may change the job's tasks
+  std::vector<Member> members;  // collected first, as stopping a member may change the job's tasks
   for (std::uint32_t index = 0; index < job.tasks.size(); ++index)
     if (const Machine* machine = job.tasks[index].machine)
       members.push_back({machine->id, TaskId{job.id, index}});
--- a/src/scheduler/placement_constraints.cpp
+++ b/src/scheduler/placement_constraints.cpp
@@ -5,10 +5,10 @@
 namespace cherryloft {
 namespace {
 
-// Parts of the time that the class's objective allows from submission to the end.
-constexpr double kLongRunPart = 0.7;     // a run this long can't be repeated in time after a lost machine
-constexpr double kAfterLossPart = 0.5;   // the same for age and run of a job that lost a task already
-constexpr double kInfeasiblePart = 1.3;  // age and run beyond this: the objective is missed anyway
+// Fractions of the finish objective (the time from submission to completion) of the job's class.
+constexpr double kLongRunFraction = 0.7;     // a longer run can't be repeated in time after a machine loss
+constexpr double kAfterLossFraction = 0.5;   // limit for age plus run time of a job that already lost a task
+constexpr double kInfeasibleFraction = 1.3;  // age plus run time above this: the objective is missed anyway
 
 }  // namespace
 
@@ -16,15 +16,15 @@
   const auto& spec = *job.spec;
   if (spec.zone && *spec.zone != zone) return false;
   if (job.onlyZone && *job.onlyZone != zone) return false;
-  // The owner's shard keeps to the rules about zones (invariant 18).
+  // The shard that owns a delegated job enforces its other zone rules (invariant 18).
   if (job.delegation) return !job.delegation->zone || *job.delegation->zone == zone;
   if (spec.oneZone && !job.zones.empty()) {
-    bool onlyThere = job.zones.size() == 1 && job.zones.begin()->first == zone;
-    if (!onlyThere) return false;
+    bool allTasksInZone = job.zones.size() == 1 && job.zones.begin()->first == zone;
+    if (!allTasksInZone) return false;
   }
   if (!spec.spread) return true;
-  auto tasksThere = job.zones.find(zone);
-  return (tasksThere == job.zones.end() ? 0 : tasksThere->second) + planned + 1 <= (spec.tasks + 1) / 2;
+  auto tasksInZone = job.zones.find(zone);
+  return (tasksInZone == job.zones.end() ? 0 : tasksInZone->second) + planned + 1 <= (spec.tasks + 1) / 2;
 }
 
 bool PlacementConstraints::allowsPool(const Job& job, const Pool& pool) const {
@@ -56,8 +56,8 @@
 bool PlacementConstraints::hasFreeCores(const Job& job) const {
   return std::any_of(state_.pools().begin(), state_.pools().end(), [&](const Pool& pool) {
     if (pool.byFreeCores.empty()) return false;
-    double mostFreeCores = pool.byFreeCores.rbegin()->first.first;
-    return mostFreeCores >= job.spec->each.cores - kResourceSlack && allowsPool(job, pool);
+    double maxFreeCores = pool.byFreeCores.rbegin()->first.first;
+    return maxFreeCores >= job.spec->each.cores - kResourceSlack && allowsPool(job, pool);
   });
 }
 
@@ -72,9 +72,9 @@
   if (!spec.spotAllowed || !finishWithin) return false;
   double ageSeconds = static_cast<double>(runtime_.wall().value - job.submitted.value) / 1000.0;
   double expectedEnd = ageSeconds + spec.expectedRunSeconds;
-  if (expectedEnd > kInfeasiblePart * *finishWithin) return false;
-  if (spec.expectedRunSeconds > kLongRunPart * *finishWithin) return true;
-  return job.lost > 0 && expectedEnd > kAfterLossPart * *finishWithin;
+  if (expectedEnd > kInfeasibleFraction * *finishWithin) return false;
+  if (spec.expectedRunSeconds > kLongRunFraction * *finishWithin) return true;
+  return job.lost > 0 && expectedEnd > kAfterLossFraction * *finishWithin;
 }
 
 }  // namespace cherryloft
--- a/src/scheduler/placement_constraints.h
+++ b/src/scheduler/placement_constraints.h
@@ -1,6 +1,6 @@
-// Feasibility: where a job's tasks may run, whatever the random sample says.
+// Feasibility rules: the machines, pools and zones where a job's tasks may run.
 //
-// Reads the state of the shard and changes nothing; the scheduler of the shard holds one beside that state.
+// Reads the shard state and never modifies it; the shard scheduler owns an instance along with that state.
 #pragma once
 
 #include "runtime/runtime.h"
@@ -16,25 +16,25 @@
                        const Runtime& runtime)
       : settings_(settings), state_(state), failures_(failures), runtime_(runtime) {}
 
-  // The job's rules about zones allow one more task there, beside `planned` ones that are to go there
-  // already.
+  // Whether the job's zone rules allow one more task in the zone, besides `planned` ones not yet placed
+  // there.
   [[nodiscard]] bool allowsZone(const Job& job, const Zone& zone, unsigned planned = 0) const;
-  // Machine type, spot or on demand, and zone, for all machines of a pool at once.
+  // Checks machine type, spot or on-demand, and zone, which all machines of a pool share.
   [[nodiscard]] bool allowsPool(const Job& job, const Pool& pool) const;
-  // Machine type, spot or on demand, and the job's failures there; not the zone.
+  // Checks machine type, spot or on-demand, and the job's failure history on the machine; not the zone.
   [[nodiscard]] bool allowsMachineIgnoringZone(const Job& job, const Machine& machine) const;
-  // Everything but free capacity: the machine takes work, and its zone and kind are allowed.
+  // Checks everything except free capacity: the machine accepts work, and is allowed for the job.
   [[nodiscard]] bool allowsMachine(const Job& job, const Machine& machine) const;
 
-  // Some machine could take the job's next task now; looks at up to K machines of each pool.
+  // Whether some machine could take the job's next task now; examines up to K machines of each pool.
   [[nodiscard]] bool hasCapacity(const Job& job) const;
-  // A quick test before a turn: some allowed pool has a machine with cores enough.
+  // A cheap necessary condition: some allowed pool has a machine with enough free cores.
   [[nodiscard]] bool hasFreeCores(const Job& job) const;
 
-  // The image fetch alone takes longer than the job's class may take to start.
+  // Whether the image fetch alone takes longer than the start objective of the job's class.
   [[nodiscard]] bool fetchMissesStartObjective(const Job& job, const Machine& machine) const;
-  // One more lost spot machine would make the job miss its class's objective: it prefers on-demand machines,
-  // as long as it can still meet it.
+  // Whether the job should prefer on-demand machines: the loss of one more spot machine would make it miss
+  // the finish objective of its class, which it can still meet.
   [[nodiscard]] bool shouldAvoidSpot(const Job& job) const;
 
  private:
--- a/src/scheduler/placement_rounds.cpp
+++ b/src/scheduler/placement_rounds.cpp
@@ -1,5 +1,5 @@
-// Placement rounds: pending jobs take turns, in order, until the batch is as wide as one transaction; then
-// preemption for those that found no capacity, and the commit (DESIGN.md, section 2).
+// Placement rounds: pending jobs take turns in placement order until the batch fills one transaction. Then
+// preemption runs for the jobs that found no capacity, and the batch is committed (DESIGN.md, section 2).
 #include <algorithm>
 #include <utility>
 
@@ -10,10 +10,10 @@
 namespace cherryloft {
 namespace {
 
-constexpr unsigned kTasksPerTurn = 8;  // so that small work does not wait behind a huge array
-// Reports of a large fleet come faster than rounds are worth it.
+constexpr unsigned kMaxTasksPerTurn = 8;  // keeps small jobs from waiting behind a huge array
+// Batches the reports of a large fleet, which arrive faster than a round for each would pay off.
 constexpr Duration kMinRoundInterval{30};
-// Between tasks of a job that never worked, while one of it is placed.
+// Between the probe tasks of a job that has only failed so far, while one of them is placed.
 constexpr Duration kProbeInterval{15'000};
 
 }  // namespace
@@ -23,7 +23,7 @@
   if (reportedMachine) roundScope_.machines.insert(*reportedMachine);
   if (roundScheduled_) return;
   roundScheduled_ = true;
-  // What arrives until then becomes part of the same round.
+  // Requests that arrive in the meantime are merged into the same round.
   auto wait = std::max(lastRound_ + kMinRoundInterval - runtime_.now(), Duration{0});
   runtime_.after(wait, guarded([this] {
                    roundScheduled_ = false;
@@ -50,8 +50,8 @@
 void ShardScheduler::placePendingJobs() {
   auto pending = collectPendingJobs(state_, settings_, runtime_.now(), runtime_.wall());
   auto blocked = runTurns(pending);
-  bool anyWithoutCapacity = std::any_of(blocked.begin(), blocked.end(), [&](const PendingJob& blockedJob) {
-    return !constraints_.hasCapacity(*blockedJob.job);
+  bool anyWithoutCapacity = std::any_of(blocked.begin(), blocked.end(), [&](const PendingJob& blockedEntry) {
+    return !constraints_.hasCapacity(*blockedEntry.job);
   });
   roundScope_ = {};
   if (anyWithoutCapacity && cancelDrains()) {
@@ -59,14 +59,14 @@
     return;
   }
   preempt(blocked);
-  bool someHadNoTurn = !pending.empty();
-  if (someHadNoTurn) roundScope_.allMachines = true;
+  bool jobsWithoutTurn = !pending.empty();
+  if (jobsWithoutTurn) roundScope_.allMachines = true;
 }
 
 std::vector<PendingJob> ShardScheduler::runTurns(std::vector<PendingJob>& pending) {
   std::vector<PendingJob> blocked;
   std::map<TeamId, unsigned> teamTurns;
-  // What does not fit into one transaction forms the next round.
+  // Jobs beyond the size of one transaction are left to the next round.
   while (!pending.empty() && unwrittenTasks_.size() < roundWidth()) {
     for (auto& job : pending) job.orderKey.teamTurns = teamTurns[job.job->spec->team];
     auto next = firstInOrder(pending);
@@ -82,12 +82,12 @@
       pending.erase(next);
       continue;
     }
-    auto most = static_cast<unsigned>(std::min<std::size_t>(kTasksPerTurn, job.waiting.size()));
-    auto placed = placeTasks(job, most);
+    auto maxTasks = static_cast<unsigned>(std::min<std::size_t>(kMaxTasksPerTurn, job.waiting.size()));
+    auto placed = placeTasks(job, maxTasks);
     ++teamTurns[job.spec->team];
-    next->orderKey.firstStartOverdue = false;  // it has begun, or there is no capacity for it
-    if (placed == most && !job.waiting.empty()) continue;
-    if (placed < most && state_.withinLimit(job)) blocked.push_back(*next);
+    next->orderKey.firstStartOverdue = false;  // it has started, or there is no capacity for it
+    if (placed == maxTasks && !job.waiting.empty()) continue;
+    if (placed < maxTasks && state_.withinLimit(job)) blocked.push_back(*next);
     pending.erase(next);
   }
   return blocked;
@@ -97,14 +97,14 @@
   if (job.placed == 0 || runtime_.now() - job.placedLast >= kProbeInterval) placeTasks(job, 1);
 }
 
-unsigned ShardScheduler::placeTasks(Job& job, unsigned most) {
+unsigned ShardScheduler::placeTasks(Job& job, unsigned maxTasks) {
   if (!state_.withinLimit(job) || !constraints_.hasFreeCores(job)) return 0;
   const PlacementContext context{settings_, state_, constraints_, runtime_, rng_, latencies_.counts};
   job.avoidSpot = constraints_.shouldAvoidSpot(job);
   std::optional<PlacementTurn> turn(std::in_place, context, roundScope_, job);
   auto gangAttempt = attemptForGang(job);
   unsigned placed = 0;
-  while (placed < most && !job.waiting.empty() && state_.withinLimit(job)) {
+  while (placed < maxTasks && !job.waiting.empty() && state_.withinLimit(job)) {
     Machine* machine = turn->nextMachine();
     if (!machine && !job.avoidSpot) break;
     if (!machine) {
--- a/src/scheduler/preemption.cpp
+++ b/src/scheduler/preemption.cpp
@@ -1,5 +1,5 @@
-// Preemption: stops tasks for pending jobs that found no capacity, as EvictionPlanner plans it, at the pace
-// that the settings and the constants below allow.
+// Preemption: evicts tasks for pending jobs that found no capacity, as planned by EvictionPlanner and
+// rate-limited by the settings and the constants below.
 #include <algorithm>
 #include <utility>
 
@@ -9,12 +9,14 @@
 namespace cherryloft {
 namespace {
 
-constexpr Duration kMinPreemptionInterval{250};  // what was stopped must be seen to be gone first
-constexpr unsigned kMaxPlansPerRound = 16;  // bounds a round's cost: tasks, or gangs, to make capacity for
-// Part of its start objective that a job waits before it preempts: in a large fleet capacity comes free all
-// the time, and what is stopped is lost.
-constexpr double kWaitPart = 0.25;
-// For how long a job whose holders are promised already takes machines without its image.
+// Lets reports show that earlier victims are gone before more are selected.
+constexpr Duration kMinPreemptionInterval{250};
+// Tasks or gangs that evictions are planned for; bounds the cost of a round.
+constexpr unsigned kMaxPlansPerRound = 16;
+// Fraction of its start objective that a job waits before it preempts: in a large fleet tasks finish all the
+// time and free capacity, while preemption loses work.
+constexpr double kWaitFraction = 0.25;
+// How long a job accepts machines without its image after all those with it are reserved.
 constexpr Duration kAnyStartPeriod{3'000};
 
 }  // namespace
@@ -48,14 +50,14 @@
 Duration ShardScheduler::timeUntilPreemption(const PendingJob& pending) const {
   auto startWithin = settings_.startWithin(pending.job->spec->jobClass);
   if (!startWithin) return Duration{0};
-  return std::max(seconds(kWaitPart * *startWithin - pending.orderKey.ageSeconds), Duration{0});
+  return std::max(seconds(kWaitFraction * *startWithin - pending.orderKey.ageSeconds), Duration{0});
 }
 
 void ShardScheduler::schedulePreemption(Duration wait) {
   auto due = runtime_.now() + wait;
   if (preemptionDue_ && *preemptionDue_ <= due) return;
   preemptionDue_ = due;
-  // Nothing else may ask for a round until then.
+  // Without this timer, no event might trigger a round by then.
   runtime_.after(wait, guarded([this, due] {
                    if (preemptionDue_ != due) return;
                    preemptionDue_.reset();
@@ -67,15 +69,15 @@
   Job& job = *pending.job;
   const auto& spec = *job.spec;
   const EvictionPlanner planner(settings_, state_, constraints_, runtime_.now());
-  double quotaLeft = job.team ? job.team->coreQuota - state_.teamUse(spec.team).cores : 0;
+  double remainingQuotaCores = job.team ? job.team->coreQuota - state_.teamUse(spec.team).cores : 0;
   auto machines = planner.sampleMachines(job, rng_);
-  for (std::size_t task = 0; task < job.waiting.size() && round.plans < kMaxPlansPerRound; ++task) {
-    quotaLeft -= spec.each.cores;
-    if (quotaLeft < -kResourceSlack) return;
+  for (std::size_t planned = 0; planned < job.waiting.size() && round.plans < kMaxPlansPerRound; ++planned) {
+    remainingQuotaCores -= spec.each.cores;
+    if (remainingQuotaCores < -kResourceSlack) return;
     ++round.plans;
     auto eviction = planner.planForTask(pending, machines, round.forecast);
     if (!eviction) return;
-    // The holders are promised already: the rest need not wait for them.
+    // The machines with the image are reserved: the remaining tasks need not wait for them.
     if (constraints_.fetchMissesStartObjective(job, *eviction->machine))
       job.anyStartUntil = runtime_.now() + kAnyStartPeriod;
     applyEviction(*eviction, pending, round);
@@ -99,11 +101,11 @@
   const EvictionPlanner planner(settings_, state_, constraints_, runtime_.now());
   for (const auto& task : eviction.victims) {
     auto victim = machine.placements.find(task);
-    if (victim == machine.placements.end()) continue;  // it went with another member of its gang
+    if (victim == machine.placements.end()) continue;  // stopped along with its gang
     log_->debug("task preempted task={} machine={} for_job={}", wire::encodeTask(task), machine.id.value,
                 job.id.value);
     Placement& placement = victim->second;
-    round.forecast.of(machine) += placement.job->spec->each;
+    round.forecast.availableOn(machine) += placement.job->spec->each;
     bool skipCheckpoint = !planner.leavesTimeForCheckpoint(pending, machine, *placement.job->spec);
     ++latencies_.evicted;
     if (placement.job->isGang()) {
@@ -113,7 +115,7 @@
     placement.skipCheckpoint = skipCheckpoint;
     stop(machine, task, placement);
   }
-  round.forecast.of(machine) -= job.spec->each;
+  round.forecast.availableOn(machine) -= job.spec->each;
   if (!eviction.victims.empty()) round.machinesToCommand.insert(machine.id);
 }
 
