--- a/tests/unit/autoscaling_test.cpp
+++ b/tests/unit/autoscaling_test.cpp
@@ -1,4 +1,4 @@
-// What the leader asks of the cloud.
+// Tests of the requests that the leader's autoscaler sends to the cloud and to shards.
 #include <gtest/gtest.h>
 
 #include <nlohmann/json.hpp>
@@ -11,66 +11,71 @@
 
 namespace {
 
-// Nobody answers anything.
-struct LoneIo : ClockRuntime {
+// Records calls and never answers them.
+struct UnansweredCallsRuntime : ClockRuntime {
   std::vector<HttpRequest> sent;
-  void call(const Address&, HttpRequest r, Duration, HttpDone) override { sent.push_back(std::move(r)); }
+  void call(const Address&, HttpRequest request, Duration, HttpDone) override {
+    sent.push_back(std::move(request));
+  }
 };
 
-struct Leader : testing::Test {
+struct AutoscalerTest : testing::Test {
   Settings settings = parseSettings(world::Deployment{}.settingsOf(0), {});
-  LoneIo runtime;
+  UnansweredCallsRuntime runtime;
   KeyValueStore store{settings, runtime, silentLog(), 1};
   ClusterView view;
-  Autoscaler fleet{settings,
-                   runtime,
-                   silentLog(),
-                   store,
-                   view,
-                   1,
-                   {[this](const mesh::MachineDirective& w) { wishes.push_back(w); }, [] { return true; }}};
-  std::vector<mesh::MachineDirective> wishes;
+  Autoscaler autoscaler{settings,
+                        runtime,
+                        silentLog(),
+                        store,
+                        view,
+                        1,
+                        {[this](const mesh::MachineDirective& directive) { directives.push_back(directive); },
+                         [] { return true; }}};
+  std::vector<mesh::MachineDirective> directives;
 
-  Leader() {
+  AutoscalerTest() {
     view.leader = OwnerEntry{{settings.controller, Epoch{7}}, Version{70}};
-    MachineType t;
-    t.name = "m";
-    t.size = {16, 0, 32};
-    t.price = t.spotPrice = 1;
-    t.bootS = 5;
-    t.zones = settings.zones;
-    view.catalog = {t};
-    fleet.start();
+    MachineType type;
+    type.name = "m";
+    type.size = {16, 0, 32};
+    type.price = type.spotPrice = 1;
+    type.bootS = 5;
+    type.zones = settings.zones;
+    view.catalog = {type};
+    autoscaler.start();
   }
+  // Leads for a while, with a report of waiting work every second.
   void lead(world::Ms forMs) {
-    fleet.leading(true);
+    autoscaler.leading(true);
     for (auto end = runtime.clock.now() + forMs; runtime.clock.now() < end;) {
-      mesh::ShardLoad l;
-      l.onDemandOnly.waiting = 64;
-      l.onDemandOnly.largestTask = 4;
-      l.onDemandOnly.runS = 30;
-      fleet.load(l);
+      mesh::ShardLoad load;
+      load.onDemandOnly.waiting = 64;
+      load.onDemandOnly.largestTask = 4;
+      load.onDemandOnly.runS = 30;
+      autoscaler.load(load);
       runtime.clock.run(runtime.clock.now() + 1000);
     }
-    fleet.leading(false);
+    autoscaler.leading(false);
   }
   std::vector<std::string> claims() const {
-    std::vector<std::string> out;
-    for (const auto& r : sent("/hosts")) out.push_back(nlohmann::json::parse(r.body)["claim"]);
-    return out;
+    std::vector<std::string> claims;
+    for (const auto& request : sent("/hosts")) claims.push_back(nlohmann::json::parse(request.body)["claim"]);
+    return claims;
   }
   std::vector<HttpRequest> sent(const std::string& path) const {
-    std::vector<HttpRequest> out;
-    for (const auto& r : runtime.sent)
-      if (r.target == path && r.method == "POST") out.push_back(r);
-    return out;
+    std::vector<HttpRequest> posts;
+    for (const auto& request : runtime.sent)
+      if (request.target == path && request.method == "POST") posts.push_back(request);
+    return posts;
   }
 };
 
 }  // namespace
 
-// A lease that went unheard and lives on makes the same controller lead again under the same epoch.
-TEST_F(Leader, NoClaimIsUsedTwiceInOneEpoch) {
+// Guards against reused claims: a controller that misses its lease renewals while the lease is still valid
+// leads again under the same epoch.
+TEST_F(AutoscalerTest, ClaimsAreUniqueWithinAnEpoch) {
   lead(10'000);
   auto before = claims();
   ASSERT_FALSE(before.empty());
@@ -80,35 +85,35 @@
   EXPECT_EQ(std::set<std::string>(all.begin(), all.end()).size(), all.size());
 }
 
-// A move takes its time, as its record waits for a turn: the shard that waits for it is not sent ever more
-// machines.
-TEST_F(Leader, MachinesOnTheirWayToAShareCountThere) {
+// Guards against moving more and more machines to a shard: a move takes effect only when its record is
+// written, and until then the shard still reports the waiting work.
+TEST_F(AutoscalerTest, MachinesBeingMovedCountForTheTargetShard) {
   mesh::ShardLoad from;
   from.shard = 1;
   for (int i = 0; i < 20; ++i) {
     MachineId id{"host-" + std::to_string(i)};
-    MachineEntry& h = view.machines[id];
-    h.record.shard = ShardId{1};
-    h.record.type = "m";
-    h.record.zone = settings.zones[0];
-    h.group = "host/" + id.value;
+    MachineEntry& entry = view.machines[id];
+    entry.record.shard = ShardId{1};
+    entry.record.type = "m";
+    entry.record.zone = settings.zones[0];
+    entry.group = "host/" + id.value;
     from.machines.push_back({id.value, "m", settings.zones[0].value, false, 16, 30, true});
   }
   mesh::ShardLoad to;
   to.onDemandOnly.waiting = 60;
   to.onDemandOnly.largestTask = 4;
   to.onDemandOnly.runS = 30;
-  fleet.leading(true);
-  for (int s = 0; s < 20; ++s) {
-    fleet.load(to);
-    for (const auto& w : wishes)
-      for (auto& h : from.machines)
-        if (h.machine == w.machine) h.usable = false, h.draining = true;
-    fleet.load(from);
+  autoscaler.leading(true);
+  for (int second = 0; second < 20; ++second) {
+    autoscaler.load(to);
+    for (const auto& directive : directives)
+      for (auto& machine : from.machines)
+        if (machine.machine == directive.machine) machine.usable = false, machine.draining = true;
+    autoscaler.load(from);
     runtime.clock.run(runtime.clock.now() + 1000);
   }
-  auto moves = std::count_if(wishes.begin(), wishes.end(), [](const auto& w) {
-    return w.kind == mesh::MachineDirective::Move && w.toShard == 0;
+  auto moves = std::count_if(directives.begin(), directives.end(), [](const auto& directive) {
+    return directive.kind == mesh::MachineDirective::Move && directive.toShard == 0;
   });
-  EXPECT_EQ(moves, 4);  // of 16 cores each, for 60
+  EXPECT_EQ(moves, 4);  // 4 machines of 16 cores for 60 waiting cores
 }
--- a/tests/unit/placement_fixture.h
+++ b/tests/unit/placement_fixture.h
@@ -1,4 +1,4 @@
-// A shard's state with a few machines and jobs, for tests of what decides on placements.
+// A test fixture with a shard state to add machines and jobs to, for tests of placement decisions.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -9,11 +9,11 @@
 
 namespace cherryloft {
 
-// One machine type of 8 cores in the zones a and b; team-0 and team-1 come from world::Deployment. Images are
-// 10 GB and are fetched at 1 GB/s. Machines' caches are filled by `cacheImage`.
+// There is one machine type of 8 cores, in the zones a and b. The teams team-0 and team-1 are those of
+// world::Deployment. Images are 10 GB and fetched at 1 GB/s; `cacheImage` puts one into a machine's cache.
 class PlacementFixture : public testing::Test {
  protected:
-  struct Calls : ClockRuntime {
+  struct NoCallRuntime : ClockRuntime {
     void call(const Address&, HttpRequest, Duration, HttpDone) override {}
   };
 
@@ -29,7 +29,7 @@
     return machine;
   }
 
-  // A job of one-core tasks; `change` may alter its description before it is added.
+  // Adds a job of one-core tasks; `change` may modify its spec first.
   template <class Change>
   Job& addJob(const std::string& id, std::uint32_t tasks, Change change) {
     auto spec = std::make_shared<JobSpec>();
@@ -57,7 +57,7 @@
     state_.cached(machine, job.spec->image, job.spec->imageGb);
   }
 
-  // A task of the job that runs there since `ranSeconds`.
+  // Places the job's next task on the machine, as running for `ranSeconds` already.
   Placement& runTask(Job& job, Machine& machine, double ranSeconds) {
     auto index = job.waiting.front();
     job.waiting.pop_front();
@@ -71,7 +71,7 @@
 
   Settings settings_ = parseSettings(world::Deployment{}.settingsOf(0), {});
   MachineType type_{"m", {8, 0, 32}, 100, 1, 1, 0.4, 5, {Zone{"a"}, Zone{"b"}}};
-  Calls runtime_;
+  NoCallRuntime runtime_;
   ShardState state_{settings_};
   FailureAttribution failures_{Duration{3000}};
   PlacementConstraints constraints_{settings_, state_, failures_, runtime_};
--- a/tests/unit/placement_turn_test.cpp
+++ b/tests/unit/placement_turn_test.cpp
@@ -1,4 +1,4 @@
-// Which machine takes a job's next task.
+// Tests of the machine selection for a job's next task.
 #include "scheduler/placement_turn.h"
 
 #include "placement_fixture.h"
@@ -17,28 +17,28 @@
   RoundScope scope_{true, {}};
 };
 
-TEST_F(PlacementTurnTest, AHolderOfTheImageComesFirstAndTakesNoDraw) {
+TEST_F(PlacementTurnTest, PrefersMachineWithImageWithoutRandomDraw) {
   auto& job = addJob("job", 1);
   addMachine("without-image");
-  auto& holder = addMachine("holder");
-  cacheImage(holder, job);
-  EXPECT_EQ(turnOf(job).nextMachine(), &holder);
+  auto& withImage = addMachine("with-image");
+  cacheImage(withImage, job);
+  EXPECT_EQ(turnOf(job).nextMachine(), &withImage);
   EXPECT_EQ(rng_, std::mt19937_64{1});
 }
 
-TEST_F(PlacementTurnTest, TheFullestHolderThatFitsComesFirst) {
+TEST_F(PlacementTurnTest, SelectsBestFitAmongMachinesWithImage) {
   auto& job = addJob("job", 1, [](JobSpec& spec) { spec.each = {4, 0, 4}; });
-  auto& other = addJob("other", 8);
+  auto& otherJob = addJob("other", 8);
   auto& idle = addMachine("idle");
   auto& half = addMachine("half");
   auto& full = addMachine("full");
   for (auto* machine : {&idle, &half, &full}) cacheImage(*machine, job);
-  for (int task = 0; task < 3; ++task) runTask(other, half, 0);
-  for (int task = 0; task < 5; ++task) runTask(other, full, 0);
+  for (int task = 0; task < 3; ++task) runTask(otherJob, half, 0);
+  for (int task = 0; task < 5; ++task) runTask(otherJob, full, 0);
   EXPECT_EQ(turnOf(job).nextMachine(), &half);
 }
 
-TEST_F(PlacementTurnTest, ReplicasGoToTheZoneWithFewerOfThem) {
+TEST_F(PlacementTurnTest, SpreadsReplicasOverZones) {
   auto& job = addJob("job", 3, [](JobSpec& spec) { spec.kind = JobKind::Service; });
   auto& inA = addMachine("machine-a", "a");
   auto& inB = addMachine("machine-b", "b");
@@ -48,8 +48,8 @@
   EXPECT_EQ(turnOf(job).nextMachine(), &inB);
 }
 
-// No holder has capacity: formula (3) gives a probability of one.
-TEST_F(PlacementTurnTest, WithoutAHolderAnyMachineInScopeTakesTheTask) {
+// If no machine with the image has capacity, formula (3) yields a probability of one.
+TEST_F(PlacementTurnTest, SelectsAnyMachineInScopeIfNoneHasTheImage) {
   auto& job = addJob("job", 1);
   auto& machine = addMachine("machine");
   EXPECT_EQ(turnOf(job).nextMachine(), &machine);
@@ -59,17 +59,17 @@
   EXPECT_EQ(turnOf(job).nextMachine(), &machine);
 }
 
-TEST_F(PlacementTurnTest, WaitsForAHolderThatIsWorthPreempting) {
+TEST_F(PlacementTurnTest, WaitsForMachineWithImageThatIsWorthPreempting) {
   settings_.startObjectives = {{"plain", 5}};
   auto& batch = addJob("batch", 8, [](JobSpec& spec) { spec.priority = PriorityClass::BestEffort; });
   auto& job = addJob("job", 1);
-  auto& holder = addMachine("holder");
-  cacheImage(holder, job);
-  for (int task = 0; task < 8; ++task) runTask(batch, holder, 10);
-  auto& other = addMachine("other");
+  auto& withImage = addMachine("with-image");
+  cacheImage(withImage, job);
+  for (int task = 0; task < 8; ++task) runTask(batch, withImage, 10);
+  auto& withoutImage = addMachine("without-image");
   EXPECT_EQ(turnOf(job).nextMachine(), nullptr);
   job.anyStartUntil = runtime_.now() + Duration{1000};
-  EXPECT_EQ(turnOf(job).nextMachine(), &other);
+  EXPECT_EQ(turnOf(job).nextMachine(), &withoutImage);
 }
 
 }  // namespace
--- a/tests/unit/policy_test.cpp
+++ b/tests/unit/policy_test.cpp
@@ -14,12 +14,12 @@
 using namespace cherryloft::policy;
 
 TEST(Coupling, FormulaThree) {
-  EXPECT_DOUBLE_EQ(couplingProbability(1.0, {0.0, 5.0}, 3), 1.0);  // no holder has room
-  EXPECT_DOUBLE_EQ(couplingProbability(1.0, {0.5, 0.0}, 3), 1.0);  // no machine has room
+  EXPECT_DOUBLE_EQ(couplingProbability(1.0, {0.0, 5.0}, 3), 1.0);  // none with the image has capacity
+  EXPECT_DOUBLE_EQ(couplingProbability(1.0, {0.5, 0.0}, 3), 1.0);  // no machine has capacity
   double beta = 0.1 + 0.9 * (1 - std::exp(-2.0 / 4.0));
   EXPECT_NEAR(couplingProbability(0.8, {0.25, 4.0}, 2), 1 - 0.8 * std::pow(0.25, beta) * (1 - std::exp(-4.0)),
               1e-12);
-  // Fewer than one machine with room counts as one in beta.
+  // In beta, an estimate below one machine with capacity counts as one.
   beta = 0.1 + 0.9 * (1 - std::exp(-2.0));
   EXPECT_NEAR(couplingProbability(1.0, {0.5, 0.5}, 2), 1 - std::pow(0.5, beta) * (1 - std::exp(-0.5)), 1e-12);
   EXPECT_DOUBLE_EQ(localityAlpha(ImageLocality::InZoneWithJobTasks), 0.7);
@@ -30,48 +30,48 @@
 TEST(Coupling, SampleIsWithoutReplacement) {
   std::mt19937_64 rng(5);
   EXPECT_EQ(sampleIndices(3, 64, rng).size(), 3U);
-  auto s = sampleIndices(1000, 64, rng);
-  EXPECT_EQ(std::set<std::size_t>(s.begin(), s.end()).size(), 64U);
+  auto sample = sampleIndices(1000, 64, rng);
+  EXPECT_EQ(std::set<std::size_t>(sample.begin(), sample.end()).size(), 64U);
 }
 
-TEST(PlacementOrder, OverduePriorityGuaranteeFeasibilityTurnsSlackWorkAge) {
+TEST(PlacementOrder, ComparesCriteriaInOrderOfSignificance) {
   const PlacementOrderKey base{false, PriorityClass::Normal, false, true, 0, std::nullopt, 100, 10};
-  auto with = [&](auto change) {
+  auto baseWith = [&](auto change) {
     auto key = base;
     change(key);
     return key;
   };
-  auto urgent = with([](auto& key) { key.priority = PriorityClass::High; });
-  auto guaranteed = with([](auto& key) { key.withinGuarantee = true; });
-  auto due = with([](auto& key) { key.slackSeconds = 5; });
-  auto infeasible = with([](auto& key) {
+  auto highPriority = baseWith([](auto& key) { key.priority = PriorityClass::High; });
+  auto guaranteed = baseWith([](auto& key) { key.withinGuarantee = true; });
+  auto withDeadline = baseWith([](auto& key) { key.slackSeconds = 5; });
+  auto infeasible = baseWith([](auto& key) {
     key.objectiveFeasible = false;
     key.remainingCoreSeconds = 1;
     key.slackSeconds = 0;
   });
-  auto small = with([](auto& key) {
+  auto small = baseWith([](auto& key) {
     key.remainingCoreSeconds = 50;
     key.ageSeconds = 1;
   });
-  auto older = with([](auto& key) { key.ageSeconds = 20; });
-  auto served = with([](auto& key) {
+  auto older = baseWith([](auto& key) { key.ageSeconds = 20; });
+  auto withTeamTurn = baseWith([](auto& key) {
     key.teamTurns = 1;
     key.ageSeconds = 99;
     key.slackSeconds = 0;
   });
-  auto overdue = with([](auto& key) { key.firstStartOverdue = true; });
-  EXPECT_TRUE(precedes(overdue, urgent));
-  EXPECT_TRUE(precedes(urgent, guaranteed));
-  EXPECT_TRUE(precedes(guaranteed, due));
-  EXPECT_TRUE(precedes(due, small));
+  auto overdue = baseWith([](auto& key) { key.firstStartOverdue = true; });
+  EXPECT_TRUE(precedes(overdue, highPriority));
+  EXPECT_TRUE(precedes(highPriority, guaranteed));
+  EXPECT_TRUE(precedes(guaranteed, withDeadline));
+  EXPECT_TRUE(precedes(withDeadline, small));
   EXPECT_TRUE(precedes(small, older));
   EXPECT_TRUE(precedes(base, infeasible));
   EXPECT_TRUE(precedes(older, base));
-  EXPECT_TRUE(precedes(base, served));
+  EXPECT_TRUE(precedes(base, withTeamTurn));
   EXPECT_FALSE(precedes(base, base));
 }
 
-TEST(Preemption, OnlyAsTheProtocolPermits) {
+TEST(Preemption, EligibilityFollowsPriorityAndGuarantee) {
   auto allowed = [](PriorityClass preemptor, bool withinGuarantee, bool sameTeam, PriorityClass target,
                     bool teamAboveGuarantee) {
     return mayPreempt({preemptor, withinGuarantee}, {target, sameTeam, teamAboveGuarantee});
@@ -84,91 +84,91 @@
   EXPECT_FALSE(allowed(PriorityClass::Normal, true, false, PriorityClass::Normal, false));
 }
 
-TEST(Preemption, LeastLostWorkAndOnlyIfItFreesEnough) {
+TEST(Preemption, SelectsVictimsWithLeastLostWorkThatFreeEnough) {
   Resources four{4, 0, 4}, eight{8, 0, 8};
   std::vector<VictimCandidate> candidates{{four, 50}, {four, 5}, {eight, 20}};
   auto selection = selectVictims({0, 0, 0}, four, candidates);
   ASSERT_TRUE(selection);
   EXPECT_EQ(selection->victims, std::vector<std::size_t>{1});
-  selection = selectVictims({0, 0, 0}, eight, candidates);  // 5*4 + 20*8 > 20*8: the small one is spared
+  selection = selectVictims({0, 0, 0}, eight, candidates);  // 5*4 + 20*8 > 20*8: the small one is redundant
   ASSERT_TRUE(selection);
   EXPECT_DOUBLE_EQ(selection->lostCoreSeconds, 160);
   EXPECT_FALSE(selectVictims({0, 0, 0}, {32, 0, 32}, candidates));
   EXPECT_TRUE(selectVictims({4, 0, 4}, four, candidates)->victims.empty());
 }
 
-TEST(Autoscaler, RentsTheCheapestThatFitsAndLetsTheDearestGo) {
+TEST(Autoscaler, RequestsCheapestSuitableOfferingAndReleasesMostExpensiveMachine) {
   Catalog catalog{{"s", {8, 0, 16}, 30, 1, 0.48, 0.13, 30, {Zone{"a"}}},
                   {"l", {32, 0, 128}, 50, 1, 2.18, 0.61, 20, {Zone{"a"}, Zone{"b"}}}};
-  ShardFleet f;
-  f.spotAllowed = {0, 32, 0, 0, 0, 4, 0, 1, {}, {}};
-  auto t = computeCapacityTargets(f, catalog, 0, 0);
-  auto w = nextScaleOut(f, t, catalog, {});
-  ASSERT_TRUE(w);
-  EXPECT_TRUE(w->offering.spot);
-  EXPECT_EQ(w->offering.type, "s");
-  auto none =
-      nextScaleOut(f, t, catalog, {{"s", Zone{"a"}, true}, {"l", Zone{"a"}, true}, {"l", Zone{"b"}, true}});
-  ASSERT_TRUE(none);
-  EXPECT_FALSE(none->offering.spot);  // ordinary when no spot machine is to be had
-  f.spotAllowed.ramPerCore = 3;       // now memory decides: the small type holds few tasks
-  EXPECT_EQ(nextScaleOut(f, t, catalog, {})->offering.type, "l");
-  f.spotAllowed = {};
-  f.machines = {{"l", Zone{"a"}, true, 32, true, 60, 0, 100},
-                {"l", Zone{"a"}, false, 32, true, 60, 0, 100},
-                {"s", Zone{"a"}, false, 8, true, 2, 0, 100}};
-  auto go = machineToRelease(f, computeCapacityTargets(f, catalog, 0, 0), catalog, 10, 1000);
-  ASSERT_TRUE(go);
-  EXPECT_EQ(*go, 1U);
-  f.machines[1].ageS = 30;  // the cloud charges a minute whatever happens
-  EXPECT_NE(machineToRelease(f, computeCapacityTargets(f, catalog, 0, 0), catalog, 10, 1000),
+  ShardFleet fleet;
+  fleet.spotAllowed = {0, 32, 0, 0, 0, 4, 0, 1, {}, {}};
+  auto target = computeCapacityTargets(fleet, catalog, 0, 0);
+  auto request = nextScaleOut(fleet, target, catalog, {});
+  ASSERT_TRUE(request);
+  EXPECT_TRUE(request->offering.spot);
+  EXPECT_EQ(request->offering.type, "s");
+  auto withoutSpot = nextScaleOut(fleet, target, catalog,
+                                  {{"s", Zone{"a"}, true}, {"l", Zone{"a"}, true}, {"l", Zone{"b"}, true}});
+  ASSERT_TRUE(withoutSpot);
+  EXPECT_FALSE(withoutSpot->offering.spot);  // on-demand if no spot offering is available
+  fleet.spotAllowed.ramPerCore = 3;  // now memory is the bottleneck, and the small type fits few tasks
+  EXPECT_EQ(nextScaleOut(fleet, target, catalog, {})->offering.type, "l");
+  fleet.spotAllowed = {};
+  fleet.machines = {{"l", Zone{"a"}, true, 32, true, 60, 0, 100},
+                    {"l", Zone{"a"}, false, 32, true, 60, 0, 100},
+                    {"s", Zone{"a"}, false, 8, true, 2, 0, 100}};
+  auto released = machineToRelease(fleet, computeCapacityTargets(fleet, catalog, 0, 0), catalog, 10, 1000);
+  ASSERT_TRUE(released);
+  EXPECT_EQ(*released, 1U);
+  fleet.machines[1].ageS = 30;  // still within the minimum billing period of a minute
+  EXPECT_NE(machineToRelease(fleet, computeCapacityTargets(fleet, catalog, 0, 0), catalog, 10, 1000),
             std::optional<std::size_t>(1));
-  f.machines[1].ageS = 100;
-  f.onDemandOnly.used = 40;  // all ordinary machines are needed
-  EXPECT_NE(machineToRelease(f, computeCapacityTargets(f, catalog, 0, 0), catalog, 10, 1000),
+  fleet.machines[1].ageS = 100;
+  fleet.onDemandOnly.used = 40;  // all on-demand machines are needed
+  EXPECT_NE(machineToRelease(fleet, computeCapacityTargets(fleet, catalog, 0, 0), catalog, 10, 1000),
             std::optional<std::size_t>(1));
 }
 
-// Guards against a fleet that stays large after a burst: one busy machine a turn, and none while any is idle,
-// kept thousands of cores for minutes after their work had ended.
-TEST(Autoscaler, EmptiesSeveralBusyMachinesWhenFarTooLarge) {
+// Guards against a fleet that stays oversized after a burst: draining one busy machine per planning cycle,
+// and none while any is idle, kept thousands of cores for minutes after their work had ended.
+TEST(Autoscaler, DrainsSeveralBusyMachinesOfOversizedFleet) {
   Catalog catalog{{"l", {32, 0, 128}, 50, 1, 2.18, 0.61, 20, {Zone{"a"}}}};
-  ShardFleet f;
-  f.onDemandOnly.used = 160;
+  ShardFleet fleet;
+  fleet.onDemandOnly.used = 160;
   FleetMachine busy{"l", Zone{"a"}, false, 32, true, -1, 8, 100};
-  f.machines.assign(30, busy);
-  f.machines[0].idleS = 5;
-  f.machines[1].pinned = true;
-  f.machines[2].usedCores = 1;
-  auto t = computeCapacityTargets(f, catalog, 0, 0);
-  auto chosen = machinesToDrain(f, t, catalog, 60, 4);
+  fleet.machines.assign(30, busy);
+  fleet.machines[0].idleS = 5;
+  fleet.machines[1].pinned = true;
+  fleet.machines[2].usedCores = 1;
+  auto target = computeCapacityTargets(fleet, catalog, 0, 0);
+  auto chosen = machinesToDrain(fleet, target, catalog, 60, 4);
   ASSERT_EQ(chosen.size(), 4U);
-  EXPECT_EQ(chosen.front(), 2U);  // the least runs there
+  EXPECT_EQ(chosen.front(), 2U);  // it has the fewest used cores
   EXPECT_EQ(std::count(chosen.begin(), chosen.end(), 0U) + std::count(chosen.begin(), chosen.end(), 1U), 0);
-  // Nothing is emptied below what is needed, however many may be.
-  auto all = machinesToDrain(f, t, catalog, 60, 20);
-  EXPECT_GE(capacityCores(f) - 32.0 * static_cast<double>(all.size()), t.total);
-  // Near the target, and in a small fleet, one at a time, and none while an idle machine can go.
-  f.machines.resize(12, busy);
-  f.machines[0].idleS = -1;
-  EXPECT_EQ(machinesToDrain(f, t, catalog, 60, 4).size(), 1U);
-  f.machines[0].idleS = 5;
-  EXPECT_TRUE(machinesToDrain(f, t, catalog, 60, 4).empty());
+  // Draining never goes below the target capacity, whatever the limit on machines.
+  auto all = machinesToDrain(fleet, target, catalog, 60, 20);
+  EXPECT_GE(capacityCores(fleet) - 32.0 * static_cast<double>(all.size()), target.total);
+  // Near the target, or in a small fleet: one machine at a time, and none while an idle one can be released.
+  fleet.machines.resize(12, busy);
+  fleet.machines[0].idleS = -1;
+  EXPECT_EQ(machinesToDrain(fleet, target, catalog, 60, 4).size(), 1U);
+  fleet.machines[0].idleS = 5;
+  EXPECT_TRUE(machinesToDrain(fleet, target, catalog, 60, 4).empty());
 }
 
-TEST(Settings, SharesAndTimes) {
-  world::Deployment d;
-  d.types = {};
-  auto s = parseSettings(d.settingsOf(1), {});
-  EXPECT_EQ(s.controller.value, "loft-1");
-  EXPECT_EQ(s.preferredShard(ControllerId{"loft-2"}).value, 2U);
-  EXPECT_EQ(s.shardOfTeam(TeamId{"team-1"}).value, 1U);
-  // Invariant 6: all of it fits before a cancellation is due.
-  EXPECT_LE(inSeconds(s.leaseTtl() + s.grace()) + s.leaseS, s.cancelS - 1);
-  EXPECT_EQ(s.blindFor(), s.leaseTtl() + s.grace());
-  // "A value of 0 means none": no guarantee, and no limit.
-  d.guest = true;
-  auto guest = parseSettings(d.settingsOf(1), {}).team(TeamId{"team-guest"})->coreQuota;
+TEST(Settings, DerivesShardsAndIntervals) {
+  world::Deployment deployment;
+  deployment.types = {};
+  auto settings = parseSettings(deployment.settingsOf(1), {});
+  EXPECT_EQ(settings.controller.value, "loft-1");
+  EXPECT_EQ(settings.preferredShard(ControllerId{"loft-2"}).value, 2U);
+  EXPECT_EQ(settings.shardOfTeam(TeamId{"team-1"}).value, 1U);
+  // Invariant 6: lease, grace and worker lease all end before a cancellation is due.
+  EXPECT_LE(inSeconds(settings.leaseTtl() + settings.grace()) + settings.leaseS, settings.cancelS - 1);
+  EXPECT_EQ(settings.blindFor(), settings.leaseTtl() + settings.grace());
+  // In the settings, a value of 0 means none: no guarantee, and no quota.
+  deployment.guest = true;
+  auto guest = parseSettings(deployment.settingsOf(1), {}).team(TeamId{"team-guest"})->coreQuota;
   EXPECT_TRUE(std::isinf(guest));
   EXPECT_THROW(parseSettings("{}", {}), SettingsError);
   EXPECT_THROW(parseSettings("nonsense", {}), SettingsError);
@@ -177,70 +177,74 @@
   EXPECT_THROW(parseAddress("10.0.0.1:0"), SettingsError);
 }
 
-// What is written under the limits of now must be writable anew under those announced, and the other way.
-TEST(Settings, TheLowerOfTheLimitsOfNowAndLaterHolds) {
-  world::Deployment d;
-  d.valueKb = 16, d.txnOps = 8, d.writeRps = 80;
-  d.nextValueKb = 2, d.nextTxnOps = 24;
-  auto s = parseSettings(d.settingsOf(0), {});
-  EXPECT_EQ(s.valueBytes, 2048U);
-  EXPECT_EQ(s.txnOps, 8U);
-  EXPECT_EQ(s.stateWriteRps, 80);
-  EXPECT_EQ(s.stateRps, d.rps);
-  EXPECT_EQ(parseSettings(d.settingsOf(0, false), {}).valueBytes, std::size_t{16} * 1024);
-  d.nextTxnOps = 1;
-  EXPECT_THROW(parseSettings(d.settingsOf(0), {}), SettingsError);
+// Data written under the present limits must be writable again under the announced ones, and vice versa.
+TEST(Settings, LowerOfPresentAndAnnouncedLimitsApplies) {
+  world::Deployment deployment;
+  deployment.valueKb = 16, deployment.txnOps = 8, deployment.writeRps = 80;
+  deployment.nextValueKb = 2, deployment.nextTxnOps = 24;
+  auto settings = parseSettings(deployment.settingsOf(0), {});
+  EXPECT_EQ(settings.valueBytes, 2048U);
+  EXPECT_EQ(settings.txnOps, 8U);
+  EXPECT_EQ(settings.stateWriteRps, 80);
+  EXPECT_EQ(settings.stateRps, deployment.rps);
+  EXPECT_EQ(parseSettings(deployment.settingsOf(0, false), {}).valueBytes, std::size_t{16} * 1024);
+  deployment.nextTxnOps = 1;
+  EXPECT_THROW(parseSettings(deployment.settingsOf(0), {}), SettingsError);
 }
 
-// Invariants 6 and 16, over deployments of many shapes: whatever a controller that does not know of a
-// cancellation answers, and the lease after that by the fastest and slowest clocks, is over within cancel_s.
-TEST(Settings, ACancellationMeetsItsTimeWhateverIsAnsweredWithoutKnowingOfIt) {
-  constexpr double kDrift = 0.001;  // of two clocks against each other
+// Invariants 6 and 16, for many combinations of settings: if a controller answers a heartbeat without knowing
+// of a cancellation, the worker lease granted by that answer ends within cancel_s, clock drift included.
+TEST(Settings, LeasesGrantedWithoutKnowledgeOfACancellationEndInTime) {
+  constexpr double kDrift = 0.001;  // of two clocks relative to each other
   for (double lease : {0.5, 3.0, 10.0, 36.0, 45.0, 600.0}) {
-    for (double more : {0.0, 0.01, 0.2, 1.0, 2.0, 3.5, 5.0, 8.0, 16.0, 25.0, 30.0, 300.0, 6000.0}) {
+    for (double margin : {0.0, 0.01, 0.2, 1.0, 2.0, 3.5, 5.0, 8.0, 16.0, 25.0, 30.0, 300.0, 6000.0}) {
       for (int ttlMs : {500, 3'000, 60'000}) {
-        world::Deployment d;
-        d.leaseS = lease;
-        d.cancelS = lease + more;
-        Tuning t;
-        t.leaseTtl = Duration{ttlMs};
-        auto s = parseSettings(d.settingsOf(0), t);
-        SCOPED_TRACE(testing::Message() << "lease " << lease << " cancel " << d.cancelS << " ttl " << ttlMs);
-        EXPECT_GE(s.leaseTtl(), Duration{500});
-        EXPECT_LE(s.leaseTtl(), t.leaseTtl);
-        EXPECT_GE(s.grace(), Duration{0});
-        EXPECT_GE(s.blindFor(), Duration{0});
-        // Who answered last without knowing: a keep-alive proxy or an owner not loaded, blindFor() after what
-        // they know; a former owner, the grace after the lease that must be over before another confirms.
-        for (auto last : {s.blindFor(), s.grace()}) {
-          double rest = inSeconds(last) * (1 + kDrift) + lease * (1 + kDrift);
-          // Where there is nothing to part, only the clocks' own error is beyond anyone's reach.
-          EXPECT_LE(rest, d.cancelS + (more < 2 * kDrift * d.cancelS ? 2 * kDrift * d.cancelS : 0.0));
+        world::Deployment deployment;
+        deployment.leaseS = lease;
+        deployment.cancelS = lease + margin;
+        Tuning tuning;
+        tuning.leaseTtl = Duration{ttlMs};
+        auto settings = parseSettings(deployment.settingsOf(0), tuning);
+        SCOPED_TRACE(testing::Message()
+                     << "lease " << lease << " cancel " << deployment.cancelS << " ttl " << ttlMs);
+        EXPECT_GE(settings.leaseTtl(), Duration{500});
+        EXPECT_LE(settings.leaseTtl(), tuning.leaseTtl);
+        EXPECT_GE(settings.grace(), Duration{0});
+        EXPECT_GE(settings.blindFor(), Duration{0});
+        // The last answers without that knowledge: by a keep-alive proxy or an owner that has not loaded its
+        // shard, blindFor() after their last known state; by a former owner, the grace period after its
+        // lease, which must end before another owner confirms the cancellation.
+        for (auto last : {settings.blindFor(), settings.grace()}) {
+          double latestEnd = inSeconds(last) * (1 + kDrift) + lease * (1 + kDrift);
+          // If cancel_s leaves no margin above the lease, only the clock drift itself may exceed it.
+          EXPECT_LE(latestEnd,
+                    deployment.cancelS +
+                        (margin < 2 * kDrift * deployment.cancelS ? 2 * kDrift * deployment.cancelS : 0.0));
         }
-        EXPECT_EQ(s.grace(), std::max(s.blindFor() - s.leaseTtl(), Duration{0}));
+        EXPECT_EQ(settings.grace(), std::max(settings.blindFor() - settings.leaseTtl(), Duration{0}));
       }
     }
   }
 }
 
-TEST(Admission, WhatCanNeverRun) {
-  world::Deployment d;
-  auto s = parseSettings(d.settingsOf(0), {});
+TEST(Admission, RejectsJobsThatCanNeverRun) {
+  world::Deployment deployment;
+  auto settings = parseSettings(deployment.settingsOf(0), {});
   Catalog catalog{{"m", {16, 0, 32}, 25, 1, 1, 0.4, 25, {Zone{"a"}, Zone{"b"}}}};
   JobSpec job;
   job.team = TeamId{"team-0"};
   job.each = {4, 0, 4};
-  EXPECT_FALSE(infeasibilityReason(job, s, catalog));
-  auto bad = [&](auto f) {
-    auto j = job;
-    f(j);
-    return infeasibilityReason(j, s, catalog).has_value();
+  EXPECT_FALSE(infeasibilityReason(job, settings, catalog));
+  auto isRejected = [&](auto change) {
+    auto changed = job;
+    change(changed);
+    return infeasibilityReason(changed, settings, catalog).has_value();
   };
-  EXPECT_TRUE(bad([](auto& j) { j.team = TeamId{"nobody"}; }));
-  EXPECT_TRUE(bad([](auto& j) { j.each.ram = 33; }));
-  EXPECT_TRUE(bad([](auto& j) { j.types = std::vector<std::string>{"x"}; }));
-  EXPECT_TRUE(bad([](auto& j) { j.zone = Zone{"c"}; }));
-  EXPECT_TRUE(bad([](auto& j) { j.kind = JobKind::Service, j.tasks = 23; }));
-  EXPECT_FALSE(bad([](auto& j) { j.tasks = 23; }));  // an array needs room for one task
-  EXPECT_TRUE(bad([](auto& j) { j.spread = j.oneZone = true, j.tasks = 2; }));
+  EXPECT_TRUE(isRejected([](auto& changed) { changed.team = TeamId{"nobody"}; }));
+  EXPECT_TRUE(isRejected([](auto& changed) { changed.each.ram = 33; }));
+  EXPECT_TRUE(isRejected([](auto& changed) { changed.types = std::vector<std::string>{"x"}; }));
+  EXPECT_TRUE(isRejected([](auto& changed) { changed.zone = Zone{"c"}; }));
+  EXPECT_TRUE(isRejected([](auto& changed) { changed.kind = JobKind::Service, changed.tasks = 23; }));
+  EXPECT_FALSE(isRejected([](auto& changed) { changed.tasks = 23; }));  // arrays need quota for one task only
+  EXPECT_TRUE(isRejected([](auto& changed) { changed.spread = changed.oneZone = true, changed.tasks = 2; }));
 }
