--- a/src/policy/autoscaling.cpp
+++ b/src/policy/autoscaling.cpp
@@ -105,7 +105,7 @@
   CapacityTargets target;
   target.onDemand = fleet.onDemandOnly.used + fleet.onDemandOnly.waiting + fleet.onDemandOnly.largestTask +
                     fleet.onDemandOnly.arriving * bootS;
-  // Work that may use spot machines finishes about as fast as it arrives, so its arrivals are not added.
+  // Arrays, which make up the spot work, finish about as fast as they arrive: no arrivals are added for them.
   target.total = demand + fleet.onDemandOnly.arriving * bootS + fleet.onDemandOnly.largestTask +
                  fleet.spotAllowed.largestTask;
   double spotWork = fleet.spotAllowed.used + fleet.spotAllowed.waiting;
