--- a/src/autoscaler/shard_fleet.cpp
+++ b/src/autoscaler/shard_fleet.cpp
@@ -15,7 +15,7 @@
   policy::Workload work{
       demand.used,        demand.waiting,    demand.arriving,   demand.departing, demand.runS,
       demand.largestTask, demand.largestJob, demand.ramPerCore, demand.types,     {}};
-  for (const auto& zone : demand.stuckZones) work.stuckZones.push_back(Zone{zone});
+  for (const auto& zone : demand.stuckZones) work.zonesLackingCapacity.push_back(Zone{zone});
   return work;
 }
 
--- a/src/policy/autoscaling.cpp
+++ b/src/policy/autoscaling.cpp
@@ -141,15 +141,16 @@
                machine.cores - machine.usedCores >= workload->largestTask - kResourceSlack;
       });
     };
-    if (workload->stuckZones.empty() ||
-        std::any_of(workload->stuckZones.begin(), workload->stuckZones.end(), hasCapacityIn))
+    if (workload->zonesLackingCapacity.empty() ||
+        std::any_of(workload->zonesLackingCapacity.begin(), workload->zonesLackingCapacity.end(),
+                    hasCapacityIn))
       continue;
     auto excluded = unavailable;
     for (const auto& type : catalog)
       for (const auto& zone : type.zones)
         for (bool spot : {false, true})
-          if (std::find(workload->stuckZones.begin(), workload->stuckZones.end(), zone) ==
-              workload->stuckZones.end())
+          if (std::find(workload->zonesLackingCapacity.begin(), workload->zonesLackingCapacity.end(), zone) ==
+              workload->zonesLackingCapacity.end())
             excluded.insert({type.name, zone, spot});
     if (auto request = cheapestRequest(fleet, *workload, workload->largestTask, false, catalog, excluded))
       return request;
