--- a/src/policy/autoscaling.h
+++ b/src/policy/autoscaling.h
@@ -22,8 +22,8 @@
   double largestJob = 0;  // of the recent arrivals
   double ramPerCore = 0;
   std::vector<std::string> types;  // allowed machine types; empty: any
-  std::vector<Zone>
-      zonesLackingCapacity;  // the only zones allowed for some waiting tasks, and short of machines
+  // The only zones allowed for some waiting tasks, and short of machines.
+  std::vector<Zone> zonesLackingCapacity;
 };
 
 // A machine of a shard, as known to the leader.
