--- a/apps/cherryloft/main.cpp
+++ b/apps/cherryloft/main.cpp
@@ -28,8 +28,8 @@
   bool check = false;
   Tuning tuning;
   std::int64_t leaseTtlMs = tuning.leaseTtl.count();
-  double returnOwnershipAfterS = inSeconds(tuning.returnOwnershipAfter);
-  double moveS = inSeconds(tuning.moveEvery);
+  double returnOwnershipAfterS = toSeconds(tuning.returnOwnershipAfter);
+  double moveS = toSeconds(tuning.moveEvery);
   app.set_version_flag("--version", std::string("cherryloft ") + CHERRYLOFT_VERSION);
   app.add_option("--config", config, "settings file that the platform hands over (JSON)")->required();
   app.add_flag("--check", check, "check command line and settings, then exit");
--- a/src/autoscaler/autoscaler_context.h
+++ b/src/autoscaler/autoscaler_context.h
@@ -30,7 +30,7 @@
       : callsPerSecond_(callsPerSecond), calls_(callsPerSecond), refilled_(now) {}
 
   void refill(Time now) {
-    calls_ = std::min(calls_ + inSeconds(now - refilled_) * callsPerSecond_ * kOfLimit, callsPerSecond_);
+    calls_ = std::min(calls_ + toSeconds(now - refilled_) * callsPerSecond_ * kOfLimit, callsPerSecond_);
     refilled_ = now;
   }
   // Takes one call if there is one.
--- a/src/autoscaler/machine_inventory.cpp
+++ b/src/autoscaler/machine_inventory.cpp
@@ -64,7 +64,7 @@
   if (machine.state == wire::ListedMachine::State::Failed) scaleIn_.request(machine.id, "failed");
   const auto* type = findType(catalog_.prices(), machine.type);
   bool starting = machine.state == wire::ListedMachine::State::Starting;
-  if (starting && type && machine.heldS > kNeverUp * type->bootS + kNeverUpPlusS)
+  if (starting && type && machine.heldS > kNeverUp * type->bootSeconds + kNeverUpPlusS)
     scaleIn_.request(machine.id, "never came up");
 }
 
@@ -96,7 +96,7 @@
 
 // Records of machines that were gone before any list named them.
 void MachineInventory::reviewNeverListed() {
-  auto listAgeS = inSeconds(context_.runtime.now() - listedAt_);
+  auto listAgeS = toSeconds(context_.runtime.now() - listedAt_);
   for (const auto& [id, machine] : context_.clusterView.machines) {
     if (machine.record.phase != wire::MachinePhase::InUse || seen_.count(id) > 0) continue;
     auto ageMs = context_.runtime.wall().value - machine.record.since.value;
--- a/src/autoscaler/shard_fleet.cpp
+++ b/src/autoscaler/shard_fleet.cpp
@@ -47,7 +47,7 @@
     policy::FleetMachine machine{record.type, record.zone, record.spot, type ? type->size.cores : 0,
                                  true,        -1};
     double ageS = static_cast<double>(now.value - record.since.value) / kMsPerSecond;
-    bool boots = type && ageS < kLateBoot * type->bootS + kLateBootPlusS;
+    bool boots = type && ageS < kLateBoot * type->bootSeconds + kLateBootPlusS;
     auto it = reported.find(id.value);
     if (it != reported.end()) {
       applyLoad(*it->second, boots, machine);
--- a/src/base/ids.h
+++ b/src/base/ids.h
@@ -1,4 +1,4 @@
-// Strong types for ids, versions and counters, so that two of them are never mistaken for one another.
+// StrongType types for ids, versions and counters, so that two of them are never mistaken for one another.
 #pragma once
 
 #include <compare>
@@ -8,38 +8,38 @@
 
 namespace cherryloft {
 
-// A value of type T that converts to no other Strong type. Ordered and hashed as its value.
+// A value of type T that converts to no other StrongType type. Ordered and hashed as its value.
 template <class Tag, class T>
-struct Strong {
+struct StrongType {
   T value{};
-  friend auto operator<=>(const Strong&, const Strong&) = default;
-  friend bool operator==(const Strong&, const Strong&) = default;
+  friend auto operator<=>(const StrongType&, const StrongType&) = default;
+  friend bool operator==(const StrongType&, const StrongType&) = default;
 };
 
-using JobId = Strong<struct JobTag, std::string>;
-using MachineId = Strong<struct MachineTag, std::string>;
-using TeamId = Strong<struct TeamTag, std::string>;
-using ControllerId = Strong<struct ControllerTag, std::string>;
-using Zone = Strong<struct ZoneTag, std::string>;
-using ImageId = Strong<struct ImageTag, std::string>;
-using ShardId = Strong<struct ShardTag, std::uint32_t>;
+using JobId = StrongType<struct JobTag, std::string>;
+using MachineId = StrongType<struct MachineTag, std::string>;
+using TeamId = StrongType<struct TeamTag, std::string>;
+using ControllerId = StrongType<struct ControllerTag, std::string>;
+using Zone = StrongType<struct ZoneTag, std::string>;
+using ImageId = StrongType<struct ImageTag, std::string>;
+using ShardId = StrongType<struct ShardTag, std::uint32_t>;
 
-// One try to run a task; unique for ever (attemptOf).
-using Attempt = Strong<struct AttemptTag, std::uint64_t>;
+// One try to run a task; unique for ever (makeAttempt).
+using Attempt = StrongType<struct AttemptTag, std::uint64_t>;
 // Drawn from one counter of the cluster with every change of ownership; never given twice.
-using Epoch = Strong<struct EpochTag, std::uint64_t>;
+using Epoch = StrongType<struct EpochTag, std::uint64_t>;
 // Of a key in the state service; 0: the key does not exist.
-using Version = Strong<struct VersionTag, std::uint64_t>;
+using Version = StrongType<struct VersionTag, std::uint64_t>;
 // Of a controller, granted by the state service.
-using LeaseId = Strong<struct LeaseTag, std::uint64_t>;
+using LeaseId = StrongType<struct LeaseTag, std::uint64_t>;
 // One life of a worker's lease, counted by the worker; what an earlier one ran is gone.
-using Incarnation = Strong<struct IncarnationTag, std::uint64_t>;
+using Incarnation = StrongType<struct IncarnationTag, std::uint64_t>;
 // Of a worker's heartbeats within one incarnation.
-using SequenceNumber = Strong<struct SequenceNumberTag, std::uint64_t>;
+using SequenceNumber = StrongType<struct SequenceNumberTag, std::uint64_t>;
 
 // Attempts are unique for ever, as the epoch they carry is allocated once.
 inline constexpr unsigned kAttemptCountBits = 24;
-inline Attempt attemptOf(Epoch epoch, std::uint64_t count) {
+inline Attempt makeAttempt(Epoch epoch, std::uint64_t count) {
   return Attempt{(epoch.value << kAttemptCountBits) + count};
 }
 
@@ -54,6 +54,6 @@
 }  // namespace cherryloft
 
 template <class Tag, class T>
-struct std::hash<cherryloft::Strong<Tag, T>> {
-  std::size_t operator()(const cherryloft::Strong<Tag, T>& id) const { return std::hash<T>{}(id.value); }
+struct std::hash<cherryloft::StrongType<Tag, T>> {
+  std::size_t operator()(const cherryloft::StrongType<Tag, T>& id) const { return std::hash<T>{}(id.value); }
 };
--- a/src/base/job.h
+++ b/src/base/job.h
@@ -15,7 +15,7 @@
 enum class JobStatus : std::uint8_t { Open, Done, Cancelled };
 
 // Sums of decimal numbers are not exact: what is missing by less does not count.
-inline constexpr double kResourceSlack = 1e-6;
+inline constexpr double kResourceTolerance = 1e-6;
 
 // What a task takes or a machine has: cores, gpus, and memory in gigabytes.
 struct Resources {
@@ -41,8 +41,8 @@
     return {each.cores * count, each.gpus * count, each.ram * count};
   }
   [[nodiscard]] bool fitsIn(const Resources& available) const {
-    return cores <= available.cores + kResourceSlack && gpus <= available.gpus + kResourceSlack &&
-           ram <= available.ram + kResourceSlack;
+    return cores <= available.cores + kResourceTolerance && gpus <= available.gpus + kResourceTolerance &&
+           ram <= available.ram + kResourceTolerance;
   }
 };
 
@@ -81,7 +81,7 @@
   std::optional<Attempt> attempt{};  // of a gang: common to all its members
   bool recalled = false;             // the owner asks for what is not done
 
-  [[nodiscard]] bool covers(std::uint32_t index) const {
+  [[nodiscard]] bool contains(std::uint32_t index) const {
     return std::binary_search(tasks.begin(), tasks.end(), index);
   }
 };
@@ -100,7 +100,7 @@
   double fetchGbPerS = 0;
   double price = 0;
   double spotPrice = 0;
-  double bootS = 0;
+  double bootSeconds = 0;
   std::vector<Zone> zones;
 };
 using Catalog = std::vector<MachineType>;
--- a/src/base/time.h
+++ b/src/base/time.h
@@ -19,13 +19,13 @@
 using Duration = SteadyTag::duration;
 using Time = SteadyTag::time_point;
 // Time of day in milliseconds since 1970, good to `clock_error_ms` of the settings.
-using WallTime = Strong<struct WallTag, std::int64_t>;
+using WallTime = StrongType<struct WallTag, std::int64_t>;
 
 inline constexpr double kMillisecondsPerSecond = 1000.0;
 inline Duration seconds(double count) {
   return Duration{static_cast<std::int64_t>(count * kMillisecondsPerSecond)};
 }
-inline double inSeconds(Duration duration) {
+inline double toSeconds(Duration duration) {
   return static_cast<double>(duration.count()) / kMillisecondsPerSecond;
 }
 
--- a/src/cluster/peers.cpp
+++ b/src/cluster/peers.cpp
@@ -97,7 +97,7 @@
 void Peers::reconnectIfUnheard(PeerNumber peer, Time now) {
   if (hears(peer) || now - peers_[peer].reconnectedAt <= kReconnectInterval) return;
   peers_[peer].reconnectedAt = now;
-  runtime_.remesh(peer);
+  runtime_.resetPeerConnection(peer);
 }
 
 void Peers::send(PeerNumber to, mesh::Payload payload) {
--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -26,7 +26,7 @@
     client_.call(to, std::move(r), deadline, std::move(done));
   }
   void mesh(std::uint32_t to, const mesh::Frame& f) override { transport_->send(to, f); }
-  void remesh(std::uint32_t to) override { transport_->reset(to); }
+  void resetPeerConnection(std::uint32_t to) override { transport_->reset(to); }
 
  private:
   Loop& loop_;
--- a/src/kvstore/rate_limiter.cpp
+++ b/src/kvstore/rate_limiter.cpp
@@ -26,7 +26,7 @@
 }
 
 void RateLimiter::refill(Time now) {
-  double elapsedSeconds = inSeconds(now - refilledAt_);
+  double elapsedSeconds = toSeconds(now - refilledAt_);
   refilledAt_ = now;
   // The largest transaction must be affordable at some time, however small our fraction is.
   double requestCapacity = std::max(requestsPerSecond(), kMinRequestCapacity);
--- a/src/kvstore/request_queue.cpp
+++ b/src/kvstore/request_queue.cpp
@@ -28,7 +28,7 @@
 }
 
 bool RequestQueue::wouldExpire(std::size_t waitingBefore, Duration deadline) const {
-  double sentInTime = std::max(limiter_.requestsPerSecond() * inSeconds(deadline), 1.0);
+  double sentInTime = std::max(limiter_.requestsPerSecond() * toSeconds(deadline), 1.0);
   return static_cast<double>(waitingBefore) > sentInTime;
 }
 
--- a/src/net/loop.cpp
+++ b/src/net/loop.cpp
@@ -42,7 +42,7 @@
   ev_timer_stop(loop_, &timer_);
   if (due_.empty()) return;
   ev_now_update(loop_);
-  double wait = inSeconds(due_.begin()->first - now());
+  double wait = toSeconds(due_.begin()->first - now());
   ev_timer_set(&timer_, std::max(wait, 0.0), 0.0);
   ev_timer_start(loop_, &timer_);
 }
--- a/src/policy/autoscaling.cpp
+++ b/src/policy/autoscaling.cpp
@@ -89,19 +89,19 @@
 
 CapacityTargets targets(const ShardFleet& fleet, const Catalog& catalog, double spareFraction,
                         double patienceS) {
-  double bootS = 0;
+  double bootSeconds = 0;
   double ratio = 0;  // of ordinary to spot price
   for (const auto& type : catalog) {
-    bootS += type.bootS / static_cast<double>(catalog.size());
+    bootSeconds += type.bootSeconds / static_cast<double>(catalog.size());
     if (type.spotPrice > 0) ratio = std::max(ratio, type.price / type.spotPrice);
   }
   double need = fleet.onDemandOnly.used + fleet.onDemandOnly.waiting + fleet.spotAllowed.used +
                 fleet.spotAllowed.waiting;
   CapacityTargets target;
   target.onDemand = fleet.onDemandOnly.used + fleet.onDemandOnly.waiting + fleet.onDemandOnly.largestTask +
-                    fleet.onDemandOnly.arriving * bootS;
+                    fleet.onDemandOnly.arriving * bootSeconds;
   // Arrays end about as fast as they come, so what is there tells what will be needed.
-  target.total = need + fleet.onDemandOnly.arriving * bootS + fleet.onDemandOnly.largestTask +
+  target.total = need + fleet.onDemandOnly.arriving * bootSeconds + fleet.onDemandOnly.largestTask +
                  fleet.spotAllowed.largestTask;
   double spotWork = fleet.spotAllowed.used + fleet.spotAllowed.waiting;
   double largest = 0;
@@ -131,7 +131,7 @@
       return std::any_of(fleet.machines.begin(), fleet.machines.end(), [&](const auto& machine) {
         // One that boots is not used yet; those that are up and full help nobody.
         return machine.counts && machine.zone == zone && (!machine.spot || workload == &fleet.spotAllowed) &&
-               machine.cores - machine.usedCores >= workload->largestTask - kResourceSlack;
+               machine.cores - machine.usedCores >= workload->largestTask - kResourceTolerance;
       });
     };
     if (workload->stuckZones.empty() ||
@@ -207,7 +207,7 @@
     // kept for that while there is plenty.
     bool plenty = !machine.spot &&
                   have.onDemand + have.spot - machine.cores > target.total + surplus(target.total, catalog);
-    double keepS = plenty ? 0 : kIdleBoots * (type ? type->bootS : 0);
+    double keepS = plenty ? 0 : kIdleBoots * (type ? type->bootSeconds : 0);
     if (minIdleS > 0 && (machine.idleS < keepS || machine.ageS < kPaidS)) continue;
     if (have.onDemand + have.spot - machine.cores < target.total ||
         (machine.spot && machine.cores > spareSpot))
--- a/src/runtime/runtime.h
+++ b/src/runtime/runtime.h
@@ -19,7 +19,7 @@
   // To a neighbour; may be lost.
   virtual void mesh(std::uint32_t to, const mesh::Frame& f) = 0;
   // The connection for what we say to that neighbour seems stuck: start over.
-  virtual void remesh(std::uint32_t to) = 0;
+  virtual void resetPeerConnection(std::uint32_t to) = 0;
 };
 
 }  // namespace cherryloft
--- a/src/scheduler/commits.cpp
+++ b/src/scheduler/commits.cpp
@@ -296,7 +296,7 @@
 void ShardScheduler::cleanUp(Job& job) {
   if (job.status == JobStatus::Open || job.placed > 0) return;
   auto id = job.id;
-  jobMigration_.jobOver(job);
+  jobMigration_.handleJobEnd(job);
   delegatedTasks_.remove(id);
   failures_.forget(id);
   state_.removeJob(id);
--- a/src/scheduler/delegated_tasks.cpp
+++ b/src/scheduler/delegated_tasks.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 // What found no capacity for so long goes back to the owner, which may find some elsewhere.
-constexpr Duration kReturnsAfter{30'000};
+constexpr Duration kReturnUnplacedAfter{30'000};
 
 }  // namespace
 
@@ -18,7 +18,7 @@
                                ShardId ownShard, Log log)
     : settings_(settings), view_(view), state_(state), ownShard_(ownShard), log_(std::move(log)) {}
 
-bool DelegatedTasks::returnedSince(const JobId& job, Version shown) {
+bool DelegatedTasks::wasReturnedAfter(const JobId& job, Version shown) {
   auto found = returnedAt_.find(job);
   if (found == returnedAt_.end()) return false;
   if (shown < found->second) return true;
@@ -30,7 +30,7 @@
 // found no capacity for long or is asked back. Of a gang, as soon as none is placed.
 std::vector<std::uint32_t> DelegatedTasks::returnable(const Job& job, Time now) const {
   bool over = job.placed == 0 && job.waiting.empty();
-  bool inVain = now - std::max(job.since, job.placedLast) >= kReturnsAfter;
+  bool inVain = now - std::max(job.since, job.placedLast) >= kReturnUnplacedAfter;
   bool gangEnded = job.delegation->attempt && job.begun && job.placed == 0;
   bool givesUpWaiting = !job.waiting.empty() && (inVain || job.recalling || gangEnded);
   std::vector<std::uint32_t> tasks;
--- a/src/scheduler/delegated_tasks.h
+++ b/src/scheduler/delegated_tasks.h
@@ -38,7 +38,7 @@
 
   // Whether the cluster view, which shows that version of the job, may still show a delegation that was given
   // back in full since.
-  [[nodiscard]] bool returnedSince(const JobId& job, Version shown);
+  [[nodiscard]] bool wasReturnedAfter(const JobId& job, Version shown);
 
   // Whether any job has tasks that go back to its owner now.
   [[nodiscard]] bool anyReturnable(Time now) const;
--- a/src/scheduler/eviction_planner.cpp
+++ b/src/scheduler/eviction_planner.cpp
@@ -39,7 +39,7 @@
   const auto& spec = *placement.job->spec;
   const Team* team = settings_.team(spec.team);
   bool teamAboveGuarantee =
-      team && state_.teamUse(spec.team).cores - spec.each.cores >= team->cores - kResourceSlack;
+      team && state_.teamUse(spec.team).cores - spec.each.cores >= team->cores - kResourceTolerance;
   return policy::mayPreempt(preemptor, {spec.priority, spec.team == job.spec->team, teamAboveGuarantee});
 }
 
@@ -47,7 +47,7 @@
 double EvictionPlanner::lostSeconds(const Placement& placement) const {
   const auto& spec = *placement.job->spec;
   bool isRunning = placement.shown && placement.phase == wire::TaskPhase::Running;
-  double seconds = isRunning ? inSeconds(now_ - placement.runningSince) : 0;
+  double seconds = isRunning ? toSeconds(now_ - placement.runningSince) : 0;
   if (placement.job->isGang()) {
     double perMember =
         policy::lostSinceCheckpoint(seconds, spec.checkpointIntervalSeconds) + kGangLossSeconds;
--- a/src/scheduler/heartbeats.cpp
+++ b/src/scheduler/heartbeats.cpp
@@ -49,7 +49,7 @@
 bool endsWithin(const Placement& placement, double secondsLeft, Time now) {
   const auto& spec = *placement.job->spec;
   bool running = placement.shown && placement.phase == TaskPhase::Running;
-  double ranSeconds = running ? inSeconds(now - placement.runningSince) : 0;
+  double ranSeconds = running ? toSeconds(now - placement.runningSince) : 0;
   return spec.kind != JobKind::Service && spec.expectedRunSeconds - ranSeconds < secondsLeft;
 }
 
@@ -61,7 +61,8 @@
   auto now = runtime_.now();
   if (!leaseValidity_.answers(now)) return {kHttpUnavailable, R"({"error":"not entitled"})"};
   if (!loaded_) return answerWhileLoading(heartbeat);
-  if (mayNotKnowCancellations(now)) return {kHttpUnavailable, R"({"error":"cancellations may be unknown"})"};
+  if (mayHaveUnseenCancellations(now))
+    return {kHttpUnavailable, R"({"error":"cancellations may be unknown"})"};
   Machine* machine = state_.machine(heartbeat.machine);
   if (!machine) return {kHttpUnavailable, R"({"error":"unknown machine"})"};
   if (machine->fence.supersededBy(heartbeat)) {
@@ -92,7 +93,7 @@
     return {kHttpUnavailable, R"({"error":"the share is not loaded"})"};
   auto known = view_.machines.find(heartbeat.machine);
   if (known == view_.machines.end()) return {kHttpUnavailable, R"({"error":"unknown machine"})"};
-  auto lowestOwnToken = tokenOf(std::max(known->second.record.token, takeover_.epoch));
+  auto lowestOwnToken = makeFencingToken(std::max(known->second.record.token, takeover_.epoch));
   if (heartbeat.token > lowestOwnToken) return {kHttpMisdirected, "{}"};
   return {kHttpOk, wire::encodeHeartbeatAnswer(lowestOwnToken, view_.stopCommandsForCancelled(heartbeat))};
 }
--- a/src/scheduler/job_migration.cpp
+++ b/src/scheduler/job_migration.cpp
@@ -17,7 +17,7 @@
       log_(std::move(log)),
       remoteUsage_(state, seconds(settings.cancelS)) {}
 
-void JobMigration::countAfterTakeover() {
+void JobMigration::restoreRemoteUsage() {
   for (const auto& [id, entry] : view_.jobs) {
     if (entry.shard == ownShard_ && entry.status == JobStatus::Cancelled) countDelegated(id, entry);
     bool elsewhere = entry.shard != ownShard_ && entry.spec && entry.status != JobStatus::Done;
@@ -41,7 +41,7 @@
   planned_.push_back({job.id, toShard, maxConcurrent});
 }
 
-bool JobMigration::plannedOrCounted(const JobId& job) const {
+bool JobMigration::isPlannedOrRemote(const JobId& job) const {
   bool planned = std::any_of(planned_.begin(), planned_.end(),
                              [&](const PlannedMigration& migration) { return migration.job == job; });
   return planned || remoteUsage_.counts(job);
@@ -71,10 +71,10 @@
   return transaction.add(std::move(write), job->version);
 }
 
-void JobMigration::jobOver(const Job& job) {
+void JobMigration::handleJobEnd(const Job& job) {
   bool withOtherShards = !job.delegation && job.remote > 0;
   if (withOtherShards) {
-    remoteUsage_.takeOver(job.id, *job.spec, job.remote);
+    remoteUsage_.trackAlreadyCounted(job.id, *job.spec, job.remote);
   } else if (job.status == JobStatus::Cancelled && job.maxConcurrent) {
     auto record = cleanedUpRecord(job, ownShard_);
     cleanups_.push_back(
--- a/src/scheduler/job_migration.h
+++ b/src/scheduler/job_migration.h
@@ -31,13 +31,13 @@
 
   // After a takeover, once the jobs are restored: counts the jobs of this shard's teams that former owners
   // migrated, and what other shards may still have of cancelled jobs of this shard.
-  void countAfterTakeover();
+  void restoreRemoteUsage();
 
   // The job is to be written with the next commit as the other shard's; from now on what it may take there at
   // a time (maxConcurrent tasks) is counted, if its team is of this shard.
   void plan(const Job& job, ShardId toShard, std::uint32_t maxConcurrent);
   // Its migration is planned, or it is counted as elsewhere.
-  [[nodiscard]] bool plannedOrCounted(const JobId& job) const;
+  [[nodiscard]] bool isPlannedOrRemote(const JobId& job) const;
   // Adds the planned migrations of jobs of which still nothing was anywhere, and returns them. The others are
   // dropped.
   [[nodiscard]] std::vector<JobId> addPlanned(TransactionBuilder& transaction);
@@ -45,8 +45,8 @@
 
   // A job of this shard is over and about to leave the shard state. Plans the write that says so, if the job
   // came here by a migration and nothing of it is left; counts on what other shards still have of it.
-  void jobOver(const Job& job);
-  [[nodiscard]] bool cleanupsPlanned() const { return !cleanups_.empty(); }
+  void handleJobEnd(const Job& job);
+  [[nodiscard]] bool hasPlannedCleanups() const { return !cleanups_.empty(); }
   // Adds the planned cleanups as far as they fit. A record that does not fit is left as it is: the team's own
   // shard then waits for cancel_s.
   void addCleanups(TransactionBuilder& transaction);
--- a/src/scheduler/load_reporter.cpp
+++ b/src/scheduler/load_reporter.cpp
@@ -32,11 +32,11 @@
       failures_(failures),
       callbacks_(std::move(callbacks)) {}
 
-void LoadReporter::workArrived(Time at, double cores, bool spotAllowed) {
+void LoadReporter::recordArrivedWork(Time at, double cores, bool spotAllowed) {
   arrived_.push_back({at, cores, spotAllowed});
 }
 
-void LoadReporter::workDone(Time at, double cores, bool spotAllowed) {
+void LoadReporter::recordCompletedWork(Time at, double cores, bool spotAllowed) {
   done_.push_back({at, cores, spotAllowed});
 }
 
@@ -104,7 +104,7 @@
   if (spec.types) demand.types = *spec.types;
 
   bool waits =
-      !job.waiting.empty() && coresWithinQuota >= each.cores - kResourceSlack && now >= job.notBefore;
+      !job.waiting.empty() && coresWithinQuota >= each.cores - kResourceTolerance && now >= job.notBefore;
   if (!waits || !(spec.spread || spec.zone || spec.oneZone)) return;
   // Of several such jobs the last one's zones are reported.
   if (auto zones = stuckZones(job, now)) demand.stuckZones = std::move(*zones);
@@ -150,12 +150,12 @@
   while (!arrived_.empty() && now - arrived_.front().at > kArrivalWindow) arrived_.pop_front();
   for (const auto& work : arrived_) {
     auto& demand = demandOf(load, work.spotAllowed);
-    demand.arriving += work.cores / inSeconds(kArrivalWindow);
+    demand.arriving += work.cores / toSeconds(kArrivalWindow);
     demand.largestJob = std::max(demand.largestJob, work.cores);
   }
   while (!done_.empty() && now - done_.front().at > kDoneWindow) done_.pop_front();
   for (const auto& work : done_)
-    demandOf(load, work.spotAllowed).departing += work.cores / inSeconds(kDoneWindow);
+    demandOf(load, work.spotAllowed).departing += work.cores / toSeconds(kDoneWindow);
 }
 
 // --- machines ---
@@ -189,7 +189,7 @@
   load.zone = machine.zone().value;
   load.spot = machine.spot();
   load.freeCores = machine.free().cores;
-  load.idleS = machine.placements.empty() ? inSeconds(now - machine.idleSince) : 0;
+  load.idleS = machine.placements.empty() ? toSeconds(now - machine.idleSince) : 0;
   load.usable = machine.open();
   load.decommissioning =
       machine.decommissioning || machine.reclaimAt || record.phase != wire::MachinePhase::InUse;
--- a/src/scheduler/load_reporter.h
+++ b/src/scheduler/load_reporter.h
@@ -39,8 +39,8 @@
                const FailureAttribution& failures, Callbacks callbacks);
 
   // Work that was submitted to this shard, or done by it, at that moment; cores of all its tasks.
-  void workArrived(Time at, double cores, bool spotAllowed);
-  void workDone(Time at, double cores, bool spotAllowed);
+  void recordArrivedWork(Time at, double cores, bool spotAllowed);
+  void recordCompletedWork(Time at, double cores, bool spotAllowed);
   // Sends a report if the last one is a report interval old.
   void reportIfDue(Time now);
 
--- a/src/scheduler/machine_pool.h
+++ b/src/scheduler/machine_pool.h
@@ -27,7 +27,7 @@
 
   // The fullest machine that has so many cores free; those after it have more.
   ByFreeCores::const_iterator withFreeCores(double cores) const {
-    return byFreeCores.lower_bound({cores - kResourceSlack, 0});
+    return byFreeCores.lower_bound({cores - kResourceTolerance, 0});
   }
   // Whether a machine has room for such a task and is allowed for it, with at most so many examined.
   bool hasCapacity(const Resources& each, unsigned mostExamined,
--- a/src/scheduler/placement_constraints.cpp
+++ b/src/scheduler/placement_constraints.cpp
@@ -57,7 +57,7 @@
   return std::any_of(state_.pools().begin(), state_.pools().end(), [&](const Pool& pool) {
     if (pool.byFreeCores.empty()) return false;
     double mostFreeCores = pool.byFreeCores.rbegin()->first.first;
-    return mostFreeCores >= job.spec->each.cores - kResourceSlack && allowsPool(job, pool);
+    return mostFreeCores >= job.spec->each.cores - kResourceTolerance && allowsPool(job, pool);
   });
 }
 
--- a/src/scheduler/placement_rounds.cpp
+++ b/src/scheduler/placement_rounds.cpp
@@ -112,7 +112,7 @@
       turn.emplace(context, roundScope_, job);
       continue;
     }
-    placeNextTask(job, *machine, gangAttempt ? *gangAttempt : attemptOf(takeover_.epoch, ++attempts_));
+    placeNextTask(job, *machine, gangAttempt ? *gangAttempt : makeAttempt(takeover_.epoch, ++attempts_));
     ++placed;
   }
   job.avoidSpot = false;
@@ -122,7 +122,7 @@
 std::optional<Attempt> ShardScheduler::attemptForGang(const Job& job) {
   if (!job.isGang()) return std::nullopt;
   auto attempt = job.delegation ? job.delegation->attempt : job.gangAttempt;
-  if (!attempt) attempt = attemptOf(takeover_.epoch, ++attempts_);
+  if (!attempt) attempt = makeAttempt(takeover_.epoch, ++attempts_);
   return attempt;
 }
 
--- a/src/scheduler/preemption.cpp
+++ b/src/scheduler/preemption.cpp
@@ -71,7 +71,7 @@
   auto machines = planner.sampleMachines(job, rng_);
   for (std::size_t task = 0; task < job.waiting.size() && round.plans < kMaxPlansPerRound; ++task) {
     quotaLeft -= spec.each.cores;
-    if (quotaLeft < -kResourceSlack) return;
+    if (quotaLeft < -kResourceTolerance) return;
     ++round.plans;
     auto eviction = planner.planForTask(pending, machines, round.forecast);
     if (!eviction) return;
@@ -85,7 +85,7 @@
 void ShardScheduler::preemptForGang(const PendingJob& pending, PreemptionRound& round) {
   const Job& job = *pending.job;
   ++round.plans;
-  if (job.placed > 0 || tasksWithinLimit(job) < job.waiting.size()) return;
+  if (job.placed > 0 || tasksWithinQuota(job) < job.waiting.size()) return;
   const EvictionPlanner planner(settings_, state_, constraints_, runtime_.now());
   auto plan = planner.planForGang(pending, planner.sampleMachines(job, rng_), round.forecast);
   if (!plan) return;
--- a/src/scheduler/remote_capacity.cpp
+++ b/src/scheduler/remote_capacity.cpp
@@ -26,24 +26,24 @@
 // --- which jobs need capacity elsewhere ---
 
 // It has been open, with tasks to place, for kRequestAfter without a start.
-bool ShardScheduler::waitsLong(const Job& job, Time now) const {
+bool ShardScheduler::hasWaitedLong(const Job& job, Time now) const {
   return job.open() && !job.waiting.empty() && !job.delegation && !job.recalling && now >= job.notBefore &&
          now - std::max(job.since, job.placedLast) >= kRequestAfter;
 }
 
 // Its team is within its quota, and no machine of ours could take a task of it, or all of a gang.
-bool ShardScheduler::unplaceable(const Job& job) const {
+bool ShardScheduler::isUnschedulable(const Job& job) const {
   if (!state_.withinLimit(job)) return false;
-  if (job.isGang()) return job.placed == 0 && capacityFor(job) < job.waiting.size();
+  if (job.isGang()) return job.placed == 0 && capacityForJob(job) < job.waiting.size();
   return !constraints_.hasCapacity(job);
 }
 
 // The oldest jobs that have waited long in vain, at most kMaxRequested. Those to migrate have nothing begun;
 // those to delegate tasks of have some tasks begun, or must be placed whole.
-std::vector<Job*> ShardScheduler::oldestUnplaceable(RemotePlacement purpose, Time now) {
+std::vector<Job*> ShardScheduler::oldestUnschedulableJobs(RemotePlacement purpose, Time now) {
   std::vector<Job*> waiting;
   for (auto& [_, job] : state_.jobs()) {
-    if (!waitsLong(job, now)) continue;
+    if (!hasWaitedLong(job, now)) continue;
     bool begun = job.placed > 0 || job.done > 0 || job.remote > 0;
     bool suits = purpose == RemotePlacement::Migration ? !begun : begun || job.isGang();
     if (suits) waiting.push_back(&job);
@@ -56,13 +56,13 @@
   waiting.resize(examined);
   std::vector<Job*> oldest;
   for (Job* job : waiting)
-    if (oldest.size() < kMaxRequested && unplaceable(*job)) oldest.push_back(job);
+    if (oldest.size() < kMaxRequested && isUnschedulable(*job)) oldest.push_back(job);
   return oldest;
 }
 
 // Its migration is about to be written, or on its way: no transaction writes a job's record twice.
-bool ShardScheduler::migrationPlanned(const JobId& id) const {
-  return jobMigration_.plannedOrCounted(id) || (commitInFlight_ && commitInFlight_->migrates(id));
+bool ShardScheduler::isMigrationPlanned(const JobId& id) const {
+  return jobMigration_.isPlannedOrRemote(id) || (commitInFlight_ && commitInFlight_->migrates(id));
 }
 
 // Plans the migration of jobs that offers came for, and asks for capacity for the others.
@@ -74,8 +74,8 @@
   if (transferringTo_ || ownershipTransferSent_) return;
   mesh::CapacityRequest request;
   request.shard = takeover_.shard.value;
-  for (const Job* job : oldestUnplaceable(RemotePlacement::Migration, now)) {
-    if (migrationPlanned(job->id)) continue;
+  for (const Job* job : oldestUnschedulableJobs(RemotePlacement::Migration, now)) {
+    if (isMigrationPlanned(job->id)) continue;
     if (!planMigration(*job)) request.jobs.push_back(job->id.value);
   }
   if (!request.jobs.empty()) callbacks_.requestCapacity(request);
@@ -85,7 +85,7 @@
 bool ShardScheduler::planMigration(const Job& job) {
   auto offer = jobOffers_.best(job.id);
   if (!offer) return false;
-  auto maxConcurrent = maxRemoteTasks(job);
+  auto maxConcurrent = maxConcurrentRemoteTasks(job);
   if (!maxConcurrent) return false;
   jobMigration_.plan(job, offer->shard, *maxConcurrent);
   jobOffers_.remove(job.id);
@@ -94,13 +94,13 @@
 }
 
 // How many more of its tasks its team's quota allows for.
-std::uint32_t ShardScheduler::tasksWithinLimit(const Job& job) const {
+std::uint32_t ShardScheduler::tasksWithinQuota(const Job& job) const {
   const auto& spec = *job.spec;
   if (job.maxConcurrent) return *job.maxConcurrent - std::min(*job.maxConcurrent, job.placed + job.remote);
   if (!job.team) return 0;
   auto use = state_.teamUse(spec.team);
   auto tasksIn = [&](double unused, double each) {
-    return each > 0 ? std::floor((unused + kResourceSlack) / each) : static_cast<double>(spec.tasks);
+    return each > 0 ? std::floor((unused + kResourceTolerance) / each) : static_cast<double>(spec.tasks);
   };
   double tasks = std::min(tasksIn(job.team->coreQuota - use.cores, spec.each.cores),
                           tasksIn(job.team->gpuQuota - use.gpus, spec.each.gpus));
@@ -109,9 +109,9 @@
 
 // How many of its tasks may be elsewhere at a time, if the team's quota allows for any: all that it allows
 // for, as more capacity may come free there. Replicas and members of a gang are all to run together.
-std::optional<std::uint32_t> ShardScheduler::maxRemoteTasks(const Job& job) const {
+std::optional<std::uint32_t> ShardScheduler::maxConcurrentRemoteTasks(const Job& job) const {
   if (job.maxConcurrent) return job.maxConcurrent;
-  auto tasks = tasksWithinLimit(job);
+  auto tasks = tasksWithinQuota(job);
   if (tasks == 0 || (tasks < job.spec->tasks && job.spec->kind != JobKind::Array)) return std::nullopt;
   return tasks;
 }
@@ -130,7 +130,7 @@
 }
 
 // The job's entry if it is open and that shard owns it, as far as the cluster view shows; else null.
-const JobEntry* ShardScheduler::openJobOf(ShardId shard, const JobId& id) const {
+const JobEntry* ShardScheduler::findOpenJob(ShardId shard, const JobId& id) const {
   auto found = view_.jobs.find(id);
   if (found == view_.jobs.end()) return nullptr;
   const auto& job = found->second;
@@ -141,12 +141,12 @@
 void ShardScheduler::handleCapacityRequest(const mesh::CapacityRequest& request) {
   if (!mayOfferCapacity(capacityOfferedAt_)) return;
   for (const auto& name : request.jobs) {
-    const auto* entry = openJobOf(ShardId{request.shard}, JobId{name});
+    const auto* entry = findOpenJob(ShardId{request.shard}, JobId{name});
     if (!entry) continue;
     Job probe;
     probe.id = JobId{name};
     probe.spec = entry->spec;
-    auto tasks = capacityFor(probe);
+    auto tasks = capacityForJob(probe);
     if (tasks == 0 || (probe.isGang() && tasks < probe.spec->tasks)) continue;
     capacityOfferedAt_ = runtime_.now();
     callbacks_.offerCapacity({takeover_.shard.value, request.shard, name, tasks});
@@ -177,7 +177,7 @@
 }
 
 // The same in all zones together, or in the best one for a job that must be in one.
-std::uint32_t ShardScheduler::capacityFor(const Job& job) const {
+std::uint32_t ShardScheduler::capacityForJob(const Job& job) const {
   std::uint32_t inAll = 0;
   std::uint32_t inBest = 0;
   for (const auto& [_, tasks] : capacityByZone(job)) {
--- a/src/scheduler/remote_usage.cpp
+++ b/src/scheduler/remote_usage.cpp
@@ -35,7 +35,7 @@
   commit(job);
 }
 
-void RemoteUsage::takeOver(const JobId& job, const JobSpec& spec, std::uint32_t tasks) {
+void RemoteUsage::trackAlreadyCounted(const JobId& job, const JobSpec& spec, std::uint32_t tasks) {
   entries_[job] = {spec.team, sumOf(spec, tasks), Stage::Committed, std::nullopt};
 }
 
--- a/src/scheduler/remote_usage.h
+++ b/src/scheduler/remote_usage.h
@@ -36,7 +36,7 @@
   // Counts a job of which other shards have tasks according to its committed record.
   void countCommitted(const JobId& job, const JobSpec& spec, std::uint32_t tasks);
   // The same for tasks that ShardState counts already, as delegated ones of a job that it is about to drop.
-  void takeOver(const JobId& job, const JobSpec& spec, std::uint32_t tasks);
+  void trackAlreadyCounted(const JobId& job, const JobSpec& spec, std::uint32_t tasks);
 
   [[nodiscard]] bool counts(const JobId& job) const { return entries_.count(job) > 0; }
 
--- a/src/scheduler/shard_scheduler.cpp
+++ b/src/scheduler/shard_scheduler.cpp
@@ -51,7 +51,7 @@
   for (auto& [_, machine] : state_.machines()) state_.reindex(machine);
   for (auto& [_, job] : state_.jobs()) resumeJob(job);
   cleanUpCancelled();
-  jobMigration_.countAfterTakeover();
+  jobMigration_.restoreRemoteUsage();
   loaded_ = true;
   log_->info("shard loaded shard={} jobs={} machines={} ms={}", takeover_.shard.value, state_.jobs().size(),
              state_.machines().size(), recovery_.sinceStart().count());
@@ -97,7 +97,7 @@
 Machine& ShardScheduler::admit(const MachineId& id, const MachineEntry& known) {
   auto now = runtime_.now();
   auto& machine = state_.addMachine(id, known, findType(view_.catalog, known.record.type), now);
-  machine.fence = CommandFence{tokenOf(std::max(known.record.token, takeover_.epoch))};
+  machine.fence = CommandFence{makeFencingToken(std::max(known.record.token, takeover_.epoch))};
   // The former owner may have answered it until the end of its grace.
   machine.aliveUntil = now + takeover_.formerAnswers + leaseAfterAnswer();
   return machine;
@@ -115,20 +115,20 @@
   if (!loaded_) return;
   auto known = view_.jobs.find(id);
   if (known == view_.jobs.end()) return;
-  if (known->second.shard != takeover_.shard) return delegatedJobChanged(id, known->second);
+  if (known->second.shard != takeover_.shard) return handleDelegatedJobChange(id, known->second);
   // Our own commit may show here before its answer comes, and keep-alive proxies must have seen it as well
   // (invariant 15).
   if (known->second.status == JobStatus::Cancelled)
     lastCancelled_ = std::max(lastCancelled_, known->second.version);
-  if (Job* job = state_.job(id)) return ownedJobChanged(*job, known->second);
+  if (Job* job = state_.job(id)) return handleOwnedJobChange(*job, known->second);
   const auto& k = known->second;
   if (k.status != JobStatus::Open || !k.spec) return;
   auto& job = state_.addJob(id, k);
   auto now = runtime_.now();
   job.since = now;
   const Team* team = settings_.team(job.spec->team);
-  loadReporter_.workArrived(now, std::min(job.unfinished().cores, team ? team->coreQuota : 0),
-                            job.spec->spotAllowed);
+  loadReporter_.recordArrivedWork(now, std::min(job.unfinished().cores, team ? team->coreQuota : 0),
+                                  job.spec->spotAllowed);
   log_->debug("job {} came: {} tasks of {} cores", id.value, job.tasks.size(), job.spec->each.cores);
   requestRound(true);
 }
@@ -148,7 +148,7 @@
   }
   if (h->known.version >= known->second.version) return;
   h->known = known->second;
-  h->fence.raiseLowestOwnToken(tokenOf(std::max(h->known.record.token, takeover_.epoch)));
+  h->fence.raiseLowestOwnToken(makeFencingToken(std::max(h->known.record.token, takeover_.epoch)));
   state_.reindex(*h);
 }
 
@@ -224,7 +224,7 @@
     return !j.second.waiting.empty() && j.second.notBefore > now - 2 * kTick && j.second.notBefore <= now;
   });
   if (due) requestRound(true);
-  bool toWrite = !unwrittenTasks_.empty() || !ending_.empty() || jobMigration_.cleanupsPlanned() ||
+  bool toWrite = !unwrittenTasks_.empty() || !ending_.empty() || jobMigration_.hasPlannedCleanups() ||
                  taskDelegation_.anyPlanned();
   if (toWrite || delegatedTasks_.anyReturnable(now)) requestRound(false);
 }
--- a/src/scheduler/shard_scheduler.h
+++ b/src/scheduler/shard_scheduler.h
@@ -292,31 +292,31 @@
   enum class RemotePlacement : std::uint8_t { Migration, Delegation };
   void reviewMigrations(Time now);
   bool planMigration(const Job& job);
-  bool migrationPlanned(const JobId& id) const;
-  bool waitsLong(const Job& job, Time now) const;
-  bool unplaceable(const Job& job) const;
-  std::vector<Job*> oldestUnplaceable(RemotePlacement purpose, Time now);
+  bool isMigrationPlanned(const JobId& id) const;
+  bool hasWaitedLong(const Job& job, Time now) const;
+  bool isUnschedulable(const Job& job) const;
+  std::vector<Job*> oldestUnschedulableJobs(RemotePlacement purpose, Time now);
   bool mayOfferCapacity(Time lastOffer) const;
-  const JobEntry* openJobOf(ShardId shard, const JobId& id) const;
+  const JobEntry* findOpenJob(ShardId shard, const JobId& id) const;
   // How many tasks of a job with this description find room in each zone.
   std::map<Zone, std::uint32_t> capacityByZone(const Job& job) const;
-  std::uint32_t capacityFor(const Job& job) const;
-  std::optional<std::uint32_t> maxRemoteTasks(const Job& job) const;
-  std::uint32_t tasksWithinLimit(const Job& job) const;
+  std::uint32_t capacityForJob(const Job& job) const;
+  std::optional<std::uint32_t> maxConcurrentRemoteTasks(const Job& job) const;
+  std::uint32_t tasksWithinQuota(const Job& job) const;
   // Delegation of tasks to other shards (invariant 18): of this shard's jobs, ...
   void reviewDelegations(Time now);
   mesh::TaskCapacityNeed taskCapacityNeed(const Job& job) const;
   bool planDelegations(Job& job, Time now);
   void planRecall(Job& job) { taskDelegation_.planRecall(job); }
   void resumeDelegations(Job& job);
-  void ownedJobChanged(Job& job, const JobEntry& entry);
+  void handleOwnedJobChange(Job& job, const JobEntry& entry);
   // ... and of other shards' jobs.
-  void delegatedJobChanged(const JobId& id, const JobEntry& entry);
+  void handleDelegatedJobChange(const JobId& id, const JobEntry& entry);
   Job& acceptDelegation(const JobId& id, const JobEntry& entry, const Delegation& delegation);
-  void recallDelegated(Job& job);
-  void cancelDelegated(Job& job);
+  void handleDelegationRecall(Job& job);
+  void cancelDelegatedTasks(Job& job);
   void returnCommitted(const DelegationReturn& written, Version version);
-  bool mayNotKnowCancellations(Time now) const;
+  bool mayHaveUnseenCancellations(Time now) const;
   // Commits.
   void commit();
   std::optional<Time> commitDelayedUntil() const;
--- a/src/scheduler/shard_state.cpp
+++ b/src/scheduler/shard_state.cpp
@@ -63,7 +63,7 @@
 void ShardState::addDelegatedTasks(Job& job, const Delegation& delegation) {
   job.delegation = delegation;
   for (std::uint32_t index = 0; index < job.tasks.size(); ++index) {
-    if (delegation.covers(index)) continue;
+    if (delegation.contains(index)) continue;
     job.tasks[index].state = TaskState::Remote;
     ++job.remote;
   }
@@ -302,14 +302,14 @@
 }
 
 bool ShardState::aboveGuarantee(const Team& team) const {
-  return teamUse(team.name).cores > team.cores + kResourceSlack;
+  return teamUse(team.name).cores > team.cores + kResourceTolerance;
 }
 
 bool ShardState::mayPreempt(PriorityClass claimant, bool guaranteed) const {
   auto own = static_cast<std::size_t>(claimant);
   for (std::size_t lower = 0; lower < own; ++lower)
-    if (usedByPriority_[lower] > kResourceSlack) return true;
-  if (!guaranteed || usedByPriority_[own] <= kResourceSlack) return false;
+    if (usedByPriority_[lower] > kResourceTolerance) return true;
+  if (!guaranteed || usedByPriority_[own] <= kResourceTolerance) return false;
   return std::any_of(byTeam_.begin(), byTeam_.end(), [&](const auto& jobsOfTeam) {
     const Team* team = settings_.team(jobsOfTeam.first);
     return team && aboveGuarantee(*team);
--- a/src/scheduler/task_delegation.cpp
+++ b/src/scheduler/task_delegation.cpp
@@ -21,7 +21,7 @@
 
 std::uint32_t TaskDelegation::plan(Job& job, const ReceivedTaskOffer& offer, std::uint32_t maxTasks) {
   Delegation delegation{offer.shard, offer.zone, {}, job.gangAttempt};
-  auto most = std::min({maxTasks, offer.tasks, kMaxDelegatedTasks});
+  auto most = std::min({maxTasks, offer.tasks, kMaxTasksPerDelegation});
   while (delegation.tasks.size() < most && (!offer.zone || zoneAllows_(job, *offer.zone))) {
     auto index = job.waiting.front();
     job.waiting.pop_front();
@@ -115,7 +115,7 @@
   job->delegations.insert(job->delegations.end(), written.planned.begin(), written.planned.end());
 }
 
-std::optional<ReturnedTasks> TaskDelegation::takeReturned(Job& job, const JobEntry& entry) {
+std::optional<ReturnedTasks> TaskDelegation::applyReturns(Job& job, const JobEntry& entry) {
   bool bothOpen = entry.status == JobStatus::Open && job.status == JobStatus::Open;
   if (!bothOpen || job.version >= entry.version) return std::nullopt;
   job.version = entry.version;
@@ -124,7 +124,7 @@
   for (const auto& before : former) {
     const auto* now = findDelegation(entry.delegations, before.shard);
     for (auto index : before.tasks) {
-      bool stillDelegated = now && now->covers(index);
+      bool stillDelegated = now && now->contains(index);
       if (stillDelegated || job.tasks[index].state != TaskState::Remote) continue;
       bool done = std::binary_search(entry.doneRemotely.begin(), entry.doneRemotely.end(), index);
       state_.remoteBack(job, index, before.zone, done);
--- a/src/scheduler/task_delegation.h
+++ b/src/scheduler/task_delegation.h
@@ -28,7 +28,7 @@
 class ShardState;
 
 // Tasks of a job that are given to one shard at a time; bounds the record's growth by one write.
-inline constexpr std::uint32_t kMaxDelegatedTasks = 64;
+inline constexpr std::uint32_t kMaxTasksPerDelegation = 64;
 
 // What delegates gave back of a job.
 struct ReturnedTasks {
@@ -66,7 +66,7 @@
 
   // The cluster view shows the record of an own job: takes in what delegates gave back with it. Nothing if
   // the record is not newer than what is known, or the job is over.
-  [[nodiscard]] std::optional<ReturnedTasks> takeReturned(Job& job, const JobEntry& entry);
+  [[nodiscard]] std::optional<ReturnedTasks> applyReturns(Job& job, const JobEntry& entry);
 
  private:
   std::optional<wire::JobRecord> recordWith(const Job& job, const DelegationWrite& change) const;
--- a/src/scheduler/task_delegation_delegate.cpp
+++ b/src/scheduler/task_delegation_delegate.cpp
@@ -15,7 +15,7 @@
   if (!mayOfferCapacity(taskCapacityOfferedAt_)) return;
   for (const auto& need : request.jobs) {
     JobId id{need.job};
-    const auto* entry = openJobOf(ShardId{request.shard}, id);
+    const auto* entry = findOpenJob(ShardId{request.shard}, id);
     if (!entry || state_.job(id)) continue;
     Job probe;
     probe.id = id;
@@ -23,7 +23,7 @@
     mesh::TaskCapacityOffer offer{takeover_.shard.value, request.shard, need.job, {}};
     for (const auto& [zone, tasks] : need.zones) {
       probe.delegation = Delegation{takeover_.shard, zoneFromMessage(zone), {}};
-      auto capacity = std::min({capacityFor(probe), tasks, need.tasks});
+      auto capacity = std::min({capacityForJob(probe), tasks, need.tasks});
       if (capacity > offer.room.tasks) offer.room = {zone, capacity};
     }
     if (offer.room.tasks == 0) continue;
@@ -41,17 +41,17 @@
   delegatedTasks_.add(id);
   // A gang's attempt is tried once; whether a former owner of this shard did is not known.
   if (!loaded_ && delegation.attempt) job.begun = true;
-  if (loaded_ && delegation.recalled) recallDelegated(job);  // else once what is placed is restored
+  if (loaded_ && delegation.recalled) handleDelegationRecall(job);  // else once what is placed is restored
   return job;
 }
 
 // The cluster view shows a record of another shard's job: its tasks may be given to us, asked back or
 // cancelled.
-void ShardScheduler::delegatedJobChanged(const JobId& id, const JobEntry& entry) {
+void ShardScheduler::handleDelegatedJobChange(const JobId& id, const JobEntry& entry) {
   const auto* delegation = findDelegation(entry.delegations, takeover_.shard);
   Job* job = state_.job(id);
   if (!job) {
-    if (delegatedTasks_.returnedSince(id, entry.version)) return;
+    if (delegatedTasks_.wasReturnedAfter(id, entry.version)) return;
     if (!delegation || entry.status != JobStatus::Open || !entry.spec) return;
     acceptDelegation(id, entry, *delegation);
     requestRound(true);
@@ -61,14 +61,14 @@
   job->version = std::max(job->version, entry.version);
   if (entry.status == JobStatus::Cancelled) {
     lastCancelled_ = std::max(lastCancelled_, entry.version);
-    cancelDelegated(*job);
+    cancelDelegatedTasks(*job);
   } else if (delegation && delegation->recalled) {
-    recallDelegated(*job);
+    handleDelegationRecall(*job);
   }
 }
 
 // Nothing new is placed, and what is placed ends.
-void ShardScheduler::recallDelegated(Job& job) {
+void ShardScheduler::handleDelegationRecall(Job& job) {
   if (job.recalling) return;
   job.recalling = true;
   job.notBefore = Time::max();
@@ -78,7 +78,7 @@
   requestRound(false);
 }
 
-void ShardScheduler::cancelDelegated(Job& job) {
+void ShardScheduler::cancelDelegatedTasks(Job& job) {
   auto id = job.id;
   job.status = JobStatus::Cancelled;
   job.waiting.clear();
@@ -99,7 +99,7 @@
 
 // A cancellation of a delegated job is confirmed by its owner, and we see it in the watch cache (invariant
 // 16).
-bool ShardScheduler::mayNotKnowCancellations(Time now) const {
+bool ShardScheduler::mayHaveUnseenCancellations(Time now) const {
   return !delegatedTasks_.none() && now >= store_.currentAsOf(keys::kJobs) + settings_.blindFor();
 }
 
--- a/src/scheduler/task_delegation_owner.cpp
+++ b/src/scheduler/task_delegation_owner.cpp
@@ -26,8 +26,8 @@
   if (transferringTo_ || ownershipTransferSent_) return;
   mesh::TaskCapacityRequest request;
   request.shard = takeover_.shard.value;
-  for (Job* job : oldestUnplaceable(RemotePlacement::Delegation, now)) {
-    if (migrationPlanned(job->id) || taskDelegation_.planned(job->id)) continue;
+  for (Job* job : oldestUnschedulableJobs(RemotePlacement::Delegation, now)) {
+    if (isMigrationPlanned(job->id) || taskDelegation_.planned(job->id)) continue;
     bool splitGang = job->isGang() && job->remote > 0;
     if (splitGang) planRecall(*job);  // the members here found no capacity after all
     if (splitGang || planDelegations(*job, now))
@@ -40,8 +40,9 @@
 
 // How many of its tasks are to go, and how many of them each zone may take where that matters.
 mesh::TaskCapacityNeed ShardScheduler::taskCapacityNeed(const Job& job) const {
-  auto waiting = static_cast<std::uint32_t>(std::min<std::size_t>(job.waiting.size(), kMaxDelegatedTasks));
-  mesh::TaskCapacityNeed need{job.id.value, std::min(waiting, tasksWithinLimit(job)), {}};
+  auto waiting =
+      static_cast<std::uint32_t>(std::min<std::size_t>(job.waiting.size(), kMaxTasksPerDelegation));
+  mesh::TaskCapacityNeed need{job.id.value, std::min(waiting, tasksWithinQuota(job)), {}};
   if (!boundToZones(*job.spec)) {
     need.zones.push_back({"", need.tasks});
     return need;
@@ -70,11 +71,11 @@
     return findDelegation(job.delegations, offer.shard) != nullptr;
   });
   bool gang = job.isGang();
-  if (gang && tasksWithinLimit(job) < job.waiting.size()) return false;
-  auto here = gang ? capacityFor(job) : 0;
+  if (gang && tasksWithinQuota(job) < job.waiting.size()) return false;
+  auto here = gang ? capacityForJob(job) : 0;
   auto remaining = static_cast<std::uint32_t>(job.waiting.size()) - here;
-  if (!gang) remaining = std::min(remaining, tasksWithinLimit(job));
-  if (gang) job.gangAttempt = attemptOf(takeover_.epoch, ++attempts_);
+  if (!gang) remaining = std::min(remaining, tasksWithinQuota(job));
+  if (gang) job.gangAttempt = makeAttempt(takeover_.epoch, ++attempts_);
   for (const auto& offer : offers) {
     remaining -= taskDelegation_.plan(job, offer, remaining);
     if (remaining == 0) break;
@@ -93,7 +94,7 @@
 // After a takeover. Of a gang whose members here are not placed a former owner may have tried some: it starts
 // anew as a whole.
 void ShardScheduler::resumeDelegations(Job& job) {
-  if (job.delegation && job.delegation->recalled) recallDelegated(job);
+  if (job.delegation && job.delegation->recalled) handleDelegationRecall(job);
   if (job.delegation || job.remote == 0 || !job.isGang()) return;
   bool recalled = std::any_of(job.delegations.begin(), job.delegations.end(),
                               [](const Delegation& delegation) { return delegation.recalled; });
@@ -107,8 +108,8 @@
 
 // The cluster view shows a record of our job that a delegate may have written: takes in the tasks that it
 // gave back, done or not.
-void ShardScheduler::ownedJobChanged(Job& job, const JobEntry& entry) {
-  auto returned = taskDelegation_.takeReturned(job, entry);
+void ShardScheduler::handleOwnedJobChange(Job& job, const JobEntry& entry) {
+  auto returned = taskDelegation_.applyReturns(job, entry);
   if (!returned) return;
   // For a page, so that the record need not keep it.
   for (auto index : returned->done) unwrittenTasks_.push_back({job.id, index});
--- a/src/scheduler/task_failures.cpp
+++ b/src/scheduler/task_failures.cpp
@@ -25,7 +25,7 @@
   Job& job = *machine.placements.at(task).job;
   state_.cached(machine, job.spec->image, job.spec->imageGb);
   state_.taskDone(machine, task, now);
-  loadReporter_.workDone(now, job.spec->each.cores, job.spec->spotAllowed);
+  loadReporter_.recordCompletedWork(now, job.spec->each.cores, job.spec->spotAllowed);
   failures_.completed(job.id, machine.id, now);
   quarantineFaulty(job.id);
   if (job.status == JobStatus::Open) {
--- a/src/wire/cloud.cpp
+++ b/src/wire/cloud.cpp
@@ -42,7 +42,7 @@
                         {"fetch_gb_per_s", type.fetchGbPerS},
                         {"price", type.price},
                         {"market_price", type.spotPrice},
-                        {"startup_s", type.bootS},
+                        {"startup_s", type.bootSeconds},
                         {"sites", std::move(zones)}});
   }
   return dump(Json{{"flavours", std::move(list)}});
--- a/tests/unit/autoscaling_test.cpp
+++ b/tests/unit/autoscaling_test.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 // Nobody answers anything.
-struct LoneIo : ClockRuntime {
+struct LoneIo : VirtualClockRuntime {
   std::vector<HttpRequest> sent;
   void call(const Address&, HttpRequest r, Duration, HttpDone) override { sent.push_back(std::move(r)); }
 };
@@ -37,7 +37,7 @@
     t.name = "m";
     t.size = {16, 0, 32};
     t.price = t.spotPrice = 1;
-    t.bootS = 5;
+    t.bootSeconds = 5;
     t.zones = settings.zones;
     view.catalog = {t};
     fleet.start();
--- a/tests/unit/delegated_tasks_test.cpp
+++ b/tests/unit/delegated_tasks_test.cpp
@@ -13,7 +13,7 @@
 const ShardId kOwner{0};
 const ShardId kDelegate{1};
 const JobId kJob{"wk-1"};
-constexpr Duration kReturnsAfter{30'000};
+constexpr Duration kReturnUnplacedAfter{30'000};
 const Time kNow{Duration{100'000}};
 using Tasks = std::vector<std::uint32_t>;
 
@@ -49,12 +49,12 @@
 };
 
 TEST_F(DelegatedTasksTest, WaitingTasksAreKeptForAWhile) {
-  EXPECT_FALSE(delegated_.anyReturnable(kNow + kReturnsAfter - Duration{1}));
+  EXPECT_FALSE(delegated_.anyReturnable(kNow + kReturnUnplacedAfter - Duration{1}));
 }
 
 TEST_F(DelegatedTasksTest, WhatFoundNoCapacityGoesBack) {
-  EXPECT_TRUE(delegated_.anyReturnable(kNow + kReturnsAfter));
-  auto returns = addReturns(kNow + kReturnsAfter);
+  EXPECT_TRUE(delegated_.anyReturnable(kNow + kReturnUnplacedAfter));
+  auto returns = addReturns(kNow + kReturnUnplacedAfter);
   ASSERT_EQ(returns.size(), 1U);
   EXPECT_EQ(returns.front().tasks, (Tasks{1, 2}));
   EXPECT_TRUE(returns.front().kept.tasks.empty());
@@ -68,16 +68,16 @@
 // A write from the outdated record would undo what others have written since.
 TEST_F(DelegatedTasksTest, NothingIsGivenBackWhileTheViewLags) {
   view_.jobs[kJob].version = Version{6};
-  EXPECT_TRUE(addReturns(kNow + kReturnsAfter).empty());
+  EXPECT_TRUE(addReturns(kNow + kReturnUnplacedAfter).empty());
 }
 
 // Were it taken in again, two shards would place its tasks.
 TEST_F(DelegatedTasksTest, AJobGivenBackInFullIsNotTakenInFromALaggingView) {
-  auto returns = addReturns(kNow + kReturnsAfter);
+  auto returns = addReturns(kNow + kReturnUnplacedAfter);
   EXPECT_TRUE(delegated_.committed(returns.front(), Version{9}));
   EXPECT_TRUE(delegated_.none());
-  EXPECT_TRUE(delegated_.returnedSince(kJob, Version{8}));
-  EXPECT_FALSE(delegated_.returnedSince(kJob, Version{9}));
+  EXPECT_TRUE(delegated_.wasReturnedAfter(kJob, Version{8}));
+  EXPECT_FALSE(delegated_.wasReturnedAfter(kJob, Version{9}));
 }
 
 }  // namespace
--- a/tests/unit/fake_state_service.h
+++ b/tests/unit/fake_state_service.h
@@ -10,7 +10,7 @@
 
 namespace cherryloft {
 
-struct FakeStateService : ClockRuntime {
+struct FakeStateService : VirtualClockRuntime {
   int leasesGranted = 0;
   int renewals = 0;
   std::vector<std::string> transactions;  // the bodies, in the order in which they came
--- a/tests/unit/held_calls_runtime.h
+++ b/tests/unit/held_calls_runtime.h
@@ -9,7 +9,7 @@
 
 namespace cherryloft {
 
-struct HeldCallsRuntime : ClockRuntime {
+struct PendingCallsRuntime : VirtualClockRuntime {
   std::vector<HttpRequest> requests;
   std::vector<HttpDone> open;  // how to answer each of them
 
--- a/tests/unit/key_value_store_test.cpp
+++ b/tests/unit/key_value_store_test.cpp
@@ -20,7 +20,7 @@
   }
   void call(const Address&, HttpRequest, Duration, HttpDone) override { ++calls; }
   void mesh(std::uint32_t, const mesh::Frame&) override {}
-  void remesh(std::uint32_t) override {}
+  void resetPeerConnection(std::uint32_t) override {}
 };
 
 }  // namespace
--- a/tests/unit/load_reporter_test.cpp
+++ b/tests/unit/load_reporter_test.cpp
@@ -43,7 +43,7 @@
   void wait(Duration time) { runtime_.clock.run(runtime_.clock.now() + time.count()); }
 
   Settings settings_ = parseSettings(world::Deployment{}.settingsOf(0), {});
-  HeldCallsRuntime runtime_;
+  PendingCallsRuntime runtime_;
   ShardState state_{settings_};
   FailureAttribution failures_{Duration{3'000}};
   std::vector<mesh::ShardLoad> sent_;
@@ -87,7 +87,7 @@
 }
 
 TEST_F(LoadReporterTest, ArrivalsAreForgottenAfterTheirWindow) {
-  reporter_.workArrived(runtime_.now(), 240, true);
+  reporter_.recordArrivedWork(runtime_.now(), 240, true);
   EXPECT_EQ(report().spotAllowed.arriving, 2);
   EXPECT_EQ(report().spotAllowed.largestJob, 240);
   wait(Duration{121'000});
@@ -95,7 +95,7 @@
 }
 
 TEST_F(LoadReporterTest, DoneWorkIsForgottenAfterItsWindow) {
-  reporter_.workDone(runtime_.now(), 40, false);
+  reporter_.recordCompletedWork(runtime_.now(), 40, false);
   EXPECT_EQ(report().onDemandOnly.departing, 2);
   wait(Duration{21'000});
   EXPECT_EQ(report().onDemandOnly.departing, 0);
--- a/tests/unit/machine_record_writer_test.cpp
+++ b/tests/unit/machine_record_writer_test.cpp
@@ -40,7 +40,7 @@
 
   static constexpr ShardId kShard{2};
   Settings settings_ = parseSettings(world::Deployment{}.settingsOf(0), {});
-  HeldCallsRuntime runtime_;
+  PendingCallsRuntime runtime_;
   KeyValueStore store_{settings_, runtime_, silentLog(), 1};
   ClusterView view_;
   ShardState state_{settings_};
--- a/tests/unit/placement_fixture.h
+++ b/tests/unit/placement_fixture.h
@@ -13,7 +13,7 @@
 // 10 GB and are fetched at 1 GB/s. Machines' caches are filled by `cacheImage`.
 class PlacementFixture : public testing::Test {
  protected:
-  struct Calls : ClockRuntime {
+  struct Calls : VirtualClockRuntime {
     void call(const Address&, HttpRequest, Duration, HttpDone) override {}
   };
 
--- a/tests/unit/policy_test.cpp
+++ b/tests/unit/policy_test.cpp
@@ -162,7 +162,7 @@
   EXPECT_EQ(s.preferredShard(ControllerId{"loft-2"}).value, 2U);
   EXPECT_EQ(s.shardOfTeam(TeamId{"team-1"}).value, 1U);
   // Invariant 6: all of it fits before a cancellation is due.
-  EXPECT_LE(inSeconds(s.leaseTtl() + s.grace()) + s.leaseS, s.cancelS - 1);
+  EXPECT_LE(toSeconds(s.leaseTtl() + s.grace()) + s.leaseS, s.cancelS - 1);
   EXPECT_EQ(s.blindFor(), s.leaseTtl() + s.grace());
   // "A value of 0 means none": no guarantee, and no limit.
   d.guest = true;
@@ -211,7 +211,7 @@
         // Who answered last without knowing: a keep-alive proxy or an owner not loaded, blindFor() after what
         // they know; a former owner, the grace after the lease that must be over before another confirms.
         for (auto last : {s.blindFor(), s.grace()}) {
-          double rest = inSeconds(last) * (1 + kDrift) + lease * (1 + kDrift);
+          double rest = toSeconds(last) * (1 + kDrift) + lease * (1 + kDrift);
           // Where there is nothing to part, only the clocks' own error is beyond anyone's reach.
           EXPECT_LE(rest, d.cancelS + (more < 2 * kDrift * d.cancelS ? 2 * kDrift * d.cancelS : 0.0));
         }
--- a/tests/unit/remote_usage_test.cpp
+++ b/tests/unit/remote_usage_test.cpp
@@ -103,7 +103,7 @@
 
 TEST_F(RemoteUsageTest, WhatTheShardStateCountsAlreadyIsNotCountedTwice) {
   state_.countRemoteUsage(kTeam, spec_.each * 3);
-  usage_.takeOver(kJob, spec_, 3);
+  usage_.trackAlreadyCounted(kJob, spec_, 3);
   EXPECT_DOUBLE_EQ(coresInUse(), 6);
   show(JobStatus::Done, kOwnShard);
   EXPECT_EQ(release(), 1U);
--- a/tests/unit/request_queue_fixture.h
+++ b/tests/unit/request_queue_fixture.h
@@ -13,7 +13,7 @@
 
 struct RequestQueueFixture : testing::Test {
   Settings settings = parseSettings(world::Deployment{}.settingsOf(0), {});
-  HeldCallsRuntime runtime;
+  PendingCallsRuntime runtime;
   RateLimiter limiter{settings, runtime.now()};
   RequestTally tally;
   std::mt19937_64 rng{1};
--- a/tests/unit/scale_out_test.cpp
+++ b/tests/unit/scale_out_test.cpp
@@ -12,9 +12,10 @@
 
 namespace {
 
-struct CloudIo : HeldCallsRuntime {
+struct CloudIo : PendingCallsRuntime {
   void call(const Address& to, HttpRequest request, Duration deadline, HttpDone done) override {
-    if (request.target == "/hosts") HeldCallsRuntime::call(to, std::move(request), deadline, std::move(done));
+    if (request.target == "/hosts")
+      PendingCallsRuntime::call(to, std::move(request), deadline, std::move(done));
   }
   std::string claim(std::size_t n) const { return nlohmann::json::parse(requests.at(n).body)["claim"]; }
 };
--- a/tests/unit/task_delegation_test.cpp
+++ b/tests/unit/task_delegation_test.cpp
@@ -102,7 +102,7 @@
   shown().version = Version{9};
   shown().delegations = {{kDelegate, Zone{"a"}, {2}}};
   shown().doneRemotely = {0};
-  auto returned = delegation_.takeReturned(job(), shown());
+  auto returned = delegation_.applyReturns(job(), shown());
   ASSERT_TRUE(returned);
   EXPECT_EQ(returned->done, Tasks{0});
   EXPECT_EQ(returned->unfinished, Tasks{1});
@@ -111,7 +111,7 @@
 
 TEST_F(TaskDelegationTest, ARecordThatIsNotNewerChangesNothing) {
   delegateTasks(3);
-  EXPECT_FALSE(delegation_.takeReturned(job(), shown()));
+  EXPECT_FALSE(delegation_.applyReturns(job(), shown()));
   EXPECT_EQ(job().remote, 3U);
 }
 
--- a/tests/unit/watch_cache_test.cpp
+++ b/tests/unit/watch_cache_test.cpp
@@ -22,7 +22,7 @@
     calls.push_back({request.target, std::move(done)});
   }
   void mesh(std::uint32_t, const mesh::Frame&) override {}
-  void remesh(std::uint32_t) override {}
+  void resetPeerConnection(std::uint32_t) override {}
   void answer(std::size_t n, const std::string& body) {
     auto done = calls.at(n).done;
     done({HttpResult::Outcome::Answered, {200, body, false, 0}});
--- a/tests/unit/wire_test.cpp
+++ b/tests/unit/wire_test.cpp
@@ -139,7 +139,7 @@
   EXPECT_EQ(back->spec->each.cores, 8);
   EXPECT_EQ(back->spec->each.ram, 64);
   EXPECT_TRUE(back->spec->oneZone);
-  for (auto i : cancelled.delegations[0].tasks) EXPECT_TRUE(back->delegations.at(0).covers(i));
+  for (auto i : cancelled.delegations[0].tasks) EXPECT_TRUE(back->delegations.at(0).contains(i));
   // One that fits is kept as it is.
   EXPECT_EQ(wire::encodeCancelledJob(cancelled, 1 << 20), wire::encodeJobRecord(cancelled));
 }
--- a/tests/unit/worker_endpoint_test.cpp
+++ b/tests/unit/worker_endpoint_test.cpp
@@ -15,7 +15,7 @@
 constexpr Epoch kEpoch{7};
 constexpr world::Ms kSecond = 1000;
 
-struct RecordingRuntime : ClockRuntime {
+struct RecordingRuntime : VirtualClockRuntime {
   std::vector<mesh::Frame> sent;
   void mesh(std::uint32_t, const mesh::Frame& frame) override { sent.push_back(frame); }
   void call(const Address&, HttpRequest, Duration, HttpDone) override {}
@@ -64,7 +64,7 @@
   }
   static std::string heartbeatOf(const std::string& machine) {
     return R"({"host":")" + machine + R"(","tenure":1,"serial":2,"epoch":)" +
-           std::to_string(tokenOf(kEpoch).value) + R"(,"pieces":[]})";
+           std::to_string(makeFencingToken(kEpoch).value) + R"(,"pieces":[]})";
   }
   void receive(const std::string& body) {
     endpoint.handleHeartbeat(body, [this](HttpResponse response) { answers.push_back(std::move(response)); });
@@ -137,7 +137,7 @@
   receive(heartbeatOf("m1"));
   ASSERT_EQ(answers.size(), 1U);
   EXPECT_EQ(answers[0].status, 200);
-  EXPECT_EQ(answers[0].body, wire::encodeHeartbeatAnswer(tokenOf(kEpoch), {}));
+  EXPECT_EQ(answers[0].body, wire::encodeHeartbeatAnswer(makeFencingToken(kEpoch), {}));
 }
 
 TEST_F(WorkerEndpointTest, AWorkerWithATokenOfAFormerEpochIsNotAnsweredInTheOwnersName) {
--- a/tests/world/world.cpp
+++ b/tests/world/world.cpp
@@ -104,7 +104,7 @@
                  });
   }
   void mesh(std::uint32_t to, const Frame& f) override { c_.mesh_(to, f, c_.number_); }
-  void remesh(std::uint32_t) override {}
+  void resetPeerConnection(std::uint32_t) override {}
 
  private:
   std::function<void()> living(std::function<void()> f) {
