--- a/tests/unit/machine_record_writer_test.cpp
+++ b/tests/unit/machine_record_writer_test.cpp
@@ -3,7 +3,7 @@
 
 #include <gtest/gtest.h>
 
-#include "unit/held_calls_runtime.h"
+#include "unit/pending_calls_runtime.h"
 #include "world/world.h"
 
 namespace cherryloft {
--- a/tests/unit/request_queue_fixture.h
+++ b/tests/unit/request_queue_fixture.h
@@ -6,7 +6,7 @@
 #include <random>
 
 #include "kvstore/request_queue.h"
-#include "unit/held_calls_runtime.h"
+#include "unit/pending_calls_runtime.h"
 #include "world/world.h"
 
 namespace cherryloft {
--- a/tests/unit/scale_out_test.cpp
+++ b/tests/unit/scale_out_test.cpp
@@ -5,7 +5,7 @@
 
 #include <nlohmann/json.hpp>
 
-#include "unit/held_calls_runtime.h"
+#include "unit/pending_calls_runtime.h"
 #include "world/world.h"
 
 using namespace cherryloft;
