--- a/tests/unit/autoscaling_test.cpp
+++ b/tests/unit/autoscaling_test.cpp
@@ -4,7 +4,7 @@
 #include <nlohmann/json.hpp>
 
 #include "autoscaler/autoscaler.h"
-#include "unit/clock_runtime.h"
+#include "unit/virtual_clock_runtime.h"
 #include "world/world.h"
 
 using namespace cherryloft;
--- a/tests/unit/pending_calls_runtime.h
+++ b/tests/unit/pending_calls_runtime.h
@@ -5,7 +5,7 @@
 #include <string>
 #include <vector>
 
-#include "unit/clock_runtime.h"
+#include "unit/virtual_clock_runtime.h"
 
 namespace cherryloft {
 
--- a/tests/unit/worker_endpoint_test.cpp
+++ b/tests/unit/worker_endpoint_test.cpp
@@ -2,7 +2,7 @@
 #include <gtest/gtest.h>
 
 #include "controller/worker_endpoint.h"
-#include "unit/clock_runtime.h"
+#include "unit/virtual_clock_runtime.h"
 #include "world/world.h"
 
 using namespace cherryloft;
