--- a/src/base/fencing_token.h
+++ b/src/base/fencing_token.h
@@ -1,12 +1,12 @@
-// The fencing token by which workers refuse commands of a former owner (DESIGN.md, invariants 3 and 5).
+// Fencing token with which workers reject commands from a former owner (DESIGN.md, invariants 3 and 5).
 #pragma once
 
 #include "base/ids.h"
 
 namespace cherryloft {
 
-// What workers compare: the epoch of ownership in the high bits, and in the low ones how often the owner has
-// advanced the token of this machine. A worker obeys no token lower than the highest it has seen.
+// The high bits hold the ownership epoch, the low bits a generation: how many times the owner has advanced
+// the token of this machine. A worker rejects any token lower than the highest that it has seen.
 using FencingToken = StrongType<struct FencingTokenTag, std::uint64_t>;
 
 inline constexpr unsigned kTokenGenerationBits = 20;
--- a/src/base/ids.h
+++ b/src/base/ids.h
@@ -1,4 +1,4 @@
-// StrongType types for ids, versions and counters, so that two of them are never mistaken for one another.
+// Strong types for ids, versions and counters, so that the compiler rejects a mix-up of two of them.
 #pragma once
 
 #include <compare>
@@ -8,7 +8,8 @@
 
 namespace cherryloft {
 
-// A value of type T that converts to no other StrongType type. Ordered and hashed as its value.
+// Wraps a value of type T; instantiations with different tags don't convert to each other. Ordered and hashed
+// by its value.
 template <class Tag, class T>
 struct StrongType {
   T value{};
@@ -24,26 +25,27 @@
 using ImageId = StrongType<struct ImageTag, std::string>;
 using ShardId = StrongType<struct ShardTag, std::uint32_t>;
 
-// One try to run a task; unique for ever (makeAttempt).
+// Identifies one attempt to run a task; never reused (makeAttempt).
 using Attempt = StrongType<struct AttemptTag, std::uint64_t>;
-// Drawn from one counter of the cluster with every change of ownership; never given twice.
+// Ownership epoch: allocated from a cluster-wide counter on each change of ownership; never reused.
 using Epoch = StrongType<struct EpochTag, std::uint64_t>;
-// Of a key in the state service; 0: the key does not exist.
+// Version of a key in the state service; 0 if the key does not exist.
 using Version = StrongType<struct VersionTag, std::uint64_t>;
-// Of a controller, granted by the state service.
+// Lease of a controller, granted by the state service.
 using LeaseId = StrongType<struct LeaseTag, std::uint64_t>;
-// One life of a worker's lease, counted by the worker; what an earlier one ran is gone.
+// Counts the lifetimes of a worker's lease, incremented by the worker; no task of an earlier incarnation
+// still runs.
 using Incarnation = StrongType<struct IncarnationTag, std::uint64_t>;
-// Of a worker's heartbeats within one incarnation.
+// Numbers a worker's heartbeats within one incarnation.
 using SequenceNumber = StrongType<struct SequenceNumberTag, std::uint64_t>;
 
-// Attempts are unique for ever, as the epoch they carry is allocated once.
+// Attempts are never reused because each contains an epoch, which is allocated only once.
 inline constexpr unsigned kAttemptCountBits = 24;
 inline Attempt makeAttempt(Epoch epoch, std::uint64_t count) {
   return Attempt{(epoch.value << kAttemptCountBits) + count};
 }
 
-// One task of a job; `index` counts from 0.
+// Identifies one task of a job; `index` is zero-based.
 struct TaskId {
   JobId job;
   std::uint32_t index = 0;
--- a/src/base/job.h
+++ b/src/base/job.h
@@ -1,4 +1,4 @@
-// What a job is, free of any wire names.
+// Domain types for jobs and machine types, independent of any wire format.
 #pragma once
 
 #include <algorithm>
@@ -14,14 +14,14 @@
 enum class JobKind : std::uint8_t { Array, Service, Gang };
 enum class JobStatus : std::uint8_t { Open, Done, Cancelled };
 
-// Sums of decimal numbers are not exact: what is missing by less does not count.
+// Tolerance for rounding errors in sums of resources: a smaller shortfall is ignored.
 inline constexpr double kResourceTolerance = 1e-6;
 
-// What a task takes or a machine has: cores, gpus, and memory in gigabytes.
+// Resources that a task requires or a machine provides.
 struct Resources {
   double cores = 0;
   double gpus = 0;
-  double ram = 0;
+  double ram = 0;  // GB
 
   Resources& operator+=(const Resources& other) {
     cores += other.cores;
@@ -37,8 +37,8 @@
   }
   friend Resources operator+(Resources a, const Resources& b) { return a += b; }
   friend Resources operator-(Resources a, const Resources& b) { return a -= b; }
-  friend Resources operator*(Resources each, double count) {
-    return {each.cores * count, each.gpus * count, each.ram * count};
+  friend Resources operator*(Resources unit, double count) {
+    return {unit.cores * count, unit.gpus * count, unit.ram * count};
   }
   [[nodiscard]] bool fitsIn(const Resources& available) const {
     return cores <= available.cores + kResourceTolerance && gpus <= available.gpus + kResourceTolerance &&
@@ -46,7 +46,7 @@
   }
 };
 
-// A job as its user described it. Its tasks are alike.
+// Specification of a job as submitted by its user. All tasks of a job are identical.
 struct JobSpec {
   JobId id;
   std::string jobClass;
@@ -54,11 +54,11 @@
   JobKind kind = JobKind::Array;
   PriorityClass priority = PriorityClass::Normal;
   std::uint32_t tasks = 1;
-  Resources each;
-  std::optional<std::vector<std::string>> types;
-  std::optional<Zone> zone;
-  bool oneZone = false;
-  bool spread = false;
+  Resources each;                                 // requested by each task
+  std::optional<std::vector<std::string>> types;  // allowed machine types; not set: any
+  std::optional<Zone> zone;                       // the only zone allowed; not set: any
+  bool oneZone = false;                           // all tasks must be in the same zone
+  bool spread = false;                            // tasks must be spread over zones
   bool spotAllowed = false;
   ImageId image;
   double imageGb = 0;
@@ -75,11 +75,11 @@
 
 // Tasks of a job that another shard places for the shard that owns the job (DESIGN.md, invariant 18).
 struct Delegation {
-  ShardId shard;
-  std::optional<Zone> zone;  // the only one that they may be placed in, where the job's rules need one
-  std::vector<std::uint32_t> tasks;  // ascending
-  std::optional<Attempt> attempt{};  // of a gang: common to all its members
-  bool recalled = false;             // the owner asks for what is not done
+  ShardId shard;                     // the delegate
+  std::optional<Zone> zone;          // the only allowed zone, if the job's placement rules require one
+  std::vector<std::uint32_t> tasks;  // indices in ascending order
+  std::optional<Attempt> attempt{};  // for a gang: shared by all its members
+  bool recalled = false;             // the owner has requested the return of all tasks that are not done
 
   [[nodiscard]] bool contains(std::uint32_t index) const {
     return std::binary_search(tasks.begin(), tasks.end(), index);
@@ -92,12 +92,12 @@
   return nullptr;
 }
 
-// A type of machine that the cloud offers. Prices are per hour.
+// A machine type offered by the cloud provider. Prices are per hour.
 struct MachineType {
   std::string name;
   Resources size;
-  double cacheGb = 0;
-  double fetchGbPerS = 0;
+  double cacheGb = 0;      // image cache
+  double fetchGbPerS = 0;  // image download rate
   double price = 0;
   double spotPrice = 0;
   double bootSeconds = 0;
--- a/src/base/time.h
+++ b/src/base/time.h
@@ -1,4 +1,4 @@
-// Points and spans of time. Actors are told the time by their Runtime and never read a clock.
+// Time points and durations. Actors get the time from their Runtime and never read a clock directly.
 #pragma once
 
 #include <chrono>
@@ -8,7 +8,7 @@
 
 namespace cherryloft {
 
-// Steady time of this controller, in milliseconds. Runs on while the process stands still.
+// Monotonic time of this controller, in milliseconds. Continues to advance while the process is suspended.
 struct SteadyTag {
   using rep = std::int64_t;
   using period = std::milli;
@@ -18,7 +18,7 @@
 };
 using Duration = SteadyTag::duration;
 using Time = SteadyTag::time_point;
-// Time of day in milliseconds since 1970, good to `clock_error_ms` of the settings.
+// Wall-clock time in milliseconds since the Unix epoch, accurate to the `clock_error_ms` setting.
 using WallTime = StrongType<struct WallTag, std::int64_t>;
 
 inline constexpr double kMillisecondsPerSecond = 1000.0;
--- a/src/base/types.h
+++ b/src/base/types.h
@@ -1,4 +1,4 @@
-// All of the small types: ids, fencing tokens, times.
+// Umbrella header for the basic value types: ids, fencing tokens and times.
 #pragma once
 
 #include "base/fencing_token.h"
--- a/src/runtime/runtime.h
+++ b/src/runtime/runtime.h
@@ -1,4 +1,5 @@
-// What actors may ask of the outside world. libev answers in production, a virtual clock in tests.
+// Interface through which actors use time, timers and the network. Implemented with libev in production and
+// with a virtual clock in tests.
 #pragma once
 
 #include <functional>
@@ -13,12 +14,13 @@
   virtual ~Runtime() = default;
   virtual Time now() const = 0;
   virtual WallTime wall() const = 0;
-  virtual void after(Duration d, std::function<void()> f) = 0;
-  // Always ends in one call of done, at the latest when the deadline is over.
+  // Runs the callback once after the delay.
+  virtual void after(Duration delay, std::function<void()> callback) = 0;
+  // Sends an HTTP request. Invokes done exactly once, at the latest when the deadline expires.
   virtual void call(const Address& to, HttpRequest request, Duration deadline, HttpDone done) = 0;
-  // To a neighbour; may be lost.
-  virtual void mesh(std::uint32_t to, const mesh::Frame& f) = 0;
-  // The connection for what we say to that neighbour seems stuck: start over.
+  // Sends a frame to another controller, without guaranteed delivery.
+  virtual void mesh(std::uint32_t to, const mesh::Frame& frame) = 0;
+  // Resets the outgoing connection to another controller, to be called when it appears to be stalled.
   virtual void resetPeerConnection(std::uint32_t to) = 0;
 };
 
--- a/src/scheduler/job_migration.cpp
+++ b/src/scheduler/job_migration.cpp
@@ -20,31 +20,31 @@
 void JobMigration::restoreRemoteUsage() {
   for (const auto& [id, entry] : view_.jobs) {
     if (entry.shard == ownShard_ && entry.status == JobStatus::Cancelled) countDelegated(id, entry);
-    bool elsewhere = entry.shard != ownShard_ && entry.spec && entry.status != JobStatus::Done;
-    if (!elsewhere || settings_.shardOfTeam(entry.spec->team) != ownShard_) continue;
+    bool onOtherShard = entry.shard != ownShard_ && entry.spec && entry.status != JobStatus::Done;
+    if (!onOtherShard || settings_.shardOfTeam(entry.spec->team) != ownShard_) continue;
     remoteUsage_.countCommitted(id, *entry.spec, entry.maxConcurrent.value_or(entry.tasks));
   }
 }
 
-// What other shards had of a job of ours when it was cancelled may still be there for a while.
+// Tasks that were delegated when a job of this shard was cancelled may still run on other shards for a while.
 void JobMigration::countDelegated(const JobId& id, const JobEntry& entry) {
   std::size_t tasks = 0;
   for (const auto& delegation : entry.delegations) tasks += delegation.tasks.size();
-  bool counted = state_.job(id) || remoteUsage_.counts(id);
-  if (tasks == 0 || !entry.spec || counted) return;
+  bool alreadyCounted = state_.job(id) || remoteUsage_.tracks(id);
+  if (tasks == 0 || !entry.spec || alreadyCounted) return;
   remoteUsage_.countCommitted(id, *entry.spec, static_cast<std::uint32_t>(tasks));
 }
 
 void JobMigration::plan(const Job& job, ShardId toShard, std::uint32_t maxConcurrent) {
-  bool ownTeam = settings_.shardOfTeam(job.spec->team) == ownShard_;
-  if (ownTeam) remoteUsage_.reserve(job.id, *job.spec, maxConcurrent);
+  bool isHomeShardOfTeam = settings_.shardOfTeam(job.spec->team) == ownShard_;
+  if (isHomeShardOfTeam) remoteUsage_.reserve(job.id, *job.spec, maxConcurrent);
   planned_.push_back({job.id, toShard, maxConcurrent});
 }
 
 bool JobMigration::isPlannedOrRemote(const JobId& job) const {
   bool planned = std::any_of(planned_.begin(), planned_.end(),
                              [&](const PlannedMigration& migration) { return migration.job == job; });
-  return planned || remoteUsage_.counts(job);
+  return planned || remoteUsage_.tracks(job);
 }
 
 std::vector<JobId> JobMigration::addPlanned(TransactionBuilder& transaction) {
@@ -63,8 +63,8 @@
 
 bool JobMigration::add(TransactionBuilder& transaction, const PlannedMigration& migration) const {
   const Job* job = state_.job(migration.job);
-  bool untouched = job && job->open() && job->placed == 0 && job->done == 0 && job->cancelWaiters.empty();
-  if (!untouched) return false;
+  bool notStarted = job && job->open() && job->placed == 0 && job->done == 0 && job->cancelWaiters.empty();
+  if (!notStarted) return false;
   auto record = migratedRecord(*job, migration, settings_.shardOfTeam(job->spec->team));
   wire::Write write{keys::job(job->id), wire::encodeJobRecord(record), {}};
   if (write.value->size() > settings_.valueBytes) return false;
@@ -72,8 +72,8 @@
 }
 
 void JobMigration::handleJobEnd(const Job& job) {
-  bool withOtherShards = !job.delegation && job.remote > 0;
-  if (withOtherShards) {
+  bool hasDelegatedTasks = !job.delegation && job.remote > 0;
+  if (hasDelegatedTasks) {
     remoteUsage_.trackAlreadyCounted(job.id, *job.spec, job.remote);
   } else if (job.status == JobStatus::Cancelled && job.maxConcurrent) {
     auto record = cleanedUpRecord(job, ownShard_);
--- a/src/scheduler/job_migration.h
+++ b/src/scheduler/job_migration.h
@@ -1,13 +1,13 @@
-// Migration of whole jobs to other shards, from the plan to the last trace of them (invariant 17).
+// Migration of whole jobs to other shards, from planning until no task of them is left there (invariant 17).
 //
-// The owner of a job of which nothing is or was on any machine writes the job's record anew with another
-// shard that offered capacity. The team's own shard goes on to enforce the team's quota: it counts as in use
-// what the job may take at a time, from before that write until the job is over and nothing of it can be
-// left. The other owner says by one more write when nothing is left of a cancelled job.
+// The owner of a job of which no task was ever placed on a machine rewrites the job's record to name another
+// shard that offered capacity. The team's home shard continues to enforce the team's quota: it counts the
+// most that the job may use concurrently, from before that write until the job has ended and none of its
+// tasks can be left. For a cancelled job, the new owner writes the record once more when no task is left.
 //
-// Which jobs migrate, and where, is decided by remote_capacity.cpp. No I/O: writes are added to the caller's
-// transaction. Owned by one ShardScheduler and used on its thread only; it refers to that scheduler's
-// ShardState, to the cluster view and to the settings, which must outlive it.
+// remote_capacity.cpp decides which jobs migrate, and where. Performs no I/O: writes are added to the
+// caller's transaction. Owned by one ShardScheduler and used only on its thread. The settings, the cluster
+// view and that scheduler's ShardState must outlive it.
 #pragma once
 
 #include <string>
@@ -29,29 +29,30 @@
   JobMigration(const Settings& settings, const ClusterView& view, ShardState& state, ShardId ownShard,
                Log log);
 
-  // After a takeover, once the jobs are restored: counts the jobs of this shard's teams that former owners
-  // migrated, and what other shards may still have of cancelled jobs of this shard.
+  // To be called after a takeover, once the jobs are restored. Counts the jobs of this shard's teams that
+  // former owners migrated, and tasks of this shard's cancelled jobs that other shards may still have.
   void restoreRemoteUsage();
 
-  // The job is to be written with the next commit as the other shard's; from now on what it may take there at
-  // a time (maxConcurrent tasks) is counted, if its team is of this shard.
+  // Plans to assign the job to the other shard with the next commit. If this is the team's home shard, it
+  // counts maxConcurrent tasks, the most that may run there concurrently, from now on.
   void plan(const Job& job, ShardId toShard, std::uint32_t maxConcurrent);
-  // Its migration is planned, or it is counted as elsewhere.
+  // Whether a migration of the job is planned, or the job is counted as being on another shard.
   [[nodiscard]] bool isPlannedOrRemote(const JobId& job) const;
-  // Adds the planned migrations of jobs of which still nothing was anywhere, and returns them. The others are
-  // dropped.
+  // Adds the planned migrations of those jobs of which still no task was placed, and returns the jobs. Drops
+  // the other plans.
   [[nodiscard]] std::vector<JobId> addPlanned(TransactionBuilder& transaction);
   void committed(const JobId& job) { remoteUsage_.commit(job); }
 
-  // A job of this shard is over and about to leave the shard state. Plans the write that says so, if the job
-  // came here by a migration and nothing of it is left; counts on what other shards still have of it.
+  // To be called when a job has ended and is about to be removed from the shard state. Continues to count
+  // tasks that other shards still have. If there are none and a cancelled job came here by a migration, plans
+  // the write that records that none of its tasks is left.
   void handleJobEnd(const Job& job);
   [[nodiscard]] bool hasPlannedCleanups() const { return !cleanups_.empty(); }
-  // Adds the planned cleanups as far as they fit. A record that does not fit is left as it is: the team's own
-  // shard then waits for cancel_s.
+  // Adds the planned cleanups that fit. A record that doesn't fit is left unchanged; the team's home shard
+  // then waits for cancel_s.
   void addCleanups(TransactionBuilder& transaction);
 
-  // Stops counting jobs of which nothing can be left elsewhere. Returns how many there were.
+  // Stops counting jobs that can have no tasks left on other shards. Returns how many there were.
   std::size_t releaseEnded(Time now) { return remoteUsage_.releaseEnded(view_, ownShard_, now); }
 
  private:
--- a/src/scheduler/remote_capacity.cpp
+++ b/src/scheduler/remote_capacity.cpp
@@ -1,9 +1,9 @@
-// What a shard does when its own machines have no capacity for its jobs: it looks for some on the machines of
-// other shards, and it offers its own to other shards.
+// Exchange of capacity between shards: requests capacity from other shards for jobs that don't fit on this
+// shard's machines, and offers this shard's free capacity to others.
 //
-// The owner of a job that has waited long in vain asks the owners of all other shards for capacity. A job of
-// which nothing has begun then migrates whole to the best offer (JobMigration); of the others some tasks are
-// delegated (task_delegation_owner.cpp).
+// When a job has waited too long without being placed, its owner requests capacity from the owners of all
+// other shards. A job of which no task has started migrates as a whole to the shard with the best offer
+// (JobMigration); of other jobs some tasks are delegated (task_delegation_owner.cpp).
 #include <algorithm>
 #include <cmath>
 #include <tuple>
@@ -14,41 +14,43 @@
 namespace cherryloft {
 namespace {
 
-// A job asks other shards after so long without a start: long enough for a machine of its own to boot.
-constexpr Duration kRequestAfter{30'000};
-// Jobs that capacity is asked for at a time; each is looked up by all other owners.
-constexpr std::size_t kMaxRequested = 8;
-// Jobs that are examined for it: under overload all wait.
-constexpr std::size_t kMaxExamined = 64;
+// Capacity is requested for a job after this time without a placement: long enough for a machine of this
+// shard to boot.
+constexpr Duration kRequestCapacityAfter{30'000};
+// Maximum number of jobs per request; all other owners look up each of them.
+constexpr std::size_t kMaxRequestedJobs = 8;
+// Maximum number of jobs examined for a request: under overload, all jobs are waiting.
+constexpr std::size_t kMaxExaminedJobs = 64;
 
 }  // namespace
 
-// --- which jobs need capacity elsewhere ---
+// --- jobs that need capacity of other shards ---
 
-// It has been open, with tasks to place, for kRequestAfter without a start.
+// Whether the job has had tasks to place for kRequestCapacityAfter and none was placed in that time.
 bool ShardScheduler::hasWaitedLong(const Job& job, Time now) const {
   return job.open() && !job.waiting.empty() && !job.delegation && !job.recalling && now >= job.notBefore &&
-         now - std::max(job.since, job.placedLast) >= kRequestAfter;
+         now - std::max(job.since, job.placedLast) >= kRequestCapacityAfter;
 }
 
-// Its team is within its quota, and no machine of ours could take a task of it, or all of a gang.
+// Whether the team is within its quota, but no machine of this shard can run a task of the job, or, if it is
+// a gang, the machines can't run all of its tasks.
 bool ShardScheduler::isUnschedulable(const Job& job) const {
   if (!state_.withinLimit(job)) return false;
   if (job.isGang()) return job.placed == 0 && capacityForJob(job) < job.waiting.size();
   return !constraints_.hasCapacity(job);
 }
 
-// The oldest jobs that have waited long in vain, at most kMaxRequested. Those to migrate have nothing begun;
-// those to delegate tasks of have some tasks begun, or must be placed whole.
+// Returns the oldest jobs that have waited too long and are unschedulable, at most kMaxRequestedJobs.
+// Candidates for migration have no task that has started; candidates for delegation have some, or are gangs.
 std::vector<Job*> ShardScheduler::oldestUnschedulableJobs(RemotePlacement purpose, Time now) {
   std::vector<Job*> waiting;
   for (auto& [_, job] : state_.jobs()) {
     if (!hasWaitedLong(job, now)) continue;
     bool begun = job.placed > 0 || job.done > 0 || job.remote > 0;
-    bool suits = purpose == RemotePlacement::Migration ? !begun : begun || job.isGang();
-    if (suits) waiting.push_back(&job);
+    bool eligible = purpose == RemotePlacement::Migration ? !begun : begun || job.isGang();
+    if (eligible) waiting.push_back(&job);
   }
-  auto examined = std::min(waiting.size(), kMaxExamined);
+  auto examined = std::min(waiting.size(), kMaxExaminedJobs);
   std::partial_sort(waiting.begin(), waiting.begin() + static_cast<std::ptrdiff_t>(examined), waiting.end(),
                     [](const Job* first, const Job* second) {
                       return std::tie(first->submitted, first->id) < std::tie(second->submitted, second->id);
@@ -56,16 +58,16 @@
   waiting.resize(examined);
   std::vector<Job*> oldest;
   for (Job* job : waiting)
-    if (oldest.size() < kMaxRequested && isUnschedulable(*job)) oldest.push_back(job);
+    if (oldest.size() < kMaxRequestedJobs && isUnschedulable(*job)) oldest.push_back(job);
   return oldest;
 }
 
-// Its migration is about to be written, or on its way: no transaction writes a job's record twice.
+// Whether a migration of the job is planned or in flight; a transaction must not write a job's record twice.
 bool ShardScheduler::isMigrationPlanned(const JobId& id) const {
   return jobMigration_.isPlannedOrRemote(id) || (commitInFlight_ && commitInFlight_->migrates(id));
 }
 
-// Plans the migration of jobs that offers came for, and asks for capacity for the others.
+// Plans the migration of jobs for which offers arrived, and requests capacity for the others.
 void ShardScheduler::reviewMigrations(Time now) {
   if (now - migrationsReviewed_ < kCapacityReviewInterval) return;
   migrationsReviewed_ = now;
@@ -81,7 +83,7 @@
   if (!request.jobs.empty()) callbacks_.requestCapacity(request);
 }
 
-// False if no shard offers capacity for it, or its team's quota allows for none of it.
+// Returns false if no shard offers capacity for the job or the team's quota does not allow the migration.
 bool ShardScheduler::planMigration(const Job& job) {
   auto offer = jobOffers_.best(job.id);
   if (!offer) return false;
@@ -93,22 +95,24 @@
   return true;
 }
 
-// How many more of its tasks its team's quota allows for.
+// How many more tasks of the job the team's quota allows.
 std::uint32_t ShardScheduler::tasksWithinQuota(const Job& job) const {
   const auto& spec = *job.spec;
   if (job.maxConcurrent) return *job.maxConcurrent - std::min(*job.maxConcurrent, job.placed + job.remote);
   if (!job.team) return 0;
-  auto use = state_.teamUse(spec.team);
-  auto tasksIn = [&](double unused, double each) {
-    return each > 0 ? std::floor((unused + kResourceTolerance) / each) : static_cast<double>(spec.tasks);
+  auto usage = state_.teamUse(spec.team);
+  auto tasksIn = [&](double unused, double perTask) {
+    return perTask > 0 ? std::floor((unused + kResourceTolerance) / perTask)
+                       : static_cast<double>(spec.tasks);
   };
-  double tasks = std::min(tasksIn(job.team->coreQuota - use.cores, spec.each.cores),
-                          tasksIn(job.team->gpuQuota - use.gpus, spec.each.gpus));
+  double tasks = std::min(tasksIn(job.team->coreQuota - usage.cores, spec.each.cores),
+                          tasksIn(job.team->gpuQuota - usage.gpus, spec.each.gpus));
   return static_cast<std::uint32_t>(std::clamp(tasks, 0.0, static_cast<double>(spec.tasks)));
 }
 
-// How many of its tasks may be elsewhere at a time, if the team's quota allows for any: all that it allows
-// for, as more capacity may come free there. Replicas and members of a gang are all to run together.
+// How many tasks of the job another shard may run concurrently; nothing if the team's quota allows none. It
+// is the most that the quota allows rather than the size of the offer, because more capacity may become
+// available there. Replicas of a service and members of a gang must all run at the same time.
 std::optional<std::uint32_t> ShardScheduler::maxConcurrentRemoteTasks(const Job& job) const {
   if (job.maxConcurrent) return job.maxConcurrent;
   auto tasks = tasksWithinQuota(job);
@@ -122,14 +126,15 @@
   jobOffers_.add(id, {ShardId{offer.shard}, offer.tasks, runtime_.now()});
 }
 
-// --- the shard that has free capacity ---
+// --- offers of this shard's free capacity ---
 
 bool ShardScheduler::mayOfferCapacity(Time lastOffer) const {
   return loaded_ && owns() && !transferringTo_ && !ownershipTransferSent_ &&
          runtime_.now() - lastOffer >= kCapacityOfferInterval;
 }
 
-// The job's entry if it is open and that shard owns it, as far as the cluster view shows; else null.
+// Returns the job's entry if, according to the cluster view, the job is open and that shard owns it, else
+// null.
 const JobEntry* ShardScheduler::findOpenJob(ShardId shard, const JobId& id) const {
   auto found = view_.jobs.find(id);
   if (found == view_.jobs.end()) return nullptr;
@@ -137,7 +142,7 @@
   return job.shard == shard && job.spec && job.status == JobStatus::Open ? &job : nullptr;
 }
 
-// Offers capacity for the first of the jobs that there is some for.
+// Offers capacity for the first requested job for which this shard has any.
 void ShardScheduler::handleCapacityRequest(const mesh::CapacityRequest& request) {
   if (!mayOfferCapacity(capacityOfferedAt_)) return;
   for (const auto& name : request.jobs) {
@@ -154,8 +159,8 @@
   }
 }
 
-// How many of the job's tasks our machines have free capacity for now, by zone, with up to sampleSize
-// machines looked at in each pool.
+// Returns the number of the job's tasks that fit on this shard's machines now, by zone. Examines up to
+// sampleSize machines per pool.
 std::map<Zone, std::uint32_t> ShardScheduler::capacityByZone(const Job& job) const {
   const auto& spec = *job.spec;
   std::map<Zone, std::uint32_t> capacity;
@@ -163,8 +168,8 @@
     if (!constraints_.allowsPool(job, pool)) continue;
     auto& inZone = capacity[pool.zone];
     auto candidate = pool.withFreeCores(spec.each.cores);
-    for (unsigned looked = 0; candidate != pool.byFreeCores.end() && looked < settings_.tuning.sampleSize;
-         ++candidate, ++looked) {
+    for (unsigned examined = 0; candidate != pool.byFreeCores.end() && examined < settings_.tuning.sampleSize;
+         ++candidate, ++examined) {
       const Machine& machine = *candidate->second;
       if (!constraints_.allowsMachine(job, machine)) continue;
       auto free = machine.free();
@@ -176,15 +181,16 @@
   return capacity;
 }
 
-// The same in all zones together, or in the best one for a job that must be in one.
+// Returns the number of the job's tasks that fit now: in all zones together, or in the best zone if the job
+// is restricted to one.
 std::uint32_t ShardScheduler::capacityForJob(const Job& job) const {
-  std::uint32_t inAll = 0;
-  std::uint32_t inBest = 0;
+  std::uint32_t inAllZones = 0;
+  std::uint32_t inBestZone = 0;
   for (const auto& [_, tasks] : capacityByZone(job)) {
-    inAll += tasks;
-    inBest = std::max(inBest, tasks);
+    inAllZones += tasks;
+    inBestZone = std::max(inBestZone, tasks);
   }
-  return std::min(job.spec->oneZone ? inBest : inAll, job.spec->tasks);
+  return std::min(job.spec->oneZone ? inBestZone : inAllZones, job.spec->tasks);
 }
 
 }  // namespace cherryloft
--- a/src/scheduler/remote_usage.cpp
+++ b/src/scheduler/remote_usage.cpp
@@ -5,23 +5,23 @@
 namespace cherryloft {
 namespace {
 
-// The other owner may see the cancellation's commit later than we do.
+// The other owner may learn of the committed cancellation later than this shard.
 constexpr Duration kCancelMargin{2'000};
 
-Resources sumOf(const JobSpec& spec, std::uint32_t tasks) { return spec.each * static_cast<double>(tasks); }
+Resources usageOf(const JobSpec& spec, std::uint32_t tasks) { return spec.each * static_cast<double>(tasks); }
 
 }  // namespace
 
 void RemoteUsage::reserve(const JobId& job, const JobSpec& spec, std::uint32_t tasks) {
-  auto sum = sumOf(spec, tasks);
-  entries_[job] = {spec.team, sum, Stage::Reserved, std::nullopt};
-  state_.countRemoteUsage(spec.team, sum);
+  auto usage = usageOf(spec, tasks);
+  entries_[job] = {spec.team, usage, Stage::Reserved, std::nullopt};
+  state_.countRemoteUsage(spec.team, usage);
 }
 
 void RemoteUsage::dropReservation(const JobId& job) {
   auto found = entries_.find(job);
   if (found == entries_.end()) return;
-  state_.uncountRemoteUsage(found->second.team, found->second.sum);
+  state_.uncountRemoteUsage(found->second.team, found->second.usage);
   entries_.erase(found);
 }
 
@@ -36,7 +36,7 @@
 }
 
 void RemoteUsage::trackAlreadyCounted(const JobId& job, const JobSpec& spec, std::uint32_t tasks) {
-  entries_[job] = {spec.team, sumOf(spec, tasks), Stage::Committed, std::nullopt};
+  entries_[job] = {spec.team, usageOf(spec, tasks), Stage::Committed, std::nullopt};
 }
 
 std::size_t RemoteUsage::releaseEnded(const ClusterView& view, ShardId ownShard, Time now) {
@@ -44,23 +44,23 @@
   for (auto position = entries_.begin(); position != entries_.end();) {
     auto& [id, entry] = *position;
     auto job = view.jobs.find(id);
-    if (job == view.jobs.end() || !over(entry, job->second, ownShard, now)) {
+    if (job == view.jobs.end() || !isReleasable(entry, job->second, ownShard, now)) {
       ++position;
       continue;
     }
-    state_.uncountRemoteUsage(entry.team, entry.sum);
+    state_.uncountRemoteUsage(entry.team, entry.usage);
     position = entries_.erase(position);
     ++released;
   }
   return released;
 }
 
-bool RemoteUsage::over(Entry& entry, const JobEntry& job, ShardId ownShard, Time now) const {
+bool RemoteUsage::isReleasable(Entry& entry, const JobEntry& job, ShardId ownShard, Time now) const {
   if (entry.stage != Stage::Committed) return false;
   if (job.status != JobStatus::Cancelled) return job.status == JobStatus::Done || job.shard == ownShard;
   if (!entry.cancelSeenAt) entry.cancelSeenAt = now;
-  bool nothingLeft = job.maxConcurrent == 0U;
-  return nothingLeft || now - *entry.cancelSeenAt > cancelPeriod_ + kCancelMargin;
+  bool noTasksLeft = job.maxConcurrent == 0U;
+  return noTasksLeft || now - *entry.cancelSeenAt > cancelPeriod_ + kCancelMargin;
 }
 
 }  // namespace cherryloft
--- a/src/scheduler/remote_usage.h
+++ b/src/scheduler/remote_usage.h
@@ -1,11 +1,10 @@
-// Ledger of what tasks of this shard's teams take, or may take, on the machines of other shards.
+// Tracks the resources that tasks of this shard's teams use, or may use, on machines of other shards.
 //
-// A team's quota is enforced by the shard that the team belongs to (invariant 17): it counts a job that
-// migrated to another shard with all tasks that may be placed there at a time, and the delegated tasks of a
-// job that was cancelled (invariant 18). Each entry is part of the team's use in ShardState for as long as it
-// is in the ledger.
+// A team's quota is enforced by the team's home shard (invariant 17). For a job that migrated to another
+// shard, it counts all tasks that may run there concurrently; for a cancelled job, it counts the delegated
+// tasks (invariant 18). Each tracked job counts toward the team's usage in ShardState until it is released.
 //
-// No I/O and no clock of its own. Owned by one ShardScheduler and used on its thread only; it refers to that
+// Performs no I/O and reads no clock. Owned by one ShardScheduler and used only on its thread. Refers to that
 // scheduler's ShardState, which must outlive it.
 #pragma once
 
@@ -22,40 +21,42 @@
 
 class RemoteUsage {
  public:
-  // cancelPeriod: within this time after its cancellation is committed nothing of a job is on any machine.
+  // cancelPeriod: by this time after a job's cancellation was committed, no task of it is on any machine.
   RemoteUsage(ShardState& state, Duration cancelPeriod) : state_(state), cancelPeriod_(cancelPeriod) {}
 
-  // Counts a job whose migration is planned: so many of its tasks may be placed elsewhere at a time. The
-  // entry stays until dropReservation(), or commit() and then releaseEnded().
+  // Reserves the usage of a job whose migration is planned; `tasks` is how many of its tasks may run
+  // elsewhere concurrently. The reservation lasts until dropReservation(), or until commit() and a later
+  // releaseEnded().
   void reserve(const JobId& job, const JobSpec& spec, std::uint32_t tasks);
-  // The migration was not written. Nothing happens if the job is not in the ledger.
+  // The migration was not written. Does nothing if the job is not tracked.
   void dropReservation(const JobId& job);
-  // The job's record names the other shard. Nothing happens if the job is not in the ledger.
+  // The migration is committed. Does nothing if the job is not tracked.
   void commit(const JobId& job);
 
-  // Counts a job of which other shards have tasks according to its committed record.
+  // Tracks a job of which other shards have tasks according to its committed record.
   void countCommitted(const JobId& job, const JobSpec& spec, std::uint32_t tasks);
-  // The same for tasks that ShardState counts already, as delegated ones of a job that it is about to drop.
+  // Like countCommitted(), for a job that ShardState is about to remove and whose delegated tasks it already
+  // counts toward the team's usage.
   void trackAlreadyCounted(const JobId& job, const JobSpec& spec, std::uint32_t tasks);
 
-  [[nodiscard]] bool counts(const JobId& job) const { return entries_.count(job) > 0; }
+  [[nodiscard]] bool tracks(const JobId& job) const { return entries_.count(job) > 0; }
 
-  // Releases the committed entries of jobs of which nothing can be left elsewhere, as the view shows them: a
-  // job that is done or back in ownShard, or a cancelled one whose other owner has written that nothing is
-  // left of it, or whose cancellation was first seen here longer ago than the cancel period and a margin.
-  // Returns how many were released.
+  // Releases the usage of jobs with a committed migration or delegation that, according to the view, can have
+  // no tasks left on other shards. These are jobs that are done or back in ownShard, and cancelled jobs whose
+  // other owner has recorded that no task is left, or whose cancellation was first seen here longer ago than
+  // the cancel period plus a margin. Returns how many jobs were released.
   std::size_t releaseEnded(const ClusterView& view, ShardId ownShard, Time now);
 
  private:
   enum class Stage : std::uint8_t { Reserved, Committed };
   struct Entry {
     TeamId team;
-    Resources sum;  // of the tasks that may be elsewhere at a time
+    Resources usage;  // total of the tasks that may run elsewhere concurrently
     Stage stage = Stage::Reserved;
     std::optional<Time> cancelSeenAt;
   };
 
-  [[nodiscard]] bool over(Entry& entry, const JobEntry& job, ShardId ownShard, Time now) const;
+  [[nodiscard]] bool isReleasable(Entry& entry, const JobEntry& job, ShardId ownShard, Time now) const;
 
   ShardState& state_;
   Duration cancelPeriod_;
--- a/tests/unit/capacity_offers_test.cpp
+++ b/tests/unit/capacity_offers_test.cpp
@@ -1,4 +1,5 @@
-// Offers of other shards' free capacity: which ones are kept, for how long, and in what order they are used.
+// Storage of capacity offers from other shards: which are kept, for how long, and in which order they are
+// used.
 #include "scheduler/capacity_offers.h"
 
 #include <gtest/gtest.h>
@@ -14,7 +15,7 @@
 const Time kLastValid = kNow + kCapacityOfferLifetime;
 const Time kExpired = kLastValid + Duration{1};
 
-TEST(JobCapacityOffers, KeepsTheLargestOffer) {
+TEST(JobCapacityOffers, KeepsLargestOffer) {
   JobCapacityOffers offers;
   offers.add(kJob, {kFirstShard, 2, kNow});
   offers.add(kJob, {kSecondShard, 5, kNow});
@@ -23,20 +24,20 @@
   EXPECT_EQ(offers.best(kJob)->shard, kSecondShard);
 }
 
-TEST(JobCapacityOffers, KeepsTheEarlierOfEqualOffers) {
+TEST(JobCapacityOffers, KeepsEarlierOfEqualOffers) {
   JobCapacityOffers offers;
   offers.add(kJob, {kFirstShard, 2, kNow});
   offers.add(kJob, {kSecondShard, 2, kNow});
   EXPECT_EQ(offers.best(kJob)->shard, kFirstShard);
 }
 
-TEST(JobCapacityOffers, IgnoresAnOfferOfNothing) {
+TEST(JobCapacityOffers, IgnoresOfferOfZeroTasks) {
   JobCapacityOffers offers;
   offers.add(kJob, {kFirstShard, 0, kNow});
   EXPECT_FALSE(offers.best(kJob));
 }
 
-TEST(JobCapacityOffers, DropsAnOfferAfterItsLifetime) {
+TEST(JobCapacityOffers, DropsOfferAfterItsLifetime) {
   JobCapacityOffers offers;
   offers.add(kJob, {kFirstShard, 2, kNow});
   offers.dropExpired(kLastValid);
@@ -52,7 +53,7 @@
   return shards;
 }
 
-TEST(TaskCapacityOffers, GivesTheLargestFirstAndOfEqualOnesTheEarliest) {
+TEST(TaskCapacityOffers, ReturnsLargestFirstAndEqualOnesInOrderOfArrival) {
   TaskCapacityOffers offers;
   offers.add(kJob, {kFirstShard, std::nullopt, 2, kNow});
   offers.add(kJob, {kSecondShard, std::nullopt, 5, kNow});
@@ -60,7 +61,7 @@
   EXPECT_EQ(shardsOf(offers.take(kJob, kNow)), (std::vector{kSecondShard, kFirstShard, kThirdShard}));
 }
 
-TEST(TaskCapacityOffers, ALaterOfferReplacesTheShardsEarlierOne) {
+TEST(TaskCapacityOffers, LaterOfferReplacesEarlierOneOfSameShard) {
   TaskCapacityOffers offers;
   offers.add(kJob, {kFirstShard, Zone{"a"}, 5, kNow});
   offers.add(kJob, {kFirstShard, Zone{"b"}, 2, kNow});
@@ -70,14 +71,14 @@
   EXPECT_EQ(taken.front().tasks, 2U);
 }
 
-TEST(TaskCapacityOffers, TakingRemovesThem) {
+TEST(TaskCapacityOffers, TakeRemovesOffers) {
   TaskCapacityOffers offers;
   offers.add(kJob, {kFirstShard, std::nullopt, 2, kNow});
   EXPECT_EQ(offers.take(kJob, kNow).size(), 1U);
   EXPECT_FALSE(offers.any(kJob));
 }
 
-TEST(TaskCapacityOffers, TakesOnlyThoseThatHaveNotExpired) {
+TEST(TaskCapacityOffers, TakeOmitsExpiredOffers) {
   TaskCapacityOffers offers;
   offers.add(kJob, {kFirstShard, std::nullopt, 5, kNow});
   offers.add(kJob, {kSecondShard, std::nullopt, 2, kLastValid});
@@ -85,7 +86,7 @@
   EXPECT_EQ(shardsOf(offers.take(kJob, kExpired)), std::vector{kSecondShard});
 }
 
-TEST(TaskCapacityOffers, AreAllDroppedOnceTheEarliestHasExpired) {
+TEST(TaskCapacityOffers, AllAreDroppedOnceTheOldestHasExpired) {
   TaskCapacityOffers offers;
   offers.add(kJob, {kFirstShard, std::nullopt, 5, kNow});
   offers.add(kJob, {kSecondShard, std::nullopt, 2, kLastValid});
@@ -93,7 +94,7 @@
   EXPECT_FALSE(offers.any(kJob));
 }
 
-TEST(CapacityOffers, AnEmptyZoneNameInAMessageStandsForAnyZone) {
+TEST(CapacityOffers, EmptyZoneNameInMessageMeansAnyZone) {
   EXPECT_EQ(zoneFromMessage(""), std::nullopt);
   EXPECT_EQ(zoneFromMessage("a"), Zone{"a"});
 }
--- a/tests/unit/pending_calls_runtime.h
+++ b/tests/unit/pending_calls_runtime.h
@@ -1,5 +1,4 @@
-// An Io in virtual time that records what is called and leaves it to the test when, and how, each call is
-// answered.
+// Runtime on a virtual clock that records each call and leaves it pending until the test answers it.
 #pragma once
 
 #include <string>
@@ -11,14 +10,14 @@
 
 struct PendingCallsRuntime : VirtualClockRuntime {
   std::vector<HttpRequest> requests;
-  std::vector<HttpDone> open;  // how to answer each of them
+  std::vector<HttpDone> open;  // their callbacks, in the same order
 
   void call(const Address&, HttpRequest request, Duration, HttpDone done) override {
     requests.push_back(std::move(request));
     open.push_back(std::move(done));
   }
-  void answer(std::size_t n, int status, const std::string& body) {
-    auto done = open.at(n);
+  void answer(std::size_t index, int status, const std::string& body) {
+    auto done = open.at(index);
     done({HttpResult::Outcome::Answered, {status, body, false, 0}});
   }
   std::vector<std::string> targets() const {
--- a/tests/unit/remote_usage_test.cpp
+++ b/tests/unit/remote_usage_test.cpp
@@ -1,4 +1,4 @@
-// The ledger of what tasks of a shard's teams may take on other shards (invariant 17).
+// Tracking of the resources that tasks of a shard's teams may use on other shards (invariant 17).
 #include "scheduler/remote_usage.h"
 
 #include <gtest/gtest.h>
@@ -26,7 +26,7 @@
   }
 
   double coresInUse() const { return state_.teamUse(kTeam).cores; }
-  // What the cluster view shows of the job.
+  // Sets what the cluster view shows for the job.
   JobEntry& show(JobStatus status, ShardId shard) {
     auto& entry = view_.jobs[kJob];
     entry.status = status;
@@ -42,50 +42,50 @@
   RemoteUsage usage_{state_, kCancelPeriod};
 };
 
-TEST_F(RemoteUsageTest, AReservationCountsTowardTheTeamsUse) {
+TEST_F(RemoteUsageTest, ReservationCountsTowardTeamUsage) {
   usage_.reserve(kJob, spec_, 3);
-  EXPECT_TRUE(usage_.counts(kJob));
+  EXPECT_TRUE(usage_.tracks(kJob));
   EXPECT_DOUBLE_EQ(coresInUse(), 6);
 }
 
-TEST_F(RemoteUsageTest, ADroppedReservationIsNoLongerInUse) {
+TEST_F(RemoteUsageTest, DroppedReservationIsNoLongerCounted) {
   usage_.reserve(kJob, spec_, 3);
   usage_.dropReservation(kJob);
-  EXPECT_FALSE(usage_.counts(kJob));
+  EXPECT_FALSE(usage_.tracks(kJob));
   EXPECT_DOUBLE_EQ(coresInUse(), 0);
 }
 
-// The view still shows the job in this shard until the migration's commit is seen: it would be released, and
-// the team could exceed its quota, while the other shard starts the job's tasks.
-TEST_F(RemoteUsageTest, AReservationIsNotReleasedBeforeItsMigrationIsCommitted) {
+// Until the view includes the commit of the migration, it shows the job in this shard. If the reservation
+// were released then, the team could exceed its quota while the other shard starts the job's tasks.
+TEST_F(RemoteUsageTest, ReservationIsNotReleasedBeforeMigrationIsCommitted) {
   usage_.reserve(kJob, spec_, 3);
   show(JobStatus::Open, kOwnShard);
   EXPECT_EQ(release(), 0U);
   EXPECT_DOUBLE_EQ(coresInUse(), 6);
 }
 
-TEST_F(RemoteUsageTest, AnOpenJobElsewhereStaysCounted) {
+TEST_F(RemoteUsageTest, OpenJobOnOtherShardStaysCounted) {
   usage_.reserve(kJob, spec_, 3);
   usage_.commit(kJob);
   show(JobStatus::Open, kOtherShard);
   EXPECT_EQ(release(), 0U);
 }
 
-TEST_F(RemoteUsageTest, ADoneJobIsReleased) {
+TEST_F(RemoteUsageTest, DoneJobIsReleased) {
   usage_.countCommitted(kJob, spec_, 3);
   show(JobStatus::Done, kOtherShard);
   EXPECT_EQ(release(), 1U);
-  EXPECT_FALSE(usage_.counts(kJob));
+  EXPECT_FALSE(usage_.tracks(kJob));
   EXPECT_DOUBLE_EQ(coresInUse(), 0);
 }
 
-TEST_F(RemoteUsageTest, AJobThatCameBackIsReleased) {
+TEST_F(RemoteUsageTest, JobThatReturnedToOwnShardIsReleased) {
   usage_.countCommitted(kJob, spec_, 3);
   show(JobStatus::Open, kOwnShard);
   EXPECT_EQ(release(), 1U);
 }
 
-TEST_F(RemoteUsageTest, ACancelledJobIsReleasedOnceItsOwnerSaysThatNothingIsLeft) {
+TEST_F(RemoteUsageTest, CancelledJobIsReleasedOnceItsOwnerRecordsThatNoTaskIsLeft) {
   usage_.countCommitted(kJob, spec_, 3);
   show(JobStatus::Cancelled, kOtherShard).maxConcurrent = 3;
   EXPECT_EQ(release(), 0U);
@@ -93,7 +93,7 @@
   EXPECT_EQ(release(), 1U);
 }
 
-TEST_F(RemoteUsageTest, ACancelledJobIsReleasedOnlyAfterTheCancelPeriodAndItsMargin) {
+TEST_F(RemoteUsageTest, CancelledJobIsReleasedOnlyAfterCancelPeriodPlusMargin) {
   usage_.countCommitted(kJob, spec_, 3);
   show(JobStatus::Cancelled, kOtherShard);
   EXPECT_EQ(release(kNow), 0U);
@@ -101,7 +101,7 @@
   EXPECT_EQ(release(kNow + kPeriodAndMargin + Duration{1}), 1U);
 }
 
-TEST_F(RemoteUsageTest, WhatTheShardStateCountsAlreadyIsNotCountedTwice) {
+TEST_F(RemoteUsageTest, UsageAlreadyInShardStateIsNotCountedTwice) {
   state_.countRemoteUsage(kTeam, spec_.each * 3);
   usage_.trackAlreadyCounted(kJob, spec_, 3);
   EXPECT_DOUBLE_EQ(coresInUse(), 6);
