--- a/src/scheduler/delegated_tasks.cpp
+++ b/src/scheduler/delegated_tasks.cpp
@@ -9,7 +9,7 @@
 namespace cherryloft {
 namespace {
 
-// What found no capacity for so long goes back to the owner, which may find some elsewhere.
+// Tasks that found no capacity for this time are returned to the owner, which may find capacity elsewhere.
 constexpr Duration kReturnUnplacedAfter{30'000};
 
 }  // namespace
@@ -26,15 +26,16 @@
   return false;
 }
 
-// Tasks that go back to the owner: all that are not placed, once nothing is left to do, or once what waits
-// found no capacity for long or is asked back. Of a gang, as soon as none is placed.
+// Returns the tasks to give back to the owner now. These are all tasks that are not placed, once none is left
+// to run, or once the waiting ones found no capacity for too long or were recalled. For a gang, also as soon
+// as no member is placed any more.
 std::vector<std::uint32_t> DelegatedTasks::returnable(const Job& job, Time now) const {
-  bool over = job.placed == 0 && job.waiting.empty();
-  bool inVain = now - std::max(job.since, job.placedLast) >= kReturnUnplacedAfter;
+  bool finished = job.placed == 0 && job.waiting.empty();
+  bool timedOut = now - std::max(job.since, job.placedLast) >= kReturnUnplacedAfter;
   bool gangEnded = job.delegation->attempt && job.begun && job.placed == 0;
-  bool givesUpWaiting = !job.waiting.empty() && (inVain || job.recalling || gangEnded);
+  bool returnsWaiting = !job.waiting.empty() && (timedOut || job.recalling || gangEnded);
   std::vector<std::uint32_t> tasks;
-  if (!over && !givesUpWaiting) return tasks;
+  if (!finished && !returnsWaiting) return tasks;
   for (auto index : job.delegation->tasks)
     if (!job.tasks[index].machine) tasks.push_back(index);
   return tasks;
@@ -55,15 +56,15 @@
     auto found = view_.jobs.find(id);
     if (!job || found == view_.jobs.end()) continue;
     const auto& entry = found->second;
-    bool current = entry.version == job->version;
-    if (!current || job->status != JobStatus::Open || entry.status != JobStatus::Open) continue;
+    bool viewIsCurrent = entry.version == job->version;
+    if (!viewIsCurrent || job->status != JobStatus::Open || entry.status != JobStatus::Open) continue;
     auto tasks = returnable(*job, now);
     if (tasks.empty()) continue;
     DelegationReturn change{id, tasks, *job->delegation};
     std::erase_if(change.kept.tasks,
                   [&](auto index) { return std::binary_search(tasks.begin(), tasks.end(), index); });
     wire::Write write{keys::job(id), wire::encodeJobRecord(recordAfterReturn(*job, entry, change)), {}};
-    // One that was written under a larger limit waits until it has shrunk, or its job is over.
+    // A record that was written under a larger size limit must wait until it has shrunk or the job has ended.
     if (write.value->size() > settings_.valueBytes) continue;
     if (!transaction.add(std::move(write), job->version)) break;
     added.push_back(std::move(change));
--- a/src/scheduler/delegated_tasks.h
+++ b/src/scheduler/delegated_tasks.h
@@ -1,12 +1,14 @@
-// Tasks of other shards' jobs that this shard places, as their delegate (invariant 18).
+// Tasks of other shards' jobs that this shard places as their delegate (invariant 18).
 //
-// The delegate places only tasks that the job's record, as it took it in, gives to it. It gives back, by a
-// write under the record's version, only tasks that are done or known gone from its machines, and what is
-// done is done by that write. A task that finds no capacity for long goes back unfinished; of a gang, whose
-// attempt is tried once, all go back as soon as none is placed.
+// The delegate places only those tasks that were delegated to it in the job's record when it accepted the
+// delegation. It returns only tasks that are done or known to be gone from its machines, by a write that is
+// conditional on the record's version; that write also commits the completion of the done tasks. A task that
+// finds no capacity for too long is returned unfinished. A gang's attempt is tried only once, so all its
+// members are returned as soon as none is placed.
 //
-// The owner's part is TaskDelegation. No I/O and no clock: writes are added to the caller's transaction.
-// Owned by one ShardScheduler and used on its thread only; settings, view and state must outlive it.
+// TaskDelegation implements the owner's side. Performs no I/O and reads no clock: writes are added to the
+// caller's transaction. Owned by one ShardScheduler and used only on its thread. The settings, the view and
+// the state must outlive it.
 #pragma once
 
 #include <map>
@@ -29,23 +31,23 @@
   DelegatedTasks(const Settings& settings, const ClusterView& view, ShardState& state, ShardId ownShard,
                  Log log);
 
-  // No task of another shard's job is in the shard state.
+  // Whether the shard state contains no task of another shard's job.
   [[nodiscard]] bool none() const { return jobs_.empty(); }
-  // The job is in the shard state, with the tasks that its record gives to this shard.
+  // To be called once the job is in the shard state with the tasks that its record delegates to this shard.
   void add(const JobId& job) { jobs_.insert(job); }
-  // The job leaves the shard state. Nothing happens if it is this shard's own.
+  // To be called when the job is removed from the shard state. Does nothing for this shard's own jobs.
   void remove(const JobId& job) { jobs_.erase(job); }
 
-  // Whether the cluster view, which shows that version of the job, may still show a delegation that was given
-  // back in full since.
+  // Whether the delegation was completely returned at a later version of the job's record than the given one,
+  // so that a cluster view at this version may still show the delegation.
   [[nodiscard]] bool wasReturnedAfter(const JobId& job, Version shown);
 
-  // Whether any job has tasks that go back to its owner now.
+  // Whether any job has tasks to return to its owner now.
   [[nodiscard]] bool anyReturnable(Time now) const;
-  // Adds the returns that fit, and gives them.
+  // Adds the returns that fit to the transaction, and returns them.
   [[nodiscard]] std::vector<DelegationReturn> addReturns(TransactionBuilder& transaction, Time now);
-  // That return was committed at that version of the job's record. True if nothing of the job is left here:
-  // the caller removes it from the shard state.
+  // The return was committed at that version of the job's record. Returns true if this shard has no tasks of
+  // the job left; the caller must then remove the job from the shard state.
   [[nodiscard]] bool committed(const DelegationReturn& written, Version version);
 
  private:
@@ -57,7 +59,8 @@
   ShardId ownShard_;
   Log log_;
   std::set<JobId> jobs_;
-  // Delegations that were given back in full; the cluster view may show them until it shows that version.
+  // Delegations that were completely returned, with the version at which that was committed. The cluster view
+  // may show them until it has reached that version.
   std::map<JobId, Version> returnedAt_;
 };
 
--- a/src/scheduler/task_delegation.cpp
+++ b/src/scheduler/task_delegation.cpp
@@ -21,8 +21,8 @@
 
 std::uint32_t TaskDelegation::plan(Job& job, const ReceivedTaskOffer& offer, std::uint32_t maxTasks) {
   Delegation delegation{offer.shard, offer.zone, {}, job.gangAttempt};
-  auto most = std::min({maxTasks, offer.tasks, kMaxTasksPerDelegation});
-  while (delegation.tasks.size() < most && (!offer.zone || zoneAllows_(job, *offer.zone))) {
+  auto limit = std::min({maxTasks, offer.tasks, kMaxTasksPerDelegation});
+  while (delegation.tasks.size() < limit && (!offer.zone || zoneAllows_(job, *offer.zone))) {
     auto index = job.waiting.front();
     job.waiting.pop_front();
     state_.makeRemote(job, index, offer.zone);
@@ -49,27 +49,27 @@
 void TaskDelegation::dropPlan(Job& job) {
   auto found = plans_.find(job.id);
   if (found == plans_.end()) return;
-  letWaitAgain(job, found->second);
+  requeueTasks(job, found->second);
   plans_.erase(found);
 }
 
-void TaskDelegation::letWaitAgain(Job& job, const DelegationWrite& plan) {
+void TaskDelegation::requeueTasks(Job& job, const DelegationWrite& plan) {
   for (const auto& delegation : plan.planned)
     for (auto index : delegation.tasks) state_.remoteBack(job, index, delegation.zone, false);
   std::sort(job.waiting.begin(), job.waiting.end());
 }
 
-// --- the write ---
+// --- writes ---
 
-// The job's record as it is known, with the change; nothing if the job is ending, and while the cluster view
-// lags behind our own writes.
+// Returns the job's current record with the change applied; nothing if the job is ending or the cluster view
+// lags behind this shard's own writes.
 std::optional<wire::JobRecord> TaskDelegation::recordWith(const Job& job,
                                                           const DelegationWrite& change) const {
   auto found = view_.jobs.find(job.id);
   if (found == view_.jobs.end()) return std::nullopt;
   const auto& entry = found->second;
-  bool current = entry.version == job.version && entry.status == JobStatus::Open;
-  if (!current || !job.open() || !job.cancelWaiters.empty()) return std::nullopt;
+  bool viewIsCurrent = entry.version == job.version && entry.status == JobStatus::Open;
+  if (!viewIsCurrent || !job.open() || !job.cancelWaiters.empty()) return std::nullopt;
   return recordAfterDelegation(job, entry, ownShard_, change);
 }
 
@@ -86,7 +86,7 @@
       ++position;
       continue;
     } else if (job) {
-      letWaitAgain(*job, plan);
+      requeueTasks(*job, plan);
       if (open) job->gangAttempt.reset();
     }
     position = plans_.erase(position);
@@ -99,15 +99,16 @@
   auto record = recordWith(job, change);
   if (!record) return false;
   wire::Write write{keys::job(job.id), wire::encodeJobRecord(*record), {}};
-  // Whatever the delegates give back, done or not, the record must stay within a value.
+  // Whichever tasks the delegates return, done or not, the record must stay within the maximum value size.
   auto size = change.recall ? write.value->size() : maxSizeAfterReturns(*record);
   if (size > settings_.valueBytes) return false;
   return transaction.add(std::move(write), job.version);
 }
 
-// --- what the record says ---
+// --- committed records ---
 
-// The cluster view may have shown it before the answer came, and what the delegates wrote since.
+// The cluster view may have shown this version, or later writes by delegates, before the commit's response
+// arrived.
 void TaskDelegation::committed(const DelegationWrite& written, Version version) {
   Job* job = state_.job(written.job);
   if (!job || job->version >= version) return;
@@ -120,11 +121,11 @@
   if (!bothOpen || job.version >= entry.version) return std::nullopt;
   job.version = entry.version;
   ReturnedTasks returned;
-  auto former = std::exchange(job.delegations, entry.delegations);
-  for (const auto& before : former) {
-    const auto* now = findDelegation(entry.delegations, before.shard);
+  auto previous = std::exchange(job.delegations, entry.delegations);
+  for (const auto& before : previous) {
+    const auto* current = findDelegation(entry.delegations, before.shard);
     for (auto index : before.tasks) {
-      bool stillDelegated = now && now->contains(index);
+      bool stillDelegated = current && current->contains(index);
       if (stillDelegated || job.tasks[index].state != TaskState::Remote) continue;
       bool done = std::binary_search(entry.doneRemotely.begin(), entry.doneRemotely.end(), index);
       state_.remoteBack(job, index, before.zone, done);
--- a/src/scheduler/task_delegation.h
+++ b/src/scheduler/task_delegation.h
@@ -1,13 +1,13 @@
-// Delegation of waiting tasks to other shards, by the shard that owns their job (invariant 18).
+// Delegation of waiting tasks to other shards by the shard that owns their job (invariant 18).
 //
-// From before the write of the job's record that gives a task to another shard, until the record says
-// otherwise, the owner counts the task as placed, toward the team's quota and in the delegate's zone, and
-// never places it. So at any version of the record each task has one shard. The tasks of a job whose record
-// can't be written now wait here again.
+// Before the owner writes the job's record that delegates a task, it starts to count the task as placed,
+// toward the team's quota and in the delegate's zone, and no longer places it itself. That holds until the
+// record no longer delegates the task, so at each version of the record exactly one shard may place a task.
+// If the record can't be written now, the tasks are put back into the job's queue.
 //
-// Which tasks are delegated, and where to, is decided by task_delegation_owner.cpp; the delegate's part is
-// DelegatedTasks. No I/O: writes are added to the caller's transaction. Owned by one ShardScheduler and used
-// on its thread only; settings, view and state must outlive it.
+// task_delegation_owner.cpp decides which tasks are delegated, and to which shard; DelegatedTasks implements
+// the delegate's side. Performs no I/O: writes are added to the caller's transaction. Owned by one
+// ShardScheduler and used only on its thread. The settings, the view and the state must outlive it.
 #pragma once
 
 #include <functional>
@@ -27,20 +27,21 @@
 struct Job;
 class ShardState;
 
-// Tasks of a job that are given to one shard at a time; bounds the record's growth by one write.
+// Maximum number of tasks of a job that are delegated to one shard at a time; limits how much one write
+// enlarges the record.
 inline constexpr std::uint32_t kMaxTasksPerDelegation = 64;
 
-// What delegates gave back of a job.
+// Tasks of a job that delegates returned.
 struct ReturnedTasks {
   std::vector<std::uint32_t> done;
-  std::vector<std::uint32_t> unfinished;  // they wait again
+  std::vector<std::uint32_t> unfinished;  // in the job's queue again
 
   [[nodiscard]] bool any() const { return !done.empty() || !unfinished.empty(); }
 };
 
 class TaskDelegation {
  public:
-  // Whether the job's placement rules allow one more task of it in the zone.
+  // Whether the job's placement rules allow one more of its tasks in the zone.
   using ZoneAllows = std::function<bool(const Job&, const Zone&)>;
 
   TaskDelegation(const Settings& settings, const ClusterView& view, ShardState& state, ShardId ownShard,
@@ -49,29 +50,29 @@
   [[nodiscard]] bool planned(const JobId& job) const { return plans_.count(job) > 0; }
   [[nodiscard]] bool anyPlanned() const { return !plans_.empty(); }
 
-  // Plans to give the shard as many of the job's first waiting tasks as it offered capacity for and the job's
-  // rules allow, at most maxTasks. Returns how many.
+  // Plans to delegate the job's first waiting tasks to the shard: as many as it offered capacity for and the
+  // job's placement rules allow, but at most maxTasks. Returns how many.
   std::uint32_t plan(Job& job, const ReceivedTaskOffer& offer, std::uint32_t maxTasks);
-  // Plans to ask back all that other shards have of the job. A job that is being recalled already is left as
-  // it is.
+  // Plans to recall all tasks of the job from other shards. Does nothing if a recall is already in progress.
   void planRecall(Job& job);
-  // Drops what is planned for the job; its tasks wait again, in order of their indices.
+  // Drops the plan for the job and puts its tasks back into the job's queue, ordered by index.
   void dropPlan(Job& job);
 
-  // Adds what is planned as far as it fits, and returns it. A recall that can't be added stays planned; a
-  // plan to delegate is dropped, as the capacity that was offered will be gone.
+  // Adds the planned writes that fit to the transaction, and returns them. A recall that can't be added stays
+  // planned. A delegation that can't be added is dropped, as the offered capacity will be gone by the next
+  // commit.
   [[nodiscard]] std::vector<DelegationWrite> addPlanned(TransactionBuilder& transaction);
-  // That change was committed at that version of the job's record.
+  // The change was committed at that version of the job's record.
   void committed(const DelegationWrite& written, Version version);
 
-  // The cluster view shows the record of an own job: takes in what delegates gave back with it. Nothing if
-  // the record is not newer than what is known, or the job is over.
+  // Applies a newer record of one of this shard's jobs from the cluster view, in which delegates may have
+  // returned tasks. Returns nothing if the record is not newer than the known version or the job has ended.
   [[nodiscard]] std::optional<ReturnedTasks> applyReturns(Job& job, const JobEntry& entry);
 
  private:
   std::optional<wire::JobRecord> recordWith(const Job& job, const DelegationWrite& change) const;
   bool add(TransactionBuilder& transaction, const Job& job, const DelegationWrite& change) const;
-  void letWaitAgain(Job& job, const DelegationWrite& plan);
+  void requeueTasks(Job& job, const DelegationWrite& plan);
 
   const Settings& settings_;
   const ClusterView& view_;
--- a/src/scheduler/task_delegation_delegate.cpp
+++ b/src/scheduler/task_delegation_delegate.cpp
@@ -1,16 +1,17 @@
-// Task delegation, as the delegate sees it (invariant 18): tasks of another shard's job that this shard
-// places.
+// The delegate's side of task delegation (invariant 18): tasks of another shard's job that this shard places.
 //
-// The delegate places the tasks that the job's record gives to it, in one zone where the job's rules ask for
-// it, and gives back what is done, and what it finds no capacity for. What it gives back is done or known
-// gone from its machines. The owner's part is in task_delegation_owner.cpp.
+// The delegate places the tasks that the job's record delegates to it, in a single zone if the job's
+// placement rules require one. It returns tasks that are done and tasks for which it finds no capacity; a
+// returned task is either done or known to be gone from its machines. The owner's side is in
+// task_delegation_owner.cpp.
 #include <algorithm>
 
 #include "scheduler/shard_scheduler.h"
 
 namespace cherryloft {
-// Offers capacity for the first of the jobs that there is some for: of the zones that its tasks may go to,
-// the one that has most.
+
+// Offers capacity for the first requested job for which this shard has any, in that one of the allowed zones
+// with the most capacity.
 void ShardScheduler::handleTaskCapacityRequest(const mesh::TaskCapacityRequest& request) {
   if (!mayOfferCapacity(taskCapacityOfferedAt_)) return;
   for (const auto& need : request.jobs) {
@@ -33,20 +34,21 @@
   }
 }
 
-// --- what the owner wrote ---
+// --- records written by the owner ---
 
 Job& ShardScheduler::acceptDelegation(const JobId& id, const JobEntry& entry, const Delegation& delegation) {
   auto& job = state_.addJob(id, entry, &delegation);
   job.since = runtime_.now();
   delegatedTasks_.add(id);
-  // A gang's attempt is tried once; whether a former owner of this shard did is not known.
+  // A gang's attempt may be tried only once, and it is unknown whether a former owner of this shard has tried
+  // it.
   if (!loaded_ && delegation.attempt) job.begun = true;
-  if (loaded_ && delegation.recalled) handleDelegationRecall(job);  // else once what is placed is restored
+  if (loaded_ && delegation.recalled) handleDelegationRecall(job);  // else after restoring placements
   return job;
 }
 
-// The cluster view shows a record of another shard's job: its tasks may be given to us, asked back or
-// cancelled.
+// Handles a changed record of another shard's job in the cluster view: tasks of it may be delegated to this
+// shard, recalled or cancelled.
 void ShardScheduler::handleDelegatedJobChange(const JobId& id, const JobEntry& entry) {
   const auto* delegation = findDelegation(entry.delegations, takeover_.shard);
   Job* job = state_.job(id);
@@ -67,7 +69,7 @@
   }
 }
 
-// Nothing new is placed, and what is placed ends.
+// Places no more tasks of the job and stops those that are placed.
 void ShardScheduler::handleDelegationRecall(Job& job) {
   if (job.recalling) return;
   job.recalling = true;
@@ -89,7 +91,7 @@
   requestRound(true);
 }
 
-// --- what went back to the owner ---
+// --- tasks returned to the owner ---
 
 void ShardScheduler::returnCommitted(const DelegationReturn& written, Version version) {
   if (!delegatedTasks_.committed(written, version)) return;
@@ -97,8 +99,8 @@
   state_.removeJob(written.job);
 }
 
-// A cancellation of a delegated job is confirmed by its owner, and we see it in the watch cache (invariant
-// 16).
+// Whether a cancellation may have been confirmed to a user without being known here. The owner of a delegated
+// job confirms its cancellation, and this shard learns of it only through the watch cache (invariant 16).
 bool ShardScheduler::mayHaveUnseenCancellations(Time now) const {
   return !delegatedTasks_.none() && now >= store_.currentAsOf(keys::kJobs) + settings_.blindFor();
 }
--- a/src/scheduler/task_delegation_owner.cpp
+++ b/src/scheduler/task_delegation_owner.cpp
@@ -1,10 +1,11 @@
-// Task delegation, as the shard that owns the job sees it (invariant 18): waiting tasks that another shard,
-// the delegate, places for it.
+// The owner's side of task delegation (invariant 18): another shard, the delegate, places waiting tasks for
+// the shard that owns the job.
 //
-// Used where a job can't be migrated whole: some of its tasks are placed or done, or it is a gang that no
-// shard has free capacity for alone. The owner keeps the job: it answers its users, writes its end, and
-// counts what it delegated toward the team's quota and the zones' rules. Each step is one write of the job's
-// record under its version (TaskDelegation). The delegate's part is in task_delegation_delegate.cpp.
+// Used for jobs that can't be migrated as a whole: some tasks are placed or done, or the job is a gang for
+// which no single shard has enough free capacity. The owner keeps the job: it answers its users, writes its
+// end, and counts the delegated tasks toward the team's quota and the job's zone rules. Each step is one
+// write of the job's record, conditional on its version (TaskDelegation). The delegate's side is in
+// task_delegation_delegate.cpp.
 #include <algorithm>
 #include <utility>
 
@@ -13,12 +14,12 @@
 namespace cherryloft {
 namespace {
 
-// Where its tasks may go depends on where its others are.
-bool boundToZones(const JobSpec& spec) { return spec.spread || spec.oneZone; }
+// Whether the zones allowed for a task depend on where the job's other tasks are.
+bool isZoneConstrained(const JobSpec& spec) { return spec.spread || spec.oneZone; }
 
 }  // namespace
 
-// Plans the delegation of tasks that offers came for, and asks for capacity for the others.
+// Plans the delegation of tasks for which offers arrived, and requests capacity for the others.
 void ShardScheduler::reviewDelegations(Time now) {
   if (now - delegationsReviewed_ < kCapacityReviewInterval) return;
   delegationsReviewed_ = now;
@@ -29,7 +30,7 @@
   for (Job* job : oldestUnschedulableJobs(RemotePlacement::Delegation, now)) {
     if (isMigrationPlanned(job->id) || taskDelegation_.planned(job->id)) continue;
     bool splitGang = job->isGang() && job->remote > 0;
-    if (splitGang) planRecall(*job);  // the members here found no capacity after all
+    if (splitGang) planRecall(*job);  // this shard's members found no capacity after all
     if (splitGang || planDelegations(*job, now))
       requestRound(false);
     else
@@ -38,12 +39,13 @@
   if (!request.jobs.empty()) callbacks_.requestTaskCapacity(request);
 }
 
-// How many of its tasks are to go, and how many of them each zone may take where that matters.
+// Returns how many of the job's tasks need capacity and, if the job has zone rules, how many each zone may
+// take.
 mesh::TaskCapacityNeed ShardScheduler::taskCapacityNeed(const Job& job) const {
   auto waiting =
       static_cast<std::uint32_t>(std::min<std::size_t>(job.waiting.size(), kMaxTasksPerDelegation));
   mesh::TaskCapacityNeed need{job.id.value, std::min(waiting, tasksWithinQuota(job)), {}};
-  if (!boundToZones(*job.spec)) {
+  if (!isZoneConstrained(*job.spec)) {
     need.zones.push_back({"", need.tasks});
     return need;
   }
@@ -62,8 +64,9 @@
                   {ShardId{offer.shard}, zoneFromMessage(offer.room.zone), offer.room.tasks, runtime_.now()});
 }
 
-// Gives tasks to the shards that offered capacity, the largest offer first. A gang goes only if all of it
-// finds capacity, with what there is here. False if nothing is planned.
+// Plans to delegate tasks to the shards that offered capacity, largest offer first. Gang members are
+// delegated only if the offers and this shard's own capacity together suffice for the whole gang. Returns
+// false if nothing is planned.
 bool ShardScheduler::planDelegations(Job& job, Time now) {
   if (!taskOffers_.any(job.id)) return false;
   auto offers = taskOffers_.take(job.id, now);
@@ -72,8 +75,8 @@
   });
   bool gang = job.isGang();
   if (gang && tasksWithinQuota(job) < job.waiting.size()) return false;
-  auto here = gang ? capacityForJob(job) : 0;
-  auto remaining = static_cast<std::uint32_t>(job.waiting.size()) - here;
+  auto localCapacity = gang ? capacityForJob(job) : 0;
+  auto remaining = static_cast<std::uint32_t>(job.waiting.size()) - localCapacity;
   if (!gang) remaining = std::min(remaining, tasksWithinQuota(job));
   if (gang) job.gangAttempt = makeAttempt(takeover_.epoch, ++attempts_);
   for (const auto& offer : offers) {
@@ -83,16 +86,16 @@
   bool any = taskDelegation_.planned(job.id);
   bool gangIncomplete = gang && remaining > 0;
   if (any && !gangIncomplete) {
-    job.placedLast = now;  // the rest waits anew
+    job.placedLast = now;  // restarts the waiting time of the remaining tasks
     return true;
   }
-  job.gangAttempt.reset();  // the next try, wherever it is, has an attempt of its own
+  job.gangAttempt.reset();  // the next try, on any shard, uses a new attempt
   taskDelegation_.dropPlan(job);
   return false;
 }
 
-// After a takeover. Of a gang whose members here are not placed a former owner may have tried some: it starts
-// anew as a whole.
+// Resumes delegations after a takeover. If members of a gang that belong to this shard are not placed, a
+// former owner may have tried some of them, so the whole gang is restarted.
 void ShardScheduler::resumeDelegations(Job& job) {
   if (job.delegation && job.delegation->recalled) handleDelegationRecall(job);
   if (job.delegation || job.remote == 0 || !job.isGang()) return;
@@ -104,14 +107,14 @@
     handleGangMemberLost(job);
 }
 
-// --- what delegates gave back ---
+// --- tasks returned by delegates ---
 
-// The cluster view shows a record of our job that a delegate may have written: takes in the tasks that it
-// gave back, done or not.
+// Handles a changed record of one of this shard's jobs in the cluster view. A delegate may have written it to
+// return tasks, done or not.
 void ShardScheduler::handleOwnedJobChange(Job& job, const JobEntry& entry) {
   auto returned = taskDelegation_.applyReturns(job, entry);
   if (!returned) return;
-  // For a page, so that the record need not keep it.
+  // Queued for a placement page so that the job's record need not keep them.
   for (auto index : returned->done) unwrittenTasks_.push_back({job.id, index});
   completeGangIfDone(job);
   if (!returned->unfinished.empty()) handleGangMemberLost(job);
--- a/tests/unit/delegated_tasks_test.cpp
+++ b/tests/unit/delegated_tasks_test.cpp
@@ -1,4 +1,4 @@
-// Tasks of another shard's job that a delegate places and gives back (invariant 18).
+// Tasks of another shard's job that a delegate places and returns (invariant 18).
 #include "scheduler/delegated_tasks.h"
 
 #include <gtest/gtest.h>
@@ -48,11 +48,11 @@
       std::make_shared<spdlog::logger>("test", std::make_shared<spdlog::sinks::null_sink_st>())};
 };
 
-TEST_F(DelegatedTasksTest, WaitingTasksAreKeptForAWhile) {
+TEST_F(DelegatedTasksTest, WaitingTasksAreKeptUntilTheTimeout) {
   EXPECT_FALSE(delegated_.anyReturnable(kNow + kReturnUnplacedAfter - Duration{1}));
 }
 
-TEST_F(DelegatedTasksTest, WhatFoundNoCapacityGoesBack) {
+TEST_F(DelegatedTasksTest, TasksWithoutCapacityAreReturnedAfterTheTimeout) {
   EXPECT_TRUE(delegated_.anyReturnable(kNow + kReturnUnplacedAfter));
   auto returns = addReturns(kNow + kReturnUnplacedAfter);
   ASSERT_EQ(returns.size(), 1U);
@@ -60,19 +60,19 @@
   EXPECT_TRUE(returns.front().kept.tasks.empty());
 }
 
-TEST_F(DelegatedTasksTest, WhatIsAskedBackGoesBackAtOnce) {
+TEST_F(DelegatedTasksTest, RecalledTasksAreReturnedAtOnce) {
   state_.job(kJob)->recalling = true;
   EXPECT_TRUE(delegated_.anyReturnable(kNow));
 }
 
-// A write from the outdated record would undo what others have written since.
-TEST_F(DelegatedTasksTest, NothingIsGivenBackWhileTheViewLags) {
+// A write based on the outdated record would undo later writes by others.
+TEST_F(DelegatedTasksTest, NothingIsReturnedWhileTheViewLags) {
   view_.jobs[kJob].version = Version{6};
   EXPECT_TRUE(addReturns(kNow + kReturnUnplacedAfter).empty());
 }
 
-// Were it taken in again, two shards would place its tasks.
-TEST_F(DelegatedTasksTest, AJobGivenBackInFullIsNotTakenInFromALaggingView) {
+// If the delegation were accepted again, two shards would place the job's tasks.
+TEST_F(DelegatedTasksTest, CompletelyReturnedJobIsNotAcceptedFromLaggingView) {
   auto returns = addReturns(kNow + kReturnUnplacedAfter);
   EXPECT_TRUE(delegated_.committed(returns.front(), Version{9}));
   EXPECT_TRUE(delegated_.none());
--- a/tests/unit/task_delegation_test.cpp
+++ b/tests/unit/task_delegation_test.cpp
@@ -1,4 +1,4 @@
-// Tasks that the owner of a job gives to other shards, and gets back (invariant 18).
+// Tasks that the owner of a job delegates to other shards, and their return (invariant 18).
 #include "scheduler/task_delegation.h"
 
 #include <gtest/gtest.h>
@@ -43,7 +43,7 @@
     TransactionBuilder transaction(settings_.txnOps);
     return delegation_.addPlanned(transaction);
   }
-  // The first tasks go to the delegate, and the commit is known.
+  // Delegates the first tasks and reports the commit.
   void delegateTasks(std::uint32_t count) {
     plan(count);
     delegation_.committed(addPlanned().front(), Version{8});
@@ -68,13 +68,13 @@
   EXPECT_DOUBLE_EQ(state_.teamUse(kTeam).cores, 6);
 }
 
-TEST_F(TaskDelegationTest, NoMoreIsPlannedThanTheOwnerGivesAndTheZoneAllows) {
+TEST_F(TaskDelegationTest, PlansNoMoreThanMaxTasksAndTheZoneAllows) {
   EXPECT_EQ(plan(4, 2), 2U);
   allowedInZone_ = 3;
   EXPECT_EQ(plan(4), 1U);
 }
 
-TEST_F(TaskDelegationTest, TasksOfADroppedPlanWaitAgainInOrder) {
+TEST_F(TaskDelegationTest, TasksOfDroppedPlanAreRequeuedInOrder) {
   plan(2);
   delegation_.dropPlan(job());
   EXPECT_EQ(waiting(), (Tasks{0, 1, 2, 3}));
@@ -82,7 +82,7 @@
   EXPECT_DOUBLE_EQ(state_.teamUse(kTeam).cores, 0);
 }
 
-// A write from the outdated record would undo what a delegate has written since.
+// A write based on the outdated record would undo later writes by a delegate.
 TEST_F(TaskDelegationTest, NothingIsWrittenWhileTheViewLags) {
   plan(2);
   shown().version = Version{6};
@@ -90,14 +90,14 @@
   EXPECT_EQ(waiting(), (Tasks{0, 1, 2, 3}));
 }
 
-TEST_F(TaskDelegationTest, ARecallThatCannotBeWrittenStaysPlanned) {
+TEST_F(TaskDelegationTest, RecallThatCannotBeWrittenStaysPlanned) {
   delegation_.planRecall(job());
   shown().version = Version{6};
   EXPECT_TRUE(addPlanned().empty());
   EXPECT_TRUE(delegation_.planned(kJob));
 }
 
-TEST_F(TaskDelegationTest, ReturnedTasksAreDoneOrWaitAgain) {
+TEST_F(TaskDelegationTest, ReturnedTasksAreDoneOrRequeued) {
   delegateTasks(3);
   shown().version = Version{9};
   shown().delegations = {{kDelegate, Zone{"a"}, {2}}};
@@ -109,7 +109,7 @@
   EXPECT_EQ(job().tasks[2].state, TaskState::Remote);
 }
 
-TEST_F(TaskDelegationTest, ARecordThatIsNotNewerChangesNothing) {
+TEST_F(TaskDelegationTest, RecordThatIsNotNewerChangesNothing) {
   delegateTasks(3);
   EXPECT_FALSE(delegation_.applyReturns(job(), shown()));
   EXPECT_EQ(job().remote, 3U);
