--- a/src/scheduler/load_reporter.cpp
+++ b/src/scheduler/load_reporter.cpp
@@ -8,15 +8,16 @@
 namespace cherryloft {
 namespace {
 constexpr Duration kReportInterval{1'000};
-// Machines of each kind (ordinary, spot) with work on them that a report names: enough to choose from.
-constexpr std::size_t kBusyMachinesNamed = 16;
-// Over which the rates of arriving and of done work are taken.
+// Maximum number of busy machines of each kind (on-demand, spot) in a report: enough drain candidates to
+// choose from.
+constexpr std::size_t kMaxBusyMachinesReported = 16;
+// Time windows over which the rates of arriving and of completed work are measured.
 constexpr Duration kArrivalWindow{120'000};
-constexpr Duration kDoneWindow{20'000};
-// A job that waits so long for its zone is not helped by the machines that are there.
+constexpr Duration kCompletionWindow{20'000};
+// Once a job has waited this long, full machines in its zones no longer count as able to take it.
 constexpr Duration kZoneFullAfter{10'000};
-// Bounds what a report costs in a shard with many full machines.
-constexpr unsigned kMachinesExaminedInPool = 64;
+// Limits the cost of a report in a shard with many full machines.
+constexpr unsigned kMaxMachinesExaminedPerPool = 64;
 
 mesh::Demand& demandOf(mesh::ShardLoad& load, bool spotAllowed) {
   return spotAllowed ? load.spotAllowed : load.onDemandOnly;
@@ -37,7 +38,7 @@
 }
 
 void LoadReporter::recordCompletedWork(Time at, double cores, bool spotAllowed) {
-  done_.push_back({at, cores, spotAllowed});
+  completed_.push_back({at, cores, spotAllowed});
 }
 
 void LoadReporter::reportIfDue(Time now) {
@@ -54,7 +55,7 @@
   countBootingMachines();
   addJobs(load, now);
   addRecentWork(load, now);
-  for (const Machine* machine : machinesToName()) load.machines.push_back(describe(*machine, now));
+  for (const Machine* machine : machinesToReport()) load.machines.push_back(describe(*machine, now));
   return load;
 }
 
@@ -73,7 +74,7 @@
   cores += unfinished;
 }
 
-void LoadReporter::UnfinishedWork::describe(mesh::Demand& demand) const {
+void LoadReporter::UnfinishedWork::setRunTime(mesh::Demand& demand) const {
   if (cores > 0) demand.runS = coreSeconds / cores;
 }
 
@@ -86,8 +87,8 @@
     addOpenJob(job, load, now);
     (job.spec->spotAllowed ? spotAllowed : onDemandOnly).add(job);
   }
-  onDemandOnly.describe(load.onDemandOnly);
-  spotAllowed.describe(load.spotAllowed);
+  onDemandOnly.setRunTime(load.onDemandOnly);
+  spotAllowed.setRunTime(load.spotAllowed);
 }
 
 void LoadReporter::addOpenJob(const Job& job, mesh::ShardLoad& load, Time now) const {
@@ -96,7 +97,7 @@
   auto& demand = demandOf(load, spec.spotAllowed);
   double coresWithinQuota =
       job.team ? std::max(0.0, job.team->coreQuota - state_.teamUse(spec.team).cores) : 0;
-  auto waiting = tasksWantingCapacity(job, now);
+  auto waiting = tasksNeedingCapacity(job, now);
   auto& waitingDemand = callbacks_.avoidsSpot(job) ? load.onDemandOnly : demand;
   waitingDemand.waiting += std::min(each.cores * static_cast<double>(waiting), coresWithinQuota);
   demand.largestTask = std::max(demand.largestTask, each.cores);
@@ -106,13 +107,13 @@
   bool waits =
       !job.waiting.empty() && coresWithinQuota >= each.cores - kResourceTolerance && now >= job.notBefore;
   if (!waits || !(spec.spread || spec.zone || spec.oneZone)) return;
-  // Of several such jobs the last one's zones are reported.
-  if (auto zones = stuckZones(job, now)) demand.stuckZones = std::move(*zones);
+  // If there are several such jobs, the zones of the last one are reported.
+  if (auto zones = zonesLackingCapacity(job, now)) demand.stuckZones = std::move(*zones);
 }
 
-// A job that has never worked is tried with one task at a time, and machines are neither rented nor kept for
-// it between two tries.
-std::size_t LoadReporter::tasksWantingCapacity(const Job& job, Time now) const {
+// A job that failed on every machine so far is tried with one task at a time, and between two tries it causes
+// no demand, so that no machines are rented or kept for it.
+std::size_t LoadReporter::tasksNeedingCapacity(const Job& job, Time now) const {
   if (job.maxConcurrent)
     return std::min<std::size_t>(job.waiting.size(),
                                  *job.maxConcurrent - std::min(job.placed, *job.maxConcurrent));
@@ -120,28 +121,29 @@
   return now < job.notBefore ? 0 : std::min<std::size_t>(job.waiting.size(), 1);
 }
 
-std::optional<std::vector<std::string>> LoadReporter::stuckZones(const Job& job, Time now) const {
+std::optional<std::vector<std::string>> LoadReporter::zonesLackingCapacity(const Job& job, Time now) const {
   std::vector<std::string> allowed;
-  bool waitedLong = now - std::max(job.since, job.placedLast) > kZoneFullAfter;
+  bool hasWaitedLong = now - std::max(job.since, job.placedLast) > kZoneFullAfter;
   for (const auto& zone : settings_.zones) {
     if (!callbacks_.zoneAllows(job, zone)) continue;
-    if (zoneMayTake(zone, job, waitedLong)) return std::nullopt;
+    if (zoneMayTake(zone, job, hasWaitedLong)) return std::nullopt;
     allowed.push_back(zone.value);
   }
   return allowed;
 }
 
-// Whether a machine in the zone could ever take a task of the job or, once the job has waited long, can now.
-bool LoadReporter::zoneMayTake(const Zone& zone, const Job& job, bool waitedLong) const {
+// Whether a machine in the zone could ever take a task of the job or, once the job has waited too long,
+// whether one can take it now or is booting.
+bool LoadReporter::zoneMayTake(const Zone& zone, const Job& job, bool hasWaitedLong) const {
   const auto& spec = *job.spec;
   auto mayTake = [&](const Pool& pool) {
     bool fits = pool.zone == zone && spec.allowsType(pool.type) && spec.each.fitsIn(pool.size) &&
                 (!pool.spot || spec.spotAllowed);
     if (!fits) return false;
-    if (!waitedLong) return pool.machines > 0;
-    // One that boots is on its way; of others only those with free capacity count.
+    if (!hasWaitedLong) return pool.machines > 0;
+    // A booting machine will be available soon; other machines count only if they have free capacity.
     return pool.booting > 0 ||
-           pool.hasCapacity(spec.each, kMachinesExaminedInPool, [](const Machine&) { return true; });
+           pool.hasCapacity(spec.each, kMaxMachinesExaminedPerPool, [](const Machine&) { return true; });
   };
   return std::any_of(state_.pools().begin(), state_.pools().end(), mayTake);
 }
@@ -153,32 +155,33 @@
     demand.arriving += work.cores / toSeconds(kArrivalWindow);
     demand.largestJob = std::max(demand.largestJob, work.cores);
   }
-  while (!done_.empty() && now - done_.front().at > kDoneWindow) done_.pop_front();
-  for (const auto& work : done_)
-    demandOf(load, work.spotAllowed).departing += work.cores / toSeconds(kDoneWindow);
+  while (!completed_.empty() && now - completed_.front().at > kCompletionWindow) completed_.pop_front();
+  for (const auto& work : completed_)
+    demandOf(load, work.spotAllowed).departing += work.cores / toSeconds(kCompletionWindow);
 }
 
 // --- machines ---
 
-// Machines in plain use are not named, but for the few of each kind with least on them: those are drained
-// first. Replicas do not end by themselves, and where they are their images are, for new ones.
-std::vector<const Machine*> LoadReporter::machinesToName() const {
-  std::vector<const Machine*> named;
-  std::array<std::vector<const Machine*>, 2> busyByKind;  // ordinary, spot
+// Returns all machines that are idle or take no work, and of the busy ones only the least loaded of each
+// kind, as those are drained first. Machines without replicas come first: replicas don't end by themselves,
+// and their machines have the images cached that new replicas need.
+std::vector<const Machine*> LoadReporter::machinesToReport() const {
+  std::vector<const Machine*> reported;
+  std::array<std::vector<const Machine*>, 2> busyByKind;  // on-demand, spot
   for (const auto& [_, machine] : state_.machines()) {
-    bool inPlainUse = machine.open() && !machine.placements.empty();
-    (inPlainUse ? busyByKind.at(machine.spot() ? 1 : 0) : named).push_back(&machine);
+    bool isBusy = machine.open() && !machine.placements.empty();
+    (isBusy ? busyByKind.at(machine.spot() ? 1 : 0) : reported).push_back(&machine);
   }
   auto drainsBefore = [](const Machine* left, const Machine* right) {
     return std::tuple(left->replicaCores > 0, left->used.cores, left->no) <
            std::tuple(right->replicaCores > 0, right->used.cores, right->no);
   };
   for (auto& busy : busyByKind) {
-    auto end = busy.begin() + static_cast<std::ptrdiff_t>(std::min(kBusyMachinesNamed, busy.size()));
+    auto end = busy.begin() + static_cast<std::ptrdiff_t>(std::min(kMaxBusyMachinesReported, busy.size()));
     std::partial_sort(busy.begin(), end, busy.end(), drainsBefore);
-    named.insert(named.end(), busy.begin(), end);
+    reported.insert(reported.end(), busy.begin(), end);
   }
-  return named;
+  return reported;
 }
 
 mesh::MachineLoad LoadReporter::describe(const Machine& machine, Time now) const {
--- a/src/scheduler/load_reporter.h
+++ b/src/scheduler/load_reporter.h
@@ -1,8 +1,9 @@
-// LoadReporter: tells the leader, at a steady interval, how much work a shard has and which of its machines
-// are idle or could best be drained. The leader's autoscaler rents and returns machines by these reports.
+// LoadReporter: reports to the leader, at a fixed interval, how much work a shard has and which of its
+// machines are idle or are the best candidates for draining. The leader's autoscaler rents and returns
+// machines based on these reports.
 //
-// It keeps the work that arrived and that was done of late; all else it reads from the shard's state at the
-// moment of the report.
+// It keeps a sliding window of arrived and completed work; everything else is read from the shard state when
+// a report is composed.
 #pragma once
 
 #include <deque>
@@ -22,26 +23,27 @@
 
 class LoadReporter {
  public:
-  // What the report needs to know of the shard's placement rules, and where it goes.
+  // Placement rules of the shard that the report depends on, and the recipient of the report.
   struct Callbacks {
-    // One more loss of a spot machine and the job would be late: it is to run on ordinary ones.
+    // Whether the job must run on on-demand machines because losing one more spot machine would make it late.
     std::function<bool(const Job&)> avoidsSpot;
-    // The rules of the job allow one more task in the zone.
+    // Whether the job's placement rules allow one more task in the zone.
     std::function<bool(const Job&, const Zone&)> zoneAllows;
-    // Every replica on the machine could move to a machine that has its image.
+    // Whether each replica on the machine could move to another machine that has its image.
     std::function<bool(const Machine&)> replicasCanMove;
     std::function<void(const mesh::ShardLoad&)> send;
   };
 
-  // All references must outlive the reporter. The state is changed in one place only: a report counts anew
-  // how many machines of each pool boot.
+  // All references must outlive the reporter. It modifies the state only by updating the number of booting
+  // machines in each pool when it composes a report.
   LoadReporter(const Settings& settings, const Runtime& runtime, ShardTakeover takeover, ShardState& state,
                const FailureAttribution& failures, Callbacks callbacks);
 
-  // Work that was submitted to this shard, or done by it, at that moment; cores of all its tasks.
+  // Record work that was submitted to this shard, or completed by it, at that time. cores: the total of its
+  // tasks.
   void recordArrivedWork(Time at, double cores, bool spotAllowed);
   void recordCompletedWork(Time at, double cores, bool spotAllowed);
-  // Sends a report if the last one is a report interval old.
+  // Sends a report if the report interval has elapsed since the last one.
   void reportIfDue(Time now);
 
  private:
@@ -50,25 +52,25 @@
     double cores;
     bool spotAllowed;
   };
-  // What is left to do of the open jobs of one kind.
+  // Unfinished work of the open jobs of one kind.
   struct UnfinishedWork {
     double coreSeconds = 0;
     double cores = 0;
     void add(const Job& job);
-    void describe(mesh::Demand& demand) const;
+    void setRunTime(mesh::Demand& demand) const;
   };
 
   mesh::ShardLoad composeReport();
   void countBootingMachines();
   void addJobs(mesh::ShardLoad& load, Time now) const;
   void addOpenJob(const Job& job, mesh::ShardLoad& load, Time now) const;
-  // Tasks of the job that are to be placed as soon as there is free capacity.
-  std::size_t tasksWantingCapacity(const Job& job, Time now) const;
-  // Zones that the job's next task may go to; nothing if a machine in one of them may yet take it.
-  std::optional<std::vector<std::string>> stuckZones(const Job& job, Time now) const;
-  bool zoneMayTake(const Zone& zone, const Job& job, bool waitedLong) const;
+  // Number of the job's tasks that can be placed as soon as there is free capacity.
+  std::size_t tasksNeedingCapacity(const Job& job, Time now) const;
+  // Zones allowed for the job's next task; nothing if a machine in one of them may still take it.
+  std::optional<std::vector<std::string>> zonesLackingCapacity(const Job& job, Time now) const;
+  bool zoneMayTake(const Zone& zone, const Job& job, bool hasWaitedLong) const;
   void addRecentWork(mesh::ShardLoad& load, Time now);
-  std::vector<const Machine*> machinesToName() const;
+  std::vector<const Machine*> machinesToReport() const;
   mesh::MachineLoad describe(const Machine& machine, Time now) const;
 
   const Settings& settings_;
@@ -78,8 +80,8 @@
   const FailureAttribution& failures_;
   Callbacks callbacks_;
   Time lastReport_{};
-  std::deque<RecentWork> arrived_;  // oldest first
-  std::deque<RecentWork> done_;     // oldest first
+  std::deque<RecentWork> arrived_;    // oldest first
+  std::deque<RecentWork> completed_;  // oldest first
 };
 
 }  // namespace cherryloft
--- a/tests/unit/load_reporter_test.cpp
+++ b/tests/unit/load_reporter_test.cpp
@@ -1,4 +1,4 @@
-// What the leader is told of a shard's load.
+// Contents of the load reports that a shard sends to the leader.
 #include "scheduler/load_reporter.h"
 
 #include <gtest/gtest.h>
@@ -40,7 +40,7 @@
     reporter_.reportIfDue(runtime_.now());
     return sent_.back();
   }
-  void wait(Duration time) { runtime_.clock.run(runtime_.clock.now() + time.count()); }
+  void wait(Duration duration) { runtime_.clock.run(runtime_.clock.now() + duration.count()); }
 
   Settings settings_ = parseSettings(world::Deployment{}.settingsOf(0), {});
   PendingCallsRuntime runtime_;
@@ -57,7 +57,7 @@
        [](const Machine&) { return true; }, [this](const mesh::ShardLoad& load) { sent_.push_back(load); }}};
 };
 
-TEST_F(LoadReporterTest, ReportsOnceInAReportInterval) {
+TEST_F(LoadReporterTest, ReportsOncePerInterval) {
   reporter_.reportIfDue(runtime_.now());
   wait(Duration{500});
   reporter_.reportIfDue(runtime_.now());
@@ -67,26 +67,26 @@
   EXPECT_EQ(sent_.size(), 2U);
 }
 
-TEST_F(LoadReporterTest, NamesTheShardAndTheEpochOfItsOwner) {
+TEST_F(LoadReporterTest, ContainsShardAndOwnershipEpoch) {
   EXPECT_EQ(report().shard, 2U);
   EXPECT_EQ(report().epoch, 7U);
 }
 
-TEST_F(LoadReporterTest, WaitingTasksOfAnOpenJobCountAsDemand) {
+TEST_F(LoadReporterTest, WaitingTasksOfOpenJobCountAsDemand) {
   state_.addJob(JobId{"a"}, jobEntry("a", 3, 2));
   EXPECT_EQ(report().onDemandOnly.waiting, 6);
   EXPECT_EQ(report().onDemandOnly.largestTask, 2);
   EXPECT_EQ(report().onDemandOnly.runS, 30);
 }
 
-TEST_F(LoadReporterTest, AJobThatNeverWorkedAsksForOneTaskAtATime) {
+TEST_F(LoadReporterTest, JobThatFailedOnAllMachinesCountsOneTaskAsDemand) {
   state_.addJob(JobId{"a"}, jobEntry("a", 3, 2));
   for (const auto* machine : {"m-1", "m-2", "m-3"})
     failures_.failed({JobId{"a"}, 0}, MachineId{machine}, Duration{}, 10, runtime_.now());
   EXPECT_EQ(report().onDemandOnly.waiting, 2);
 }
 
-TEST_F(LoadReporterTest, ArrivalsAreForgottenAfterTheirWindow) {
+TEST_F(LoadReporterTest, ArrivedWorkIsDroppedAfterItsWindow) {
   reporter_.recordArrivedWork(runtime_.now(), 240, true);
   EXPECT_EQ(report().spotAllowed.arriving, 2);
   EXPECT_EQ(report().spotAllowed.largestJob, 240);
@@ -94,14 +94,14 @@
   EXPECT_EQ(report().spotAllowed.arriving, 0);
 }
 
-TEST_F(LoadReporterTest, DoneWorkIsForgottenAfterItsWindow) {
+TEST_F(LoadReporterTest, CompletedWorkIsDroppedAfterItsWindow) {
   reporter_.recordCompletedWork(runtime_.now(), 40, false);
   EXPECT_EQ(report().onDemandOnly.departing, 2);
   wait(Duration{21'000});
   EXPECT_EQ(report().onDemandOnly.departing, 0);
 }
 
-TEST_F(LoadReporterTest, OfBusyMachinesOnlyTheEmptiestAreNamed) {
+TEST_F(LoadReporterTest, ReportsOnlyTheLeastLoadedBusyMachines) {
   auto& job = state_.addJob(JobId{"a"}, jobEntry("a", 40, 1));
   std::uint32_t task = 0;
   for (int number = 0; number < 17; ++number) {
@@ -109,13 +109,13 @@
     state_.place(job, task++, machine, Attempt{1}, runtime_.now());
     if (number == 3) state_.place(job, task++, machine, Attempt{1}, runtime_.now());
   }
-  const auto& named = report().machines;
-  EXPECT_EQ(named.size(), 16U);
+  const auto& reported = report().machines;
+  EXPECT_EQ(reported.size(), 16U);
   EXPECT_TRUE(
-      std::none_of(named.begin(), named.end(), [](const auto& load) { return load.machine == "m-3"; }));
+      std::none_of(reported.begin(), reported.end(), [](const auto& load) { return load.machine == "m-3"; }));
 }
 
-TEST_F(LoadReporterTest, AnIdleMachineIsNamedWithTheTimeSinceItsLastTask) {
+TEST_F(LoadReporterTest, IdleMachineIsReportedWithItsIdleTime) {
   addMachine("m-1");
   wait(Duration{5'000});
   ASSERT_EQ(report().machines.size(), 1U);
@@ -124,7 +124,7 @@
   EXPECT_FALSE(report().machines[0].pinned);
 }
 
-TEST_F(LoadReporterTest, AJobWhoseOnlyZoneHasNoMachinesNamesItAsStuck) {
+TEST_F(LoadReporterTest, OnlyAllowedZoneWithoutMachinesIsReportedAsStuck) {
   auto entry = jobEntry("a", 1, 1);
   auto spec = std::make_shared<JobSpec>(*entry.spec);
   spec->zone = settings_.zones.at(0);
