--- a/src/scheduler/delegated_tasks.cpp
+++ b/src/scheduler/delegated_tasks.cpp
@@ -26,7 +26,7 @@
   return false;
 }
 
-// Returns the tasks to give back to the owner now. These are all tasks that are not placed, once none is left
+// Lists the tasks to return to the owner now. These are all tasks that are not placed, once none is left
 // to run, or once the waiting ones found no capacity for too long or were recalled. For a gang, also as soon
 // as no member is placed any more.
 std::vector<std::uint32_t> DelegatedTasks::returnable(const Job& job, Time now) const {
--- a/src/scheduler/job_migration.h
+++ b/src/scheduler/job_migration.h
@@ -41,7 +41,7 @@
   // Adds the planned migrations of those jobs of which still no task was placed, and returns the jobs. Drops
   // the other plans.
   [[nodiscard]] std::vector<JobId> addPlanned(TransactionBuilder& transaction);
-  void committed(const JobId& job) { remoteUsage_.commit(job); }
+  void committed(const JobId& job) { remoteUsage_.markCommitted(job); }
 
   // To be called when a job has ended and is about to be removed from the shard state. Continues to count
   // tasks that other shards still have. If there are none and a cancelled job came here by a migration, plans
--- a/src/scheduler/load_reporter.cpp
+++ b/src/scheduler/load_reporter.cpp
@@ -111,8 +111,8 @@
   if (auto zones = zonesLackingCapacity(job, now)) demand.stuckZones = std::move(*zones);
 }
 
-// A job that failed on every machine so far is tried with one task at a time, and between two tries it causes
-// no demand, so that no machines are rented or kept for it.
+// A job that has failed repeatedly and never succeeded is tried with one task at a time, and between two
+// tries it causes no demand, so that no machines are rented or kept for it.
 std::size_t LoadReporter::tasksNeedingCapacity(const Job& job, Time now) const {
   if (job.maxConcurrent)
     return std::min<std::size_t>(job.waiting.size(),
--- a/src/scheduler/remote_capacity.cpp
+++ b/src/scheduler/remote_capacity.cpp
@@ -2,7 +2,7 @@
 // shard's machines, and offers this shard's free capacity to others.
 //
 // When a job has waited too long without being placed, its owner requests capacity from the owners of all
-// other shards. A job of which no task has started migrates as a whole to the shard with the best offer
+// other shards. A job of which no task was placed yet migrates as a whole to the shard with the best offer
 // (JobMigration); of other jobs some tasks are delegated (task_delegation_owner.cpp).
 #include <algorithm>
 #include <cmath>
@@ -41,13 +41,14 @@
 }
 
 // Returns the oldest jobs that have waited too long and are unschedulable, at most kMaxRequestedJobs.
-// Candidates for migration have no task that has started; candidates for delegation have some, or are gangs.
+// Candidates for migration have no task placed, delegated or done; candidates for delegation have some, or
+// are gangs.
 std::vector<Job*> ShardScheduler::oldestUnschedulableJobs(RemotePlacement purpose, Time now) {
   std::vector<Job*> waiting;
   for (auto& [_, job] : state_.jobs()) {
     if (!hasWaitedLong(job, now)) continue;
-    bool begun = job.placed > 0 || job.done > 0 || job.remote > 0;
-    bool eligible = purpose == RemotePlacement::Migration ? !begun : begun || job.isGang();
+    bool started = job.placed > 0 || job.done > 0 || job.remote > 0;
+    bool eligible = purpose == RemotePlacement::Migration ? !started : started || job.isGang();
     if (eligible) waiting.push_back(&job);
   }
   auto examined = std::min(waiting.size(), kMaxExaminedJobs);
--- a/src/scheduler/remote_usage.cpp
+++ b/src/scheduler/remote_usage.cpp
@@ -25,14 +25,14 @@
   entries_.erase(found);
 }
 
-void RemoteUsage::commit(const JobId& job) {
+void RemoteUsage::markCommitted(const JobId& job) {
   auto found = entries_.find(job);
   if (found != entries_.end()) found->second.stage = Stage::Committed;
 }
 
 void RemoteUsage::countCommitted(const JobId& job, const JobSpec& spec, std::uint32_t tasks) {
   reserve(job, spec, tasks);
-  commit(job);
+  markCommitted(job);
 }
 
 void RemoteUsage::trackAlreadyCounted(const JobId& job, const JobSpec& spec, std::uint32_t tasks) {
--- a/src/scheduler/remote_usage.h
+++ b/src/scheduler/remote_usage.h
@@ -1,8 +1,8 @@
 // Tracks the resources that tasks of this shard's teams use, or may use, on machines of other shards.
 //
 // A team's quota is enforced by the team's home shard (invariant 17). For a job that migrated to another
-// shard, it counts all tasks that may run there concurrently; for a cancelled job, it counts the delegated
-// tasks (invariant 18). Each tracked job counts toward the team's usage in ShardState until it is released.
+// shard, all tasks that may run there concurrently count; for a cancelled job, the delegated tasks count
+// (invariant 18). Each tracked job counts toward the team's usage in ShardState until it is released.
 //
 // Performs no I/O and reads no clock. Owned by one ShardScheduler and used only on its thread. Refers to that
 // scheduler's ShardState, which must outlive it.
@@ -25,13 +25,13 @@
   RemoteUsage(ShardState& state, Duration cancelPeriod) : state_(state), cancelPeriod_(cancelPeriod) {}
 
   // Reserves the usage of a job whose migration is planned; `tasks` is how many of its tasks may run
-  // elsewhere concurrently. The reservation lasts until dropReservation(), or until commit() and a later
-  // releaseEnded().
+  // elsewhere concurrently. The reservation lasts until dropReservation(), or until markCommitted() and a
+  // later releaseEnded().
   void reserve(const JobId& job, const JobSpec& spec, std::uint32_t tasks);
   // The migration was not written. Does nothing if the job is not tracked.
   void dropReservation(const JobId& job);
   // The migration is committed. Does nothing if the job is not tracked.
-  void commit(const JobId& job);
+  void markCommitted(const JobId& job);
 
   // Tracks a job of which other shards have tasks according to its committed record.
   void countCommitted(const JobId& job, const JobSpec& spec, std::uint32_t tasks);
--- a/tests/unit/load_reporter_test.cpp
+++ b/tests/unit/load_reporter_test.cpp
@@ -79,7 +79,7 @@
   EXPECT_EQ(report().onDemandOnly.runS, 30);
 }
 
-TEST_F(LoadReporterTest, JobThatFailedOnAllMachinesCountsOneTaskAsDemand) {
+TEST_F(LoadReporterTest, JobThatNeverSucceededCountsOneTaskAsDemand) {
   state_.addJob(JobId{"a"}, jobEntry("a", 3, 2));
   for (const auto* machine : {"m-1", "m-2", "m-3"})
     failures_.failed({JobId{"a"}, 0}, MachineId{machine}, Duration{}, 10, runtime_.now());
--- a/tests/unit/remote_usage_test.cpp
+++ b/tests/unit/remote_usage_test.cpp
@@ -66,7 +66,7 @@
 
 TEST_F(RemoteUsageTest, OpenJobOnOtherShardStaysCounted) {
   usage_.reserve(kJob, spec_, 3);
-  usage_.commit(kJob);
+  usage_.markCommitted(kJob);
   show(JobStatus::Open, kOtherShard);
   EXPECT_EQ(release(), 0U);
 }
