--- a/src/scheduler/commits.cpp
+++ b/src/scheduler/commits.cpp
@@ -199,7 +199,7 @@
   for (const auto& task : commit.completions) completionCommitted(task);
   for (const auto& job : commit.migrations) migrationCommitted(job);
   for (const auto& written : commit.delegations) taskDelegation_.committed(written, revision);
-  for (const auto& written : commit.delegationReturns) returnCommitted(written, revision);
+  for (const auto& written : commit.delegationReturns) handleCommittedReturn(written, revision);
   std::set<MachineId> machines;
   for (const auto& written : commit.placements) placementCommitted(written, machines);
   for (const auto& end : commit.jobEnds) jobEndCommitted(end, revision, machines);
--- a/src/scheduler/shard_scheduler.h
+++ b/src/scheduler/shard_scheduler.h
@@ -315,7 +315,7 @@
   Job& acceptDelegation(const JobId& id, const JobEntry& entry, const Delegation& delegation);
   void handleDelegationRecall(Job& job);
   void cancelDelegatedTasks(Job& job);
-  void returnCommitted(const DelegationReturn& written, Version version);
+  void handleCommittedReturn(const DelegationReturn& written, Version version);
   bool mayHaveUnseenCancellations(Time now) const;
   // Commits.
   void commit();
--- a/src/scheduler/task_delegation_delegate.cpp
+++ b/src/scheduler/task_delegation_delegate.cpp
@@ -93,7 +93,7 @@
 
 // --- tasks returned to the owner ---
 
-void ShardScheduler::returnCommitted(const DelegationReturn& written, Version version) {
+void ShardScheduler::handleCommittedReturn(const DelegationReturn& written, Version version) {
   if (!delegatedTasks_.committed(written, version)) return;
   failures_.forget(written.job);
   state_.removeJob(written.job);
