--- a/tests/unit/placement_fixture.h
+++ b/tests/unit/placement_fixture.h
@@ -3,8 +3,8 @@
 
 #include <gtest/gtest.h>
 
-#include "clock_runtime.h"
 #include "scheduler/placement_constraints.h"
+#include "unit/virtual_clock_runtime.h"
 #include "world/world.h"
 
 namespace cherryloft {
