--- a/src/autoscaler/machine_records.cpp
+++ b/src/autoscaler/machine_records.cpp
@@ -22,17 +22,17 @@
 // What former leaders recorded must be in view before anything is recorded anew: their writes fail from our
 // epoch on, so a look after it sees all of them. The same goes for what we recorded ourselves.
 void MachineRecords::waitUntilCurrent() {
-  auto seen = [this, since = context_.leadership.since](CatchUp result) {
+  auto seen = [this, since = context_.leadership.since](CatchUpResult result) {
     if (context_.leadership.continues(since)) caughtUp(result);
   };
-  context_.store.waitUntilCurrent(keys::kShards, [this, seen](CatchUp result) {
-    if (result != CatchUp::Current) return seen(result);
+  context_.store.waitUntilCurrent(keys::kShards, [this, seen](CatchUpResult result) {
+    if (result != CatchUpResult::Current) return seen(result);
     context_.store.waitUntilCurrent(keys::kMachines, seen);
   });
 }
 
-void MachineRecords::caughtUp(CatchUp result) {
-  if (result != CatchUp::Current) {
+void MachineRecords::caughtUp(CatchUpResult result) {
+  if (result != CatchUpResult::Current) {
     context_.runtime.after(kCatchUpAgain, [this, since = context_.leadership.since] {
       if (since == context_.leadership.since) waitUntilCurrent();
     });
--- a/src/autoscaler/machine_records.h
+++ b/src/autoscaler/machine_records.h
@@ -29,7 +29,7 @@
 
  private:
   void waitUntilCurrent();
-  void caughtUp(CatchUp result);
+  void caughtUp(CatchUpResult result);
   void sendNext();
   void dropKnown(wire::GroupRecord& group);
   void send(const wire::Transaction& transaction);
--- a/src/autoscaler/scale_in.cpp
+++ b/src/autoscaler/scale_in.cpp
@@ -82,13 +82,13 @@
       byGroup[machine->second.group].insert(id);
   TransactionBuilder transaction(context_.settings.txnOps);
   std::vector<MachineId> written;
-  transaction.require(keys::kLeader, clusterView.leader->version);
+  transaction.addCondition(keys::kLeader, clusterView.leader->version);
   auto exists = [&](const std::string& key) { return clusterView.groups.count(key) > 0; };
   // What is dropped frees tasks; what is only marked can wait.
   auto most = change == Change::Drop ? context_.settings.txnOps : context_.store.backgroundBatchSize();
   for (const auto& [key, changed] : byGroup) {
     if (transaction.writes() >= most) break;
-    if (splits_.settling(key, context_.runtime.now())) continue;
+    if (splits_.recentlySplit(key, context_.runtime.now())) continue;
     auto group = clusterView.group(key);
     if (group.members.empty()) continue;
     auto version = clusterView.groupVersion(key);
--- a/src/cluster/controller_lease.cpp
+++ b/src/cluster/controller_lease.cpp
@@ -67,20 +67,20 @@
     return;
   }
   store_.waitUntilCurrent(keys::kControllers,
-                          [this, lease](CatchUp result) { controllersRead(lease, result); });
+                          [this, lease](CatchUpResult result) { controllersRead(lease, result); });
 }
 
-void ControllerLease::controllersRead(LeaseId lease, CatchUp result) {
-  if (result != CatchUp::Current) {
+void ControllerLease::controllersRead(LeaseId lease, CatchUpResult result) {
+  if (result != CatchUpResult::Current) {
     retryJoin(lease);
     return;
   }
-  store_.waitUntilCurrent(keys::kShards, [this, lease](CatchUp shards) { shardsRead(lease, shards); });
+  store_.waitUntilCurrent(keys::kShards, [this, lease](CatchUpResult shards) { shardsRead(lease, shards); });
 }
 
-void ControllerLease::shardsRead(LeaseId lease, CatchUp result) {
+void ControllerLease::shardsRead(LeaseId lease, CatchUpResult result) {
   if (lease_ != lease) return;
-  if (result != CatchUp::Current) {
+  if (result != CatchUpResult::Current) {
     retryJoin(lease);
     return;
   }
--- a/src/cluster/controller_lease.h
+++ b/src/cluster/controller_lease.h
@@ -74,8 +74,8 @@
 
   // The steps of a join, in their order. Each but the last gives up if the lease is not the current one.
   void join(LeaseId lease);
-  void controllersRead(LeaseId lease, CatchUp result);
-  void shardsRead(LeaseId lease, CatchUp result);
+  void controllersRead(LeaseId lease, CatchUpResult result);
+  void shardsRead(LeaseId lease, CatchUpResult result);
   void joinAnswered(LeaseId lease, const TransactionResult& result);
   void retryJoin(LeaseId lease);
   [[nodiscard]] wire::Transaction joinTransaction(LeaseId lease,
--- a/src/cluster/epoch_allocator.cpp
+++ b/src/cluster/epoch_allocator.cpp
@@ -26,7 +26,7 @@
 
 }  // namespace
 
-OwnershipChange takeoverBy(const ControllerId& newOwner, const std::string& key, const OwnerEntry* former) {
+OwnershipChange makeTakeover(const ControllerId& newOwner, const std::string& key, const OwnerEntry* former) {
   if (former == nullptr) return {key, Version{0}, newOwner, std::nullopt};
   if (former->record.owner == newOwner) return {key, former->version, newOwner, std::nullopt};
   return {key, former->version, newOwner, ControllerCondition{former->record.owner, Version{0}}};
@@ -60,23 +60,23 @@
   return transaction;
 }
 
-void EpochAllocator::updateView() {
+void EpochAllocator::refreshView() {
   if (busy()) return;
   phase_ = Phase::Busy;
   readShards();
 }
 
 void EpochAllocator::readShards() {
-  store_.waitUntilCurrent(keys::kShards, [this](CatchUp) { readControllers(); });
+  store_.waitUntilCurrent(keys::kShards, [this](CatchUpResult) { readControllers(); });
 }
 
 void EpochAllocator::readControllers() {
-  store_.waitUntilCurrent(keys::kControllers, [this](CatchUp result) { viewRead(result); });
+  store_.waitUntilCurrent(keys::kControllers, [this](CatchUpResult result) { viewRead(result); });
 }
 
-void EpochAllocator::viewRead(CatchUp result) {
+void EpochAllocator::viewRead(CatchUpResult result) {
   phase_ = Phase::Idle;
-  if (result == CatchUp::Current) viewCurrent_();
+  if (result == CatchUpResult::Current) viewCurrent_();
 }
 
 }  // namespace cherryloft
--- a/src/cluster/epoch_allocator.h
+++ b/src/cluster/epoch_allocator.h
@@ -29,8 +29,8 @@
 // Makes a controller the owner of what the former owner left; fails if that one has a lease after all.
 // `former`: nothing if there is no record yet, the controller itself if an earlier process of it was the
 // owner.
-[[nodiscard]] OwnershipChange takeoverBy(const ControllerId& newOwner, const std::string& key,
-                                         const OwnerEntry* former);
+[[nodiscard]] OwnershipChange makeTakeover(const ControllerId& newOwner, const std::string& key,
+                                           const OwnerEntry* former);
 
 // What became of an ownership change.
 struct EpochAllocation {
@@ -63,7 +63,7 @@
   // Must not be called while busy. `done` is called once, before the view is brought up to date.
   void allocate(const OwnershipChange& change, std::function<void(const EpochAllocation&)> done);
   // Brings the view up to date without a change, unless that is about to happen anyway.
-  void updateView();
+  void refreshView();
 
  private:
   enum class Phase : std::uint8_t { Idle, Busy };
@@ -71,7 +71,7 @@
   [[nodiscard]] wire::Transaction transactionFor(const OwnershipChange& change, Epoch next) const;
   void readShards();
   void readControllers();
-  void viewRead(CatchUp result);
+  void viewRead(CatchUpResult result);
 
   const Settings& settings_;
   KeyValueStore& store_;
--- a/src/cluster/keep_alive_proxy.cpp
+++ b/src/cluster/keep_alive_proxy.cpp
@@ -16,15 +16,15 @@
 
 }  // namespace
 
-void KeepAliveProxyLink::fillHeartbeat(mesh::PeerHeartbeat& heartbeat, PeerContact contact, Time now) {
+void KeepAliveProxyState::fillHeartbeat(mesh::PeerHeartbeat& heartbeat, PeerContact contact, Time now) {
   heartbeat.at = toMs(now);
   heartbeat.echo = peerSentAtMs_;
-  heartbeat.proxy = contact == PeerContact::NotHeard;
+  heartbeat.proxy = contact == PeerContact::NotReceiving;
   heartbeat.answeredAgoMs = lastAnswerAt_ ? (now - *lastAnswerAt_).count() : -1;
-  if (contact == PeerContact::Heard) lastDisclaimedAt_ = now;
+  if (contact == PeerContact::Receiving) lastDisclaimedAt_ = now;
 }
 
-bool KeepAliveProxyLink::acceptHeartbeat(const mesh::PeerHeartbeat& heartbeat, Time now) {
+bool KeepAliveProxyState::acceptHeartbeat(const mesh::PeerHeartbeat& heartbeat, Time now) {
   bool outdated =
       heartbeat.life < peerLife_ || (heartbeat.life == peerLife_ && heartbeat.at <= peerSentAtMs_);
   if (outdated) return false;
@@ -50,16 +50,16 @@
   return true;
 }
 
-bool KeepAliveProxyLink::mayAnswer(ShardId shard, Epoch epoch, Version knownUpTo, PeerContact contact,
-                                   Time now) const {
-  if (contact == PeerContact::Heard || now >= allowedUntil_) return false;
+bool KeepAliveProxyState::mayAnswer(ShardId shard, Epoch epoch, Version knownUpTo, PeerContact contact,
+                                    Time now) const {
+  if (contact == PeerContact::Receiving || now >= allowedUntil_) return false;
   if (now - lastDisclaimedAt_ < kDisclaimerValidity + kDrift) return false;
   auto statement = peerShards_.find(shard);
   if (statement == peerShards_.end()) return false;
   return statement->second.epoch == epoch && statement->second.lastCancellation <= knownUpTo;
 }
 
-Time KeepAliveProxyLink::mayHaveAnsweredUntil(Time now) const {
+Time KeepAliveProxyState::latestPossibleAnswer(Time now) const {
   if (now - disclaimedAt_ < kDisclaimerValidity) return answeredUntil_;
   return std::max(answeredUntil_, std::min(now, mayAnswerUntil_));
 }
--- a/src/cluster/keep_alive_proxy.h
+++ b/src/cluster/keep_alive_proxy.h
@@ -15,20 +15,20 @@
 namespace cherryloft {
 
 // Whether the peer was heard directly of late, by Peers::hears.
-enum class PeerContact : std::uint8_t { Heard, NotHeard };
+enum class PeerContact : std::uint8_t { Receiving, NotReceiving };
 
 // What one controller knows of one peer, in both roles: as a proxy for shards that the peer owns, and as an
 // owner for whose workers the peer may answer. No I/O and no clock of its own; times are of this controller's
 // steady clock unless said otherwise.
-class KeepAliveProxyLink {
+class KeepAliveProxyState {
  public:
   // grace: how long an owner goes on answering after its lease ended (Settings::grace).
   // maxProxyTime: how long a proxy may answer after a heartbeat of the owner (Settings::blindFor).
-  KeepAliveProxyLink(Time started, Duration grace, Duration maxProxyTime)
+  KeepAliveProxyState(Time started, Duration grace, Duration maxProxyTime)
       : started_(started), grace_(grace), maxProxyTime_(maxProxyTime), lastDisclaimedAt_(started) {}
 
   // Fills in the fields of a heartbeat to the peer that proxying needs. Call it for every one that is sent:
-  // with Heard it is a statement that we answer nobody in the peer's name.
+  // with Receiving it is a statement that we answer nobody in the peer's name.
   void fillHeartbeat(mesh::PeerHeartbeat& heartbeat, PeerContact contact, Time now);
   // Takes in a heartbeat from the peer. False if it is older than one that came before: it says nothing then.
   bool acceptHeartbeat(const mesh::PeerHeartbeat& heartbeat, Time now);
@@ -42,7 +42,7 @@
   void recordAnswer(Time now) { lastAnswerAt_ = now; }
 
   // As an owner: the latest moment until now at which the peer may have answered a worker of ours.
-  [[nodiscard]] Time mayHaveAnsweredUntil(Time now) const;
+  [[nodiscard]] Time latestPossibleAnswer(Time now) const;
 
  private:
   // What the peer said of a shard that it owns.
--- a/src/cluster/leader_election.cpp
+++ b/src/cluster/leader_election.cpp
@@ -47,7 +47,7 @@
 
 void LeaderElection::writeLeaderRecord() {
   const OwnerEntry* former = view_.leader ? &*view_.leader : nullptr;
-  auto change = takeoverBy(settings_.controller, keys::kLeader, former);
+  auto change = makeTakeover(settings_.controller, keys::kLeader, former);
   epochs_.allocate(change, [this](const EpochAllocation& allocation) {
     if (allocation.allocated()) log_->info("leadership acquired epoch={}", allocation.epoch.value);
   });
--- a/src/cluster/machine_group_rewrite.cpp
+++ b/src/cluster/machine_group_rewrite.cpp
@@ -23,7 +23,7 @@
   return keys::group(group.members.front().id, group.token);
 }
 
-VersionedWrite creationOf(const wire::GroupRecord& group, const GroupExists& exists) {
+ConditionalWrite creationOf(const wire::GroupRecord& group, const GroupExists& exists) {
   return {{freeKey(group, exists), wire::encodeGroup(group), {}}, Version{0}};
 }
 
@@ -57,14 +57,14 @@
   return rewrite;
 }
 
-std::vector<VersionedWrite> createGroup(const wire::GroupRecord& group, std::size_t valueBytes,
-                                        const GroupExists& exists) {
-  std::vector<VersionedWrite> writes;
+std::vector<ConditionalWrite> createGroup(const wire::GroupRecord& group, std::size_t valueBytes,
+                                          const GroupExists& exists) {
+  std::vector<ConditionalWrite> writes;
   for (const auto& part : splitToFit(group, valueBytes)) writes.push_back(creationOf(part, exists));
   return writes;
 }
 
-bool MachineGroupSplits::settling(const std::string& key, Time now) {
+bool MachineGroupSplits::recentlySplit(const std::string& key, Time now) {
   auto split = splitAt_.find(key);
   if (split == splitAt_.end()) return false;
   if (now - split->second < kSplitSettleTime) return true;
@@ -76,7 +76,7 @@
                              const MachineGroupRewrite& rewrite, Time now) {
   if (!transaction.addAll(rewrite.writes)) return false;
   if (!rewrite.splits) return true;
-  transaction.require(key, version);
+  transaction.addCondition(key, version);
   splitAt_[key] = now;
   return true;
 }
--- a/src/cluster/machine_group_rewrite.h
+++ b/src/cluster/machine_group_rewrite.h
@@ -25,7 +25,7 @@
 using GroupExists = std::function<bool(const std::string& key)>;
 
 struct MachineGroupRewrite {
-  std::vector<VersionedWrite> writes;
+  std::vector<ConditionalWrite> writes;
   // A split: the writes only create groups for some members, the group itself is to be written later.
   bool splits = false;
 };
@@ -37,7 +37,7 @@
 
 // The writes that put the group under its key, on condition of its version; without members they drop the
 // key. If the group has outgrown a value: those that create new groups for the members that do not fit, at
-// most `mostWrites`; their transaction must require the group's version (MachineGroupSplits::add does).
+// most `mostWrites`; their transaction must addCondition the group's version (MachineGroupSplits::add does).
 [[nodiscard]] MachineGroupRewrite rewriteGroup(const std::string& key, Version version,
                                                const wire::GroupRecord& group, std::size_t valueBytes,
                                                std::size_t mostWrites, const GroupExists& exists);
@@ -45,15 +45,15 @@
 // The writes that create the group, in as many parts as it takes, under keys that are free. Their transaction
 // must have a condition that fails once it was carried out, as the absence of a key does not tell that it was
 // never there.
-[[nodiscard]] std::vector<VersionedWrite> createGroup(const wire::GroupRecord& group, std::size_t valueBytes,
-                                                      const GroupExists& exists);
+[[nodiscard]] std::vector<ConditionalWrite> createGroup(const wire::GroupRecord& group,
+                                                        std::size_t valueBytes, const GroupExists& exists);
 
 // Remembers which groups were split, so that they are not rewritten before every reader has seen the new
 // ones.
 class MachineGroupSplits {
  public:
   // Whether the group was split too recently to be rewritten. Forgets splits that are old enough.
-  [[nodiscard]] bool settling(const std::string& key, Time now);
+  [[nodiscard]] bool recentlySplit(const std::string& key, Time now);
   // Adds the rewrite of the group with that version to the transaction, and notes a split. False, and nothing
   // is added or noted, if it does not fit.
   [[nodiscard]] bool add(TransactionBuilder& transaction, const std::string& key, Version version,
--- a/src/cluster/peers.cpp
+++ b/src/cluster/peers.cpp
@@ -23,7 +23,7 @@
       self_(settings.preferredShard(settings.controller).value),
       life_(static_cast<std::uint64_t>(runtime.wall().value)),
       lastRequestId_(life_ << kRequestCountBits) {
-  KeepAliveProxyLink link(runtime.now(), settings.grace(), settings.blindFor());
+  KeepAliveProxyState link(runtime.now(), settings.grace(), settings.blindFor());
   peers_.assign(settings.size(), Peer{{}, {}, {}, link});
 }
 
@@ -32,11 +32,11 @@
 // --- who hears whom ---
 
 bool Peers::hears(PeerNumber peer) const {
-  auto heardAt = peers_[peer].lastHeardAt;
+  auto heardAt = peers_[peer].lastHeartbeatAt;
   return heardAt != Time{} && runtime_.now() - heardAt < kHeardFor;
 }
 
-bool Peers::hearsAny() const {
+bool Peers::receivesFromAny() const {
   for (PeerNumber peer = 0; peer < peers_.size(); ++peer)
     if (peer != self_ && hears(peer)) return true;
   return false;
@@ -59,19 +59,19 @@
 }
 
 PeerContact Peers::contactWith(PeerNumber peer) const {
-  return hears(peer) ? PeerContact::Heard : PeerContact::NotHeard;
+  return hears(peer) ? PeerContact::Receiving : PeerContact::NotReceiving;
 }
 
 // --- keep-alive proxying ---
 
-bool Peers::mayAnswerFor(PeerNumber owner, ShardId shard, Epoch epoch, Version knownUpTo) const {
+bool Peers::mayProxyFor(PeerNumber owner, ShardId shard, Epoch epoch, Version knownUpTo) const {
   return peers_[owner].proxyLink.mayAnswer(shard, epoch, knownUpTo, contactWith(owner), runtime_.now());
 }
 
-Time Peers::mayHaveBeenAnsweredForUntil() const {
+Time Peers::latestPossibleProxyAnswer() const {
   Time latest{};
   for (PeerNumber peer = 0; peer < peers_.size(); ++peer)
-    if (peer != self_) latest = std::max(latest, peers_[peer].proxyLink.mayHaveAnsweredUntil(runtime_.now()));
+    if (peer != self_) latest = std::max(latest, peers_[peer].proxyLink.latestPossibleAnswer(runtime_.now()));
   return latest;
 }
 
@@ -111,7 +111,7 @@
   if (peer < peers_.size() && peer != self_) send(peer, std::move(payload));
 }
 
-void Peers::sendAll(const mesh::Payload& payload) {
+void Peers::broadcast(const mesh::Payload& payload) {
   for (PeerNumber peer = 0; peer < peers_.size(); ++peer)
     if (peer != self_) send(peer, payload);
 }
@@ -141,7 +141,7 @@
   auto& peer = peers_[from];
   bool newest = peer.proxyLink.acceptHeartbeat(heartbeat, runtime_.now());
   if (!newest) return;  // held back on its way, and passed by a later one
-  peer.lastHeardAt = runtime_.now();
+  peer.lastHeartbeatAt = runtime_.now();
   peer.heartbeat = heartbeat;
 }
 
--- a/src/cluster/peers.h
+++ b/src/cluster/peers.h
@@ -42,7 +42,7 @@
   void send(PeerNumber to, mesh::Payload payload);
   // Does nothing if that controller is this one or is not in the settings.
   void send(const ControllerId& to, mesh::Payload payload);
-  void sendAll(const mesh::Payload& payload);
+  void broadcast(const mesh::Payload& payload);
   // Sends a request that is answered with mesh::Answer; its id is set here.
   template <class Request>
   void ask(const ControllerId& to, Request request, Duration deadline, AnswerHandler done) {
@@ -52,9 +52,9 @@
 
   // Whether heartbeats of that peer come to us directly.
   [[nodiscard]] bool hears(PeerNumber peer) const;
-  [[nodiscard]] bool hearsAny() const;
+  [[nodiscard]] bool receivesFromAny() const;
   // When its latest heartbeat came; Time{} if none ever did.
-  [[nodiscard]] Time lastHeardAt(PeerNumber peer) const { return peers_[peer].lastHeardAt; }
+  [[nodiscard]] Time lastHeartbeatAt(PeerNumber peer) const { return peers_[peer].lastHeartbeatAt; }
   // Some peer that is heard holds its lease: the state service is there for others.
   [[nodiscard]] bool anyPeerHoldsLease() const;
   // It is heard, or a peer that is heard hears it.
@@ -63,11 +63,11 @@
 
   // Whether a worker of a shard of that owner's, with a token of that epoch, may be answered in its name,
   // when we know every change of jobs up to that revision (invariant 15).
-  [[nodiscard]] bool mayAnswerFor(PeerNumber owner, ShardId shard, Epoch epoch, Version knownUpTo) const;
+  [[nodiscard]] bool mayProxyFor(PeerNumber owner, ShardId shard, Epoch epoch, Version knownUpTo) const;
   // A worker's heartbeat was answered in that owner's name.
-  void recordAnswerInNameOf(PeerNumber owner) { peers_[owner].proxyLink.recordAnswer(runtime_.now()); }
+  void recordProxyAnswerFor(PeerNumber owner) { peers_[owner].proxyLink.recordAnswer(runtime_.now()); }
   // The latest moment at which any peer may have answered a worker in our name (invariant 15).
-  [[nodiscard]] Time mayHaveBeenAnsweredForUntil() const;
+  [[nodiscard]] Time latestPossibleProxyAnswer() const;
 
   [[nodiscard]] PeerNumber self() const { return self_; }
   [[nodiscard]] PeerNumber numberOf(const ControllerId& controller) const {
@@ -76,10 +76,10 @@
 
  private:
   struct Peer {
-    Time lastHeardAt{};
+    Time lastHeartbeatAt{};
     mesh::PeerHeartbeat heartbeat;  // the latest
     Time reconnectedAt{};           // when our connection to it was last given up
-    KeepAliveProxyLink proxyLink;
+    KeepAliveProxyState proxyLink;
   };
   [[nodiscard]] PeerContact contactWith(PeerNumber peer) const;
   // A peer that is heard and hears that one.
--- a/src/cluster/shard_ownership.cpp
+++ b/src/cluster/shard_ownership.cpp
@@ -121,7 +121,7 @@
 }
 
 void ShardOwnership::takeOver(ShardId shard, const OwnerEntry* former) {
-  auto change = takeoverBy(settings_.controller, keys::shard(shard), former);
+  auto change = makeTakeover(settings_.controller, keys::shard(shard), former);
   epochs_.allocate(change, [this, shard](const EpochAllocation& allocation) {
     if (allocation.allocated()) beginOwnership(shard, allocation.epoch, allocation.version);
   });
@@ -135,8 +135,8 @@
   returnRequestedAt_[shard] = runtime_.now();
   // The former owner, or a keep-alive proxy of its, may answer for its grace; one that transferred the shard
   // and lives, also for its lease (invariant 6).
-  auto formerAnswers = settings_.grace() + settings_.leaseTtl();
-  callbacks_.takenOver({shard, epoch, version, formerAnswers});
+  auto formerOwnerAnswersFor = settings_.grace() + settings_.leaseTtl();
+  callbacks_.takenOver({shard, epoch, version, formerOwnerAnswersFor});
 }
 
 void ShardOwnership::transferOwnership(ShardId shard, Version version, const ControllerId& newOwner,
@@ -166,7 +166,7 @@
 void ShardOwnership::dropOwnership(ShardId shard) {
   if (owned_.erase(shard) == 0) return;
   callbacks_.lost(shard);
-  epochs_.updateView();
+  epochs_.refreshView();
 }
 
 }  // namespace cherryloft
--- a/src/cluster/shard_ownership.h
+++ b/src/cluster/shard_ownership.h
@@ -18,7 +18,7 @@
   Epoch epoch;
   Version version;  // of the shard's owner record
   // How long the former owner, and keep-alive proxies of its, may have gone on answering heartbeats.
-  Duration formerAnswers{0};
+  Duration formerOwnerAnswersFor{0};
 };
 
 // What became of a shard that was to be transferred to another controller.
--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -136,7 +136,7 @@
       done(outcome == TransferOutcome::Released);
     });
   };
-  callbacks.answeredElsewhere = [this] { return peers_.mayHaveBeenAnsweredForUntil(); };
+  callbacks.answeredElsewhere = [this] { return peers_.latestPossibleProxyAnswer(); };
   callbacks.requestCapacity = [this, shard](const mesh::CapacityRequest& request) {
     sendToOtherShards(shard, request, &ShardScheduler::handleCapacityRequest);
   };
@@ -184,7 +184,7 @@
   view_.jobEnded(id, status, version);
   schedulers_.jobChanged(id);
   // Whoever answers workers or users should know before the user does; no bound depends on it.
-  peers_.sendAll(mesh::JobEnded{id.value, status == JobStatus::Done, version.value});
+  peers_.broadcast(mesh::JobEnded{id.value, status == JobStatus::Done, version.value});
 }
 
 // Most of what is asked of the state service is asked for a shard, by its owner, and for machines, by the
@@ -251,7 +251,7 @@
 template <class Message>
 void Controller::sendToOtherShards(ShardId asking, const Message& message,
                                    ShardSchedulers::Handler<Message> handler) {
-  peers_.sendAll(message);
+  peers_.broadcast(message);
   schedulers_.deliverToOthers(asking, message, handler);
 }
 
@@ -296,7 +296,7 @@
   // Out of service only if the state service is lost to us alone: were it lost to all, taking all out would
   // help nobody. One that hears no peer either can't know, and can't take requests whichever it is (invariant
   // 13).
-  bool cutOff = !settings_.siblings.empty() && !peers_.hearsAny();
+  bool cutOff = !settings_.siblings.empty() && !peers_.receivesFromAny();
   bool storeLostToUsAlone = !holdsLease() && (cutOff || peers_.anyPeerHoldsLease());
   if (serving() && !storeLostToUsAlone) return done({200, "{}", false, 0});
   done({503, R"({"error":"not serving"})", false, 0});
@@ -324,7 +324,7 @@
 // What the controller did in the last minute, for operators (OPERATING.md).
 void Controller::logLastMinute() {
   runtime_.after(kSummaryInterval, [this] { logLastMinute(); });
-  auto tally = store_.takeTally();
+  auto tally = store_.takeCounters();
   schedulers_.forEach(
       [this](ShardScheduler& scheduler) { log_->info("last minute: {}", scheduler.summarizeLastMinute()); });
   log_->info("last minute: state service refused={} timed_out={}{}{}", tally.throttled, tally.expired,
--- a/src/controller/machine_probes.cpp
+++ b/src/controller/machine_probes.cpp
@@ -17,11 +17,11 @@
 void MachineProbes::probeThroughPeers(const std::string& address,
                                       const std::function<void(const std::string& body)>& done) const {
   for (const auto& sibling : settings_.siblings) {
-    if (!peers_.hears(peers_.numberOf(sibling.controller))) continue;
-    peers_.ask(sibling.controller, mesh::ProbeAsk{0, address}, kProbeTimeout + kRelayMargin,
-               [done](const mesh::Answer* answer) {
-                 if (answer && answer->status == 200) done(answer->body);
-               });
+    if (!peers_.receivesFrom(peers_.numberOf(sibling.controller))) continue;
+    peers_.sendRequest(sibling.controller, mesh::ProbeAsk{0, address}, kProbeTimeout + kRelayMargin,
+                       [done](const mesh::Answer* answer) {
+                         if (answer && answer->status == 200) done(answer->body);
+                       });
   }
 }
 
--- a/src/controller/user_api.cpp
+++ b/src/controller/user_api.cpp
@@ -128,13 +128,13 @@
   }
   const ControllerId* owner = view_.ownerOf(job->shard);
   // An owner that can't be asked is not waited for.
-  if (!owner || *owner == settings_.controller || !peers_.reaches(*owner))
+  if (!owner || *owner == settings_.controller || !peers_.canReach(*owner))
     return strongRead(id, std::move(done));
-  peers_.ask(*owner, mesh::JobAsk{0, false, id.value}, kAskOwnerTimeout,
-             [this, id, done = std::move(done)](const mesh::Answer* answer) {
-               if (answer && answer->status > 0) return done(relayedAnswer(id, *answer));
-               strongRead(id, done);
-             });
+  peers_.sendRequest(*owner, mesh::JobAsk{0, false, id.value}, kAskOwnerTimeout,
+                     [this, id, done = std::move(done)](const mesh::Answer* answer) {
+                       if (answer && answer->status > 0) return done(relayedAnswer(id, *answer));
+                       strongRead(id, done);
+                     });
 }
 
 // The owner's answer may have been given before an end that we have told, or heard of, since. An end that it
@@ -208,12 +208,12 @@
   const ControllerId* owner = view_.ownerOf(shard);
   if (!owner || *owner == settings_.controller || !view_.alive(*owner))
     return done(Unavailable{kShardBeingTakenOver});
-  if (!peers_.reaches(*owner)) return done(Unavailable{"the owner of the job's share is out of reach"});
-  peers_.ask(*owner, mesh::JobAsk{0, true, id.value}, kCancelTimeout + kRelayMargin,
-             [this, id, done = std::move(done)](const mesh::Answer* answer) {
-               if (answer && answer->status > 0) return done(relayedAnswer(id, *answer));
-               done(Unavailable{"the owner of the job's share does not answer"});
-             });
+  if (!peers_.canReach(*owner)) return done(Unavailable{"the owner of the job's share is out of reach"});
+  peers_.sendRequest(*owner, mesh::JobAsk{0, true, id.value}, kCancelTimeout + kRelayMargin,
+                     [this, id, done = std::move(done)](const mesh::Answer* answer) {
+                       if (answer && answer->status > 0) return done(relayedAnswer(id, *answer));
+                       done(Unavailable{"the owner of the job's share does not answer"});
+                     });
 }
 
 // --- peers ---
--- a/src/controller/worker_endpoint.cpp
+++ b/src/controller/worker_endpoint.cpp
@@ -70,8 +70,8 @@
     worker.redirectedAt = now;
     return done({421, wire::encodeOwner(owner), true, 0});
   }
-  if (!peers_.reaches(ownerNumber)) return done(answerInNameOf(owner, heartbeat));
-  peers_.ask(
+  if (!peers_.canReach(ownerNumber)) return done(answerInNameOf(owner, heartbeat));
+  peers_.sendRequest(
       owner, mesh::RelayedHeartbeat{0, body}, kRelayTimeout,
       [this, owner, heartbeat = std::move(heartbeat), done = std::move(done)](const mesh::Answer* answer) {
         if (answer && answer->status == 200) return done({200, answer->body, false, 0});
@@ -93,9 +93,10 @@
 
 bool WorkerEndpoint::shouldRedirect(const ForeignWorker& worker, PeerNumber owner, Time now) const {
   if (worker.redirectedAt != Time{} && now - worker.redirectedAt <= kRedirectInterval) return false;
-  if (peers_.reaches(owner)) return now - worker.firstSeenAt > kRelayBeforeRedirect && peers_.hears(owner);
+  if (peers_.canReach(owner))
+    return now - worker.firstSeenAt > kRelayBeforeRedirect && peers_.receivesFrom(owner);
   // One that has been here since before we lost sight of its owner may well find it by itself.
-  return worker.firstSeenAt <= peers_.lastHeardAt(owner);
+  return worker.firstSeenAt <= peers_.lastHeartbeatAt(owner);
 }
 
 // The worker's token must be that owner's own: whoever came after it has not allowed us to answer.
@@ -107,7 +108,7 @@
   if (shard == view_.shards.end() || shard->second.record.owner != owner) return false;
   auto epoch = shard->second.record.epoch;
   if (epochOf(heartbeat.token) != std::max(machine->record.token, epoch)) return false;
-  return peers_.mayAnswerFor(peers_.numberOf(owner), shard->first, epoch, callbacks_.jobsKnownUpTo());
+  return peers_.mayProxyFor(peers_.numberOf(owner), shard->first, epoch, callbacks_.jobsKnownUpTo());
 }
 
 // The owner of the worker's shard is out of reach. Cut off together with the worker we keep its lease alive
@@ -116,7 +117,7 @@
 HttpResponse WorkerEndpoint::answerInNameOf(const ControllerId& owner,
                                             const wire::WorkerHeartbeat& heartbeat) {
   if (!mayAnswerInNameOf(owner, heartbeat)) return wire::userError(503, "the owner does not answer");
-  peers_.recordAnswerInNameOf(peers_.numberOf(owner));
+  peers_.recordProxyAnswerFor(peers_.numberOf(owner));
   auto stops = view_.stopCommandsForCancelled(heartbeat);
   return {200, wire::encodeHeartbeatAnswer(heartbeat.token, stops), false, 0};
 }
--- a/src/kvstore/group_commit.cpp
+++ b/src/kvstore/group_commit.cpp
@@ -9,7 +9,7 @@
 namespace cherryloft {
 namespace {
 
-// Until the rate limiter is asked again when it affords no write.
+// Until the rate limiter is asked again when it hasTokensFor no write.
 constexpr Duration kPollInterval{20};
 // For the answer to one transaction, however long its creations may wait: the next ones wait for it.
 constexpr Duration kMaxTransactionDeadline{2'000};
--- a/src/kvstore/group_commit.h
+++ b/src/kvstore/group_commit.h
@@ -19,7 +19,7 @@
 class GroupCommit {
  public:
   GroupCommit(const Settings& settings, Runtime& runtime, KeyValueClient& client, RateLimiter& limiter,
-              RequestTally& tally)
+              RequestCounters& tally)
       : settings_(settings), runtime_(runtime), client_(client), limiter_(limiter), tally_(tally) {}
 
   /// Writes the key on condition that it does not exist. Always ends in one call of `done`: with Conflict
@@ -52,7 +52,7 @@
   Runtime& runtime_;
   KeyValueClient& client_;
   RateLimiter& limiter_;
-  RequestTally& tally_;
+  RequestCounters& tally_;
   std::deque<Creation> waiting_;
   bool commitInFlight_ = false;
   bool commitScheduled_ = false;
--- a/src/kvstore/key_value_client.h
+++ b/src/kvstore/key_value_client.h
@@ -18,7 +18,7 @@
 /// calls. Each operation ends in exactly one call of `done`, at the latest when its deadline is over.
 class KeyValueClient {
  public:
-  KeyValueClient(RequestQueue& queue, RequestTally& tally) : queue_(queue), tally_(tally) {}
+  KeyValueClient(RequestQueue& queue, RequestCounters& tally) : queue_(queue), tally_(tally) {}
 
   /// Executes all operations of the transaction if all its conditions hold, otherwise none.
   void transact(RequestPriority priority, const wire::Transaction& transaction, Duration deadline,
@@ -54,7 +54,7 @@
   void pageReceived(const std::shared_ptr<ListCall>& call, const HttpResult& answer);
 
   RequestQueue& queue_;
-  RequestTally& tally_;
+  RequestCounters& tally_;
 };
 
 }  // namespace cherryloft
--- a/src/kvstore/key_value_store.cpp
+++ b/src/kvstore/key_value_store.cpp
@@ -106,9 +106,9 @@
   return cache ? cache->revision() : Version{};
 }
 
-void KeyValueStore::waitUntilCurrent(const std::string& prefix, std::function<void(CatchUp)> done) {
+void KeyValueStore::waitUntilCurrent(const std::string& prefix, std::function<void(CatchUpResult)> done) {
   auto* cache = findCache(prefix);
-  if (!cache) return done(CatchUp::Failed);
+  if (!cache) return done(CatchUpResult::Failed);
   cache->waitUntilCurrent(std::move(done));
 }
 
--- a/src/kvstore/key_value_store.h
+++ b/src/kvstore/key_value_store.h
@@ -73,7 +73,7 @@
   [[nodiscard]] std::optional<std::chrono::seconds> creationBacklogDelay() const;
 
   /// What was asked of the service since the last call.
-  [[nodiscard]] RequestTally takeTally() { return std::exchange(tally_, {}); }
+  [[nodiscard]] RequestCounters takeCounters() { return std::exchange(tally_, {}); }
 
   // --- watch caches ---
 
@@ -85,7 +85,7 @@
 
   /// Calls `done` once the watch cache of the prefix shows at least all that was committed before this call.
   /// Fails if the prefix is not watched.
-  void waitUntilCurrent(const std::string& prefix, std::function<void(CatchUp)> done);
+  void waitUntilCurrent(const std::string& prefix, std::function<void(CatchUpResult)> done);
 
   /// All that was committed under the prefix before that time shows in its watch cache. The epoch of the
   /// clock if the prefix is not watched.
@@ -104,7 +104,7 @@
   Runtime& runtime_;
   Log log_;
   std::mt19937_64 rng_;
-  RequestTally tally_;
+  RequestCounters tally_;
   RateLimiter limiter_;
   RequestQueue queue_;
   KeyValueClient client_;
--- a/src/kvstore/rate_limiter.cpp
+++ b/src/kvstore/rate_limiter.cpp
@@ -35,7 +35,7 @@
   writes_ = std::min(writes_ + elapsedSeconds * writesPerSecond(), writeCapacity);
 }
 
-void RateLimiter::spend(unsigned writes) {
+void RateLimiter::consumeTokens(unsigned writes) {
   requests_ -= 1;
   writes_ -= writes;
 }
--- a/src/kvstore/rate_limiter.h
+++ b/src/kvstore/rate_limiter.h
@@ -28,10 +28,10 @@
   [[nodiscard]] double writes() const { return writes_; }
 
   /// Whether one request with that many writes can be sent now.
-  [[nodiscard]] bool affords(unsigned writes) const { return requests_ >= 1 && writes_ >= writes; }
+  [[nodiscard]] bool hasTokensFor(unsigned writes) const { return requests_ >= 1 && writes_ >= writes; }
 
   /// Takes the tokens of one request with that many writes. A request that must not wait may overdraw.
-  void spend(unsigned writes);
+  void consumeTokens(unsigned writes);
 
   /// Nothing is to be sent before that time, as the service has throttled us.
   void pauseUntil(Time time) { pausedUntil_ = time; }
--- a/src/kvstore/request_queue.cpp
+++ b/src/kvstore/request_queue.cpp
@@ -45,7 +45,7 @@
   auto& queue = queueOf(priority);
   while (!queue.empty()) {
     bool expired = queue.front().expiresAt <= now;
-    bool affordable = !limiter_.paused(now) && limiter_.affords(queue.front().request.writes);
+    bool affordable = !limiter_.paused(now) && limiter_.hasTokensFor(queue.front().request.writes);
     if (!expired && !exempt && !affordable) return false;
     auto next = std::move(queue.front());
     queue.pop_front();
@@ -58,7 +58,7 @@
 }
 
 void RequestQueue::send(Waiting next) {
-  limiter_.spend(next.request.writes);
+  limiter_.consumeTokens(next.request.writes);
   ++tally_.requestsByOperation[next.request.operation];
   auto deadline = std::max(next.expiresAt - runtime_.now(), Duration{1});
   auto onAnswer = [this, done = std::move(next.done)](HttpResult result) {
--- a/src/kvstore/request_queue.h
+++ b/src/kvstore/request_queue.h
@@ -23,7 +23,7 @@
 inline constexpr std::size_t kRequestPriorities = 4;
 
 /// What was asked of the state service, for the summary in the log. All are counts since the last summary.
-struct RequestTally {
+struct RequestCounters {
   std::map<std::string, std::uint64_t> requestsByOperation;
   std::map<std::string, std::uint64_t> writesByPrefix;  // by the first part of the key
   std::uint64_t throttled = 0;                          // answered 429
@@ -44,7 +44,7 @@
 /// and timers that it starts.
 class RequestQueue {
  public:
-  RequestQueue(const Settings& settings, Runtime& runtime, RateLimiter& limiter, RequestTally& tally,
+  RequestQueue(const Settings& settings, Runtime& runtime, RateLimiter& limiter, RequestCounters& tally,
                std::mt19937_64& rng)
       : settings_(settings), runtime_(runtime), limiter_(limiter), tally_(tally), rng_(rng) {}
 
@@ -73,7 +73,7 @@
   const Settings& settings_;
   Runtime& runtime_;
   RateLimiter& limiter_;
-  RequestTally& tally_;
+  RequestCounters& tally_;
   std::mt19937_64& rng_;
   std::array<Queue, kRequestPriorities> queues_;
   bool sendScheduled_ = false;
--- a/src/kvstore/results.h
+++ b/src/kvstore/results.h
@@ -87,7 +87,7 @@
 };
 
 /// Whether a watch cache shows all that was committed before it was asked to become current.
-enum class CatchUp : std::uint8_t {
+enum class CatchUpResult : std::uint8_t {
   Current,
   Failed,  // not loaded yet, or no usable answer: ask again later
 };
--- a/src/kvstore/transaction_builder.cpp
+++ b/src/kvstore/transaction_builder.cpp
@@ -16,7 +16,7 @@
   return true;
 }
 
-bool TransactionBuilder::addAll(const std::vector<VersionedWrite>& writes) {
+bool TransactionBuilder::addAll(const std::vector<ConditionalWrite>& writes) {
   std::size_t bytes = 0;
   for (const auto& versioned : writes) bytes += wire::estimatedBytes(versioned.write);
   if (!fits(writes.size(), bytes)) return false;
@@ -24,7 +24,7 @@
   return true;
 }
 
-void TransactionBuilder::append(VersionedWrite versioned) {
+void TransactionBuilder::append(ConditionalWrite versioned) {
   bytes_ += wire::estimatedBytes(versioned.write);
   transaction_.conditions[versioned.write.key] = versioned.version;
   transaction_.operations.push_back(std::move(versioned.write));
--- a/src/kvstore/transaction_builder.h
+++ b/src/kvstore/transaction_builder.h
@@ -8,7 +8,7 @@
 namespace cherryloft {
 
 /// A write on condition that its key has that version; version 0 if the key must not exist.
-struct VersionedWrite {
+struct ConditionalWrite {
   wire::Write write;
   Version version;
 };
@@ -20,7 +20,7 @@
   explicit TransactionBuilder(std::size_t maxWrites) : maxWrites_(maxWrites) {}
 
   /// Adds a condition without a write: the key must have that version.
-  void require(const std::string& key, Version version) { transaction_.conditions[key] = version; }
+  void addCondition(const std::string& key, Version version) { transaction_.conditions[key] = version; }
 
   /// Whether a write of that many bytes (wire::estimatedBytes) still fits. The first one always does,
   /// whatever its size: it could never be sent otherwise, and the service refuses it if it is too large.
@@ -31,7 +31,7 @@
   bool add(wire::Write write, Version version);
 
   /// Adds writes that must be executed together. Returns whether all were added; otherwise none was.
-  [[nodiscard]] bool addAll(const std::vector<VersionedWrite>& writes);
+  [[nodiscard]] bool addAll(const std::vector<ConditionalWrite>& writes);
 
   /// The number of writes added.
   [[nodiscard]] std::size_t writes() const { return transaction_.operations.size(); }
@@ -44,7 +44,7 @@
 
  private:
   [[nodiscard]] bool fits(std::size_t writes, std::size_t bytes) const;
-  void append(VersionedWrite versioned);
+  void append(ConditionalWrite versioned);
 
   std::size_t maxWrites_;
   std::size_t bytes_ = 0;
--- a/src/kvstore/watch_cache.cpp
+++ b/src/kvstore/watch_cache.cpp
@@ -122,15 +122,15 @@
   return true;
 }
 
-void WatchCache::waitUntilCurrent(std::function<void(CatchUp)> done) {
-  if (!loaded()) return done(CatchUp::Failed);
+void WatchCache::waitUntilCurrent(std::function<void(CatchUpResult)> done) {
+  if (!loaded()) return done(CatchUpResult::Failed);
   // A watch that does not wait: its answer covers all that was committed before it was sent. It is no part of
   // the list or watch in flight, so neither replaces the other.
   auto answered = [this, sentAt = runtime_.now(), done = std::move(done)](const WatchResult& result) {
     if (result.outcome == WatchResult::Outcome::Compacted && loaded()) startListing();
-    if (result.outcome != WatchResult::Outcome::Changes) return done(CatchUp::Failed);
+    if (result.outcome != WatchResult::Outcome::Changes) return done(CatchUpResult::Failed);
     applyChanges(sentAt, result.page);
-    done(CatchUp::Current);
+    done(CatchUpResult::Current);
   };
   client_.watch(prefix_, revision_, Duration{0}, kCatchUpDeadline, std::move(answered));
 }
--- a/src/kvstore/watch_cache.h
+++ b/src/kvstore/watch_cache.h
@@ -36,7 +36,7 @@
 
   /// Calls `done` once all that was committed before this call is in view, or with Failed if that can't be
   /// told: at once while the cache is not loaded, else after the answer or its deadline.
-  void waitUntilCurrent(std::function<void(CatchUp)> done);
+  void waitUntilCurrent(std::function<void(CatchUpResult)> done);
 
   [[nodiscard]] const std::string& prefix() const { return prefix_; }
 
--- a/src/scheduler/commits.cpp
+++ b/src/scheduler/commits.cpp
@@ -88,7 +88,7 @@
   placementsUnwritten_ = false;
   commitInFlight_.emplace();
   TransactionBuilder transaction(settings_.txnOps);
-  transaction.require(keys::shard(takeover_.shard), takeover_.version);
+  transaction.addCondition(keys::shard(takeover_.shard), takeover_.version);
   addFinishedJobs(transaction);
   commitInFlight_->migrations = jobMigration_.addPlanned(transaction);
   jobMigration_.addCleanups(transaction);
--- a/src/scheduler/machine_record_writer.cpp
+++ b/src/scheduler/machine_record_writer.cpp
@@ -42,7 +42,7 @@
   auto batch = chooseBatch(changes);
   lastBatch_ = batch;
   TransactionBuilder transaction(settings_.txnOps);
-  transaction.require(keys::shard(takeover_.shard), takeover_.version);
+  transaction.addCondition(keys::shard(takeover_.shard), takeover_.version);
   // What this shard sent under its token must have no effect under the next owner's (invariant 5).
   Epoch token{view_.epoch.value + 1};
   if (batch == Batch::Moves)
@@ -93,7 +93,7 @@
     if (transaction.writes() > writesBefore && transaction.writes() >= batchSize) break;
     auto batchOfChange = change.movedToShard.empty() ? Batch::NoMoves : Batch::Moves;
     if (batchOfChange != batch) continue;
-    if (groupSplits_.settling(key, now)) continue;
+    if (groupSplits_.recentlySplit(key, now)) continue;
     if (!addGroupChange(transaction, key, change, token)) break;
   }
 }
@@ -117,7 +117,7 @@
   auto group = view_.group(key);
   if (group.members.empty()) return {};
   auto exists = [&](const std::string& other) { return view_.groups.count(other) > 0; };
-  std::vector<VersionedWrite> created;
+  std::vector<ConditionalWrite> created;
   for (const auto& [to, machines] : change.movedToShard) {
     auto parts = createGroup(movedGroup(group, to, machines, token), settings_.valueBytes, exists);
     created.insert(created.end(), parts.begin(), parts.end());
--- a/src/scheduler/shard_recovery.cpp
+++ b/src/scheduler/shard_recovery.cpp
@@ -37,13 +37,14 @@
 
 void ShardRecovery::waitForView(const std::string& prefix, std::function<void()> next) {
   auto retry = whileAlive([this, prefix, next] { waitForView(prefix, next); });
-  store_.waitUntilCurrent(prefix, [this, alive = std::weak_ptr<bool>(alive_), next, retry](CatchUp result) {
-    if (!alive.lock()) return;
-    if (result == CatchUp::Current)
-      next();
-    else
-      runtime_.after(kRetryAfter, retry);
-  });
+  store_.waitUntilCurrent(prefix,
+                          [this, alive = std::weak_ptr<bool>(alive_), next, retry](CatchUpResult result) {
+                            if (!alive.lock()) return;
+                            if (result == CatchUpResult::Current)
+                              next();
+                            else
+                              runtime_.after(kRetryAfter, retry);
+                          });
 }
 
 void ShardRecovery::readPages() {
--- a/src/scheduler/shard_scheduler.cpp
+++ b/src/scheduler/shard_scheduler.cpp
@@ -99,7 +99,7 @@
   auto& machine = state_.addMachine(id, known, findType(view_.catalog, known.record.type), now);
   machine.fence = CommandFence{tokenOf(std::max(known.record.token, takeover_.epoch))};
   // The former owner may have answered it until the end of its grace.
-  machine.aliveUntil = now + takeover_.formerAnswers + leaseAfterAnswer();
+  machine.aliveUntil = now + takeover_.formerOwnerAnswersFor + leaseAfterAnswer();
   return machine;
 }
 
--- a/tests/unit/epoch_allocator_test.cpp
+++ b/tests/unit/epoch_allocator_test.cpp
@@ -16,7 +16,7 @@
 
 TEST_F(EpochAllocatorTest, TheNextEpochIsWrittenWithTheOwnersRecord) {
   view.epoch = Epoch{41};
-  allocate(takeoverBy(self(), "share/1", nullptr));
+  allocate(makeTakeover(self(), "share/1", nullptr));
   runFor(Duration{100});
   ASSERT_TRUE(allocation);
   EXPECT_TRUE(allocation->allocated());
@@ -29,7 +29,7 @@
 TEST_F(EpochAllocatorTest, RecordCounterAndBothControllersAreConditions) {
   view.epochVersion = Version{7};
   OwnerEntry former{{other(), Epoch{3}}, Version{9}};
-  allocate(takeoverBy(self(), "share/1", &former));
+  allocate(makeTakeover(self(), "share/1", &former));
   runFor(Duration{100});
   ASSERT_EQ(service.transactions.size(), 1U);
   const auto& takeover = service.transactions[0];
@@ -42,12 +42,12 @@
 
 TEST_F(EpochAllocatorTest, AnEarlierProcessOfTheControllerNeedNotBeDead) {
   OwnerEntry former{{self(), Epoch{3}}, Version{9}};
-  EXPECT_FALSE(takeoverBy(self(), "share/0", &former).otherController);
+  EXPECT_FALSE(makeTakeover(self(), "share/0", &former).otherController);
 }
 
 TEST_F(EpochAllocatorTest, AConflictIsARefusal) {
   service.transactionStatus = [] { return 409; };
-  allocate(takeoverBy(self(), "share/1", nullptr));
+  allocate(makeTakeover(self(), "share/1", nullptr));
   runFor(Duration{100});
   ASSERT_TRUE(allocation);
   EXPECT_EQ(allocation->outcome, EpochAllocation::Outcome::Refused);
@@ -55,14 +55,14 @@
 
 TEST_F(EpochAllocatorTest, AnErrorLeavesTheChangeInDoubt) {
   service.transactionStatus = [] { return 500; };
-  allocate(takeoverBy(self(), "share/1", nullptr));
+  allocate(makeTakeover(self(), "share/1", nullptr));
   runFor(Duration{3'000});
   ASSERT_TRUE(allocation);
   EXPECT_EQ(allocation->outcome, EpochAllocation::Outcome::InDoubt);
 }
 
 TEST_F(EpochAllocatorTest, ItIsBusyUntilTheViewIsCurrent) {
-  allocate(takeoverBy(self(), "share/1", nullptr));
+  allocate(makeTakeover(self(), "share/1", nullptr));
   EXPECT_TRUE(epochs.busy());
   while (!allocation) runFor(Duration{1});
   EXPECT_TRUE(epochs.busy());
--- a/tests/unit/keep_alive_proxy_test.cpp
+++ b/tests/unit/keep_alive_proxy_test.cpp
@@ -17,8 +17,8 @@
 // A proxy and an owner whose clocks are an hour apart, with heartbeats in both directions. Times are by the
 // proxy's clock, in seconds.
 struct KeepAliveProxyTest : testing::Test {
-  KeepAliveProxyLink proxy{at(100), kGrace, kGrace + kLeaseTtl};
-  KeepAliveProxyLink owner{at(3700), kGrace, kGrace + kLeaseTtl};
+  KeepAliveProxyState proxy{at(100), kGrace, kGrace + kLeaseTtl};
+  KeepAliveProxyState owner{at(3700), kGrace, kGrace + kLeaseTtl};
   std::uint64_t proxyLife = 1;
   Version lastCancellation{40};  // of the owner's shard
   Version knownUpTo{40};         // the revision up to which the proxy knows all jobs
@@ -35,17 +35,17 @@
     heartbeat.life = 9;
     heartbeat.ownsForMs = ownsFor.count();
     heartbeat.owns = {{kShard.value, kEpoch.value, lastCancellation.value}};
-    owner.fillHeartbeat(heartbeat, PeerContact::Heard, ownersTime(seconds));
+    owner.fillHeartbeat(heartbeat, PeerContact::Receiving, ownersTime(seconds));
     return heartbeat;
   }
   // Both hear each other once a second, from the first to the last.
   void exchangeHeartbeats(std::int64_t first, std::int64_t last) {
     for (auto second = first; second <= last; ++second) {
-      owner.acceptHeartbeat(heartbeatOfProxy(second, PeerContact::Heard), ownersTime(second));
+      owner.acceptHeartbeat(heartbeatOfProxy(second, PeerContact::Receiving), ownersTime(second));
       proxy.acceptHeartbeat(heartbeatOfOwner(second), at(second));
     }
   }
-  bool mayAnswer(std::int64_t seconds, PeerContact contact = PeerContact::NotHeard) const {
+  bool mayAnswer(std::int64_t seconds, PeerContact contact = PeerContact::NotReceiving) const {
     return proxy.mayAnswer(kShard, kEpoch, knownUpTo, contact, at(seconds));
   }
 };
@@ -54,8 +54,8 @@
 
 TEST_F(KeepAliveProxyTest, DoesNotAnswerForAnOwnerThatIsHeard) {
   exchangeHeartbeats(101, 110);
-  EXPECT_FALSE(mayAnswer(111, PeerContact::Heard));
-  EXPECT_EQ(owner.mayHaveAnsweredUntil(ownersTime(111)), Time{});
+  EXPECT_FALSE(mayAnswer(111, PeerContact::Receiving));
+  EXPECT_EQ(owner.latestPossibleAnswer(ownersTime(111)), Time{});
 }
 
 TEST_F(KeepAliveProxyTest, AnswersOnceItsDisclaimerHasExpiredUntilTheGraceOfTheLeaseEnds) {
@@ -69,16 +69,16 @@
 TEST_F(KeepAliveProxyTest, AnswersOnlyForTheShardAndEpochThatTheOwnerNamed) {
   exchangeHeartbeats(101, 110);
   EXPECT_TRUE(mayAnswer(116));
-  EXPECT_FALSE(proxy.mayAnswer(kShard, Epoch{8}, knownUpTo, PeerContact::NotHeard, at(116)));
-  EXPECT_FALSE(proxy.mayAnswer(ShardId{1}, kEpoch, knownUpTo, PeerContact::NotHeard, at(116)));
+  EXPECT_FALSE(proxy.mayAnswer(kShard, Epoch{8}, knownUpTo, PeerContact::NotReceiving, at(116)));
+  EXPECT_FALSE(proxy.mayAnswer(ShardId{1}, kEpoch, knownUpTo, PeerContact::NotReceiving, at(116)));
 }
 
 TEST_F(KeepAliveProxyTest, OwnerAssumesNothingWhileTheDisclaimerHoldsAndThenAllThatMayBe) {
   exchangeHeartbeats(101, 110);
-  EXPECT_EQ(owner.mayHaveAnsweredUntil(ownersTime(113)), Time{});
-  EXPECT_EQ(owner.mayHaveAnsweredUntil(ownersTime(120)), ownersTime(120));
-  EXPECT_GE(owner.mayHaveAnsweredUntil(ownersTime(140)), ownersTime(130));
-  EXPECT_LE(owner.mayHaveAnsweredUntil(ownersTime(140)), ownersTime(131));
+  EXPECT_EQ(owner.latestPossibleAnswer(ownersTime(113)), Time{});
+  EXPECT_EQ(owner.latestPossibleAnswer(ownersTime(120)), ownersTime(120));
+  EXPECT_GE(owner.latestPossibleAnswer(ownersTime(140)), ownersTime(130));
+  EXPECT_LE(owner.latestPossibleAnswer(ownersTime(140)), ownersTime(131));
 }
 
 // Invariant 16: it would extend what the user was told is over.
@@ -106,8 +106,8 @@
 
 TEST_F(KeepAliveProxyTest, AHeartbeatOvertakenByALaterOneIsRefused) {
   exchangeHeartbeats(101, 105);
-  auto earlier = heartbeatOfProxy(106, PeerContact::Heard);
-  auto later = heartbeatOfProxy(107, PeerContact::NotHeard);
+  auto earlier = heartbeatOfProxy(106, PeerContact::Receiving);
+  auto later = heartbeatOfProxy(107, PeerContact::NotReceiving);
   EXPECT_TRUE(owner.acceptHeartbeat(later, ownersTime(107)));
   EXPECT_FALSE(owner.acceptHeartbeat(earlier, ownersTime(108)));
 }
@@ -115,20 +115,20 @@
 TEST_F(KeepAliveProxyTest, OnceHeardAgainTheProxyTellsWhenItAnsweredLast) {
   exchangeHeartbeats(101, 110);
   proxy.recordAnswer(at(121));
-  auto heartbeat = heartbeatOfProxy(125, PeerContact::NotHeard);
+  auto heartbeat = heartbeatOfProxy(125, PeerContact::NotReceiving);
   owner.acceptHeartbeat(heartbeat, ownersTime(125));
   proxy.acceptHeartbeat(heartbeatOfOwner(126), at(126));
-  owner.acceptHeartbeat(heartbeatOfProxy(127, PeerContact::Heard), ownersTime(127));
-  EXPECT_EQ(owner.mayHaveAnsweredUntil(ownersTime(128)), ownersTime(121));
+  owner.acceptHeartbeat(heartbeatOfProxy(127, PeerContact::Receiving), ownersTime(127));
+  EXPECT_EQ(owner.latestPossibleAnswer(ownersTime(128)), ownersTime(121));
 }
 
 TEST_F(KeepAliveProxyTest, AnEndedProxyCountsAsAnsweringUntilItCameBack) {
   exchangeHeartbeats(101, 110);
   proxyLife = 2;
-  proxy = KeepAliveProxyLink{at(122), kGrace, kGrace + kLeaseTtl};
-  owner.acceptHeartbeat(heartbeatOfProxy(122, PeerContact::NotHeard), ownersTime(122));
+  proxy = KeepAliveProxyState{at(122), kGrace, kGrace + kLeaseTtl};
+  owner.acceptHeartbeat(heartbeatOfProxy(122, PeerContact::NotReceiving), ownersTime(122));
   EXPECT_FALSE(mayAnswer(128));
   proxy.acceptHeartbeat(heartbeatOfOwner(123), at(123));
-  owner.acceptHeartbeat(heartbeatOfProxy(124, PeerContact::Heard), ownersTime(124));
-  EXPECT_EQ(owner.mayHaveAnsweredUntil(ownersTime(125)), ownersTime(122));
+  owner.acceptHeartbeat(heartbeatOfProxy(124, PeerContact::Receiving), ownersTime(124));
+  EXPECT_EQ(owner.latestPossibleAnswer(ownersTime(125)), ownersTime(122));
 }
--- a/tests/unit/machine_group_rewrite_test.cpp
+++ b/tests/unit/machine_group_rewrite_test.cpp
@@ -20,7 +20,7 @@
   return group;
 }
 
-std::multiset<MachineId> membersIn(const std::vector<VersionedWrite>& writes) {
+std::multiset<MachineId> membersIn(const std::vector<ConditionalWrite>& writes) {
   std::multiset<MachineId> ids;
   for (const auto& [write, _] : writes) {
     auto group = wire::parseGroup(*write.value);
@@ -89,8 +89,8 @@
   const Time now{Duration{1'000}};
   auto rewrite = rewriteGroup(kGroupKey, Version{5}, groupOf(60), kValueBytes, 7, kNoneExists);
   ASSERT_TRUE(splits.add(transaction, kGroupKey, Version{5}, rewrite, now));
-  EXPECT_TRUE(splits.settling(kGroupKey, now));
-  EXPECT_FALSE(splits.settling(kGroupKey, now + Duration{5'000}));
+  EXPECT_TRUE(splits.recentlySplit(kGroupKey, now));
+  EXPECT_FALSE(splits.recentlySplit(kGroupKey, now + Duration{5'000}));
   EXPECT_EQ(transaction.take().conditions.at(kGroupKey), Version{5});
 }
 
--- a/tests/unit/rate_limiter_test.cpp
+++ b/tests/unit/rate_limiter_test.cpp
@@ -23,9 +23,9 @@
 }
 
 TEST_F(RateLimiterTest, RefillsUpToTheTokensOfOneSecond) {
-  while (limiter.affords(1)) limiter.spend(1);
+  while (limiter.hasTokensFor(1)) limiter.consumeTokens(1);
   limiter.refill(start + Duration{500});
-  EXPECT_TRUE(limiter.affords(1));
+  EXPECT_TRUE(limiter.hasTokensFor(1));
   limiter.refill(start + Duration{100'000});
   EXPECT_NEAR(limiter.requests(), limiter.requestsPerSecond(), 1e-9);
 }
@@ -33,7 +33,7 @@
 TEST_F(RateLimiterTest, AffordsTheLargestTransactionAtTheSmallestFraction) {
   limiter.setFractionOfLimits(1e-3);
   limiter.refill(start + Duration{3'600'000});
-  EXPECT_TRUE(limiter.affords(static_cast<unsigned>(settings.txnOps)));
+  EXPECT_TRUE(limiter.hasTokensFor(static_cast<unsigned>(settings.txnOps)));
 }
 
 TEST_F(RateLimiterTest, IsPausedUntilTheGivenTime) {
--- a/tests/unit/request_queue_fixture.h
+++ b/tests/unit/request_queue_fixture.h
@@ -15,7 +15,7 @@
   Settings settings = parseSettings(world::Deployment{}.settingsOf(0), {});
   HeldCallsRuntime runtime;
   RateLimiter limiter{settings, runtime.now()};
-  RequestTally tally;
+  RequestCounters tally;
   std::mt19937_64 rng{1};
   RequestQueue queue{settings, runtime, limiter, tally, rng};
 };
--- a/tests/unit/request_queue_test.cpp
+++ b/tests/unit/request_queue_test.cpp
@@ -18,7 +18,7 @@
                [this](const HttpResult& result) { outcomes.push_back(result.outcome); });
   }
   void useUpRequests() {
-    while (limiter.affords(0)) limiter.spend(0);
+    while (limiter.hasTokensFor(0)) limiter.consumeTokens(0);
   }
   void run(world::Ms ms) { runtime.clock.run(runtime.clock.now() + ms); }
 };
--- a/tests/unit/transaction_builder_test.cpp
+++ b/tests/unit/transaction_builder_test.cpp
@@ -33,7 +33,7 @@
 
 TEST(TransactionBuilder, RequiresVersionsOfKeysThatItDoesNotWrite) {
   TransactionBuilder builder(8);
-  builder.require("share/0", Version{7});
+  builder.addCondition("share/0", Version{7});
   EXPECT_TRUE(builder.empty());
   EXPECT_EQ(builder.take().conditions.at("share/0"), Version{7});
 }
--- a/tests/unit/watch_cache_test.cpp
+++ b/tests/unit/watch_cache_test.cpp
@@ -51,7 +51,7 @@
 
 TEST_F(WatchCacheTest, LateAnswerDoesNotBringBackADeletedKey) {
   begin("");
-  store.waitUntilCurrent("node/", [](CatchUp) {});
+  store.waitUntilCurrent("node/", [](CatchUpResult) {});
   ASSERT_EQ(runtime.calls.size(), 3U);
   runtime.answer(
       2, R"({"ledger_rev":7,"news":[{"write":"node/x","value":{},"stamp":5},{"drop":"node/x","stamp":7}]})");
@@ -62,7 +62,7 @@
 
 TEST_F(WatchCacheTest, OldListDoesNotDeleteANewerKey) {
   begin("");
-  store.waitUntilCurrent("node/", [](CatchUp) {});
+  store.waitUntilCurrent("node/", [](CatchUpResult) {});
   // The watch is too old and all is read anew; the list is as old as its first page.
   auto tooOld = runtime.calls.at(1).done;
   tooOld({HttpResult::Outcome::Answered, {410, "{}", false, 0}});
