--- a/src/cluster/cluster_view.cpp
+++ b/src/cluster/cluster_view.cpp
@@ -8,14 +8,14 @@
 namespace cherryloft {
 namespace {
 
-// Keeps the line of an answer under 64 KiB; the next answer names the rest.
+// Keeps a response line under 64 KiB; the next response carries the remaining commands.
 constexpr std::size_t kMaxStopCommands = 400;
 
 std::optional<wire::OwnerRecord> ownerIn(const wire::KeyChange& change) {
   return change.value ? wire::parseOwnerRecord(*change.value) : std::nullopt;
 }
 
-// Nothing unless the whole name is a number.
+// Returns nullopt unless the whole name is a number.
 std::optional<ShardId> parseShardId(const std::string& name) {
   ShardId shard;
   const char* end = name.data() + name.size();
@@ -48,7 +48,7 @@
   if (job.version > change.version) return;
   job.version = change.version;
   job.maxConcurrent = record->maxConcurrent;
-  // Terminal is final; the end may have been heard of before its record came.
+  // A terminal status is final. It may have been reported before the job's record arrived.
   if (job.status != JobStatus::Open) return;
   job.status = record->status;
   job.shard = record->shard;
@@ -59,12 +59,12 @@
   job.spec = record->spec ? std::make_shared<const JobSpec>(std::move(*record->spec)) : nullptr;
 }
 
-// Machines come, change and go with their group. One that moved shows in its new group from the same revision
-// on, whichever of the two changes is seen first.
+// Machines are added, updated and removed with their group. A machine that moved appears in its new group
+// from the revision of the move on, whichever of the two changes is seen first.
 std::vector<MachineId> ClusterView::applyGroup(const wire::KeyChange& change, const Log& log) {
   auto group = change.value ? wire::parseGroup(*change.value) : wire::GroupRecord{};
   if (!group) {
-    // Its machines may hold tasks: what was known of them stands.
+    // Its machines may run tasks, so their previous entries are kept.
     log->error("unreadable machine group, perhaps of another layout key={}", change.key);
     return {};
   }
@@ -189,7 +189,7 @@
   if (job.status != JobStatus::Open || job.version > version) return;
   job.status = status;
   job.version = version;
-  // What is left of a cancelled job is still stopped by its description.
+  // A cancelled job keeps its specification, which is needed to stop its remaining tasks.
   if (status == JobStatus::Done) job.spec.reset();
 }
 
--- a/src/cluster/cluster_view.h
+++ b/src/cluster/cluster_view.h
@@ -1,5 +1,5 @@
-// The cluster view: this controller's read model of the shared records, fed by the watch caches of the state
-// service. It may lag behind the service, except that a terminal job status, once seen, is final.
+// The cluster view: this controller's read model of the shared records, updated from the watch caches of the
+// state service. It may lag behind the service, but a terminal job status, once seen, is final.
 #pragma once
 
 #include <map>
@@ -23,12 +23,12 @@
   ShardId shard;
   std::uint32_t tasks = 0;
   WallTime submitted;
-  Version version;                      // of its record, or of the committed end that was heard of before it
+  Version version;                      // of its record, or of the job's end if that was reported first
   std::shared_ptr<const JobSpec> spec;  // null once the job is done
-  // Of a job that runs in another shard than its team's (invariant 17, wire::JobRecord).
+  // Set for a job that runs in another shard than its team's (invariant 17, wire::JobRecord).
   std::optional<std::uint32_t> maxConcurrent{};
-  std::vector<Delegation> delegations{};      // tasks that other shards place (invariant 18)
-  std::vector<std::uint32_t> doneRemotely{};  // ascending; those of them that are done
+  std::vector<Delegation> delegations{};      // tasks placed by other shards (invariant 18)
+  std::vector<std::uint32_t> doneRemotely{};  // delegated tasks that are done, ascending
 };
 
 struct MachineEntry {
@@ -42,14 +42,14 @@
   Version version;
 };
 
-// A plain value without I/O; the Controller owns the only one, changes it, and lends it to its parts for
-// reading. Entries stay valid until the next change only.
+// A plain value without I/O. The Controller owns and updates the only instance; its components read it.
+// References to entries are valid only until the next change.
 struct ClusterView {
   std::unordered_map<JobId, JobEntry> jobs;
   std::unordered_map<MachineId, MachineEntry> machines;
-  std::map<std::string, std::vector<MachineId>> groups;  // keys of machine groups and the machines in each
+  std::map<std::string, std::vector<MachineId>> groups;  // machines by the key of their group
   std::unordered_map<ShardId, OwnerEntry> shards;
-  std::unordered_map<ControllerId, Version> controllers;  // controllers whose lease lives
+  std::unordered_map<ControllerId, Version> controllers;  // controllers with a live lease
   std::optional<OwnerEntry> leader;
   Epoch epoch;  // the last one allocated
   Version epochVersion;
@@ -57,29 +57,29 @@
   Version catalogVersion;
   Version groupsVersion;  // of the latest creation of machine groups
 
-  // Whether the controller's lease lives, as far as the view shows.
+  // Whether the controller has a live lease according to the view.
   [[nodiscard]] bool alive(const ControllerId& controller) const { return controllers.count(controller) > 0; }
-  // The recorded owner of the shard, alive or not; null if there is none.
+  // The recorded owner of the shard, live or not; null if there is none.
   [[nodiscard]] const ControllerId* ownerOf(ShardId shard) const {
     auto entry = shards.find(shard);
     return entry == shards.end() ? nullptr : &entry->second.record.owner;
   }
 
-  // Takes in one changed key. Unreadable records are logged and leave the view as it is. Returns the machines
-  // whose entry came, changed or went.
+  // Applies one changed key. Unreadable records are logged and leave the view unchanged. Returns the machines
+  // whose entries were added, updated or removed.
   std::vector<MachineId> apply(const wire::KeyChange& change, const Log& log);
 
-  // Stop commands for all tasks in the heartbeat whose job is cancelled. Every answer that extends a worker's
-  // lease carries them, whoever gives it and in whatever role (invariant 16).
+  // Stop commands for all tasks in the heartbeat whose job is cancelled. Every response that extends a
+  // worker's lease carries them, whichever controller sends it and in whichever role (invariant 16).
   [[nodiscard]] std::vector<wire::Command> stopCommandsForCancelled(
       const wire::WorkerHeartbeat& heartbeat) const;
 
-  // Takes in that a job is over, as its owner answered to a user, before the record shows it.
+  // Records that a job ended, as reported by its owner to a user, before the job record shows it.
   void jobEnded(const JobId& id, JobStatus status);
-  // The same from a message of the shard's owner that names the version of the commit.
+  // The same, as reported by a message of the shard's owner with the version of the commit.
   void jobEnded(const JobId& id, JobStatus status, Version version);
 
-  // The machine group as the view shows it, to be rewritten with a change; without members if unknown.
+  // The machine group's record rebuilt from the view, to be modified and rewritten; empty if unknown.
   [[nodiscard]] wire::GroupRecord group(const std::string& key) const;
   // The version of the group's record; 0 if there is none.
   [[nodiscard]] Version groupVersion(const std::string& key) const;
--- a/src/cluster/controller_lease.cpp
+++ b/src/cluster/controller_lease.cpp
@@ -7,19 +7,20 @@
 namespace {
 constexpr Duration kGrantRetryDelay{200};
 constexpr Duration kJoinRetryDelay{100};
-// Of the join's transaction: a third of the default time to live, so that a lost answer leaves time to retry.
+// Deadline of the join transaction: a third of the default lease TTL, to leave time for a retry if the
+// response is lost.
 constexpr Duration kJoinDeadline{1'000};
-// After a renewal that was not answered: sooner than the next regular one, as the validity is running out.
+// Delay after an unanswered renewal: shorter than the regular interval, as the lease is about to expire.
 constexpr Duration kRenewalRetryDelay{150};
 constexpr int kRenewalsPerTtl = 4;
-// A renewal waits for its answer for a third of the time to live, so that others fit in before the lease
-// ends; not less than the bound below, however short the lease.
+// The deadline of a renewal is a third of the lease TTL, so that it can be retried before the lease expires,
+// but at least kMinRenewalDeadline.
 constexpr int kRenewalDeadlinesPerTtl = 3;
 constexpr Duration kMinRenewalDeadline{100};
-// Where the answer to a renewal came later than the next was due.
+// Delay before the next renewal if the response arrived after it was due.
 constexpr Duration kMinRenewalDelay{10};
-constexpr double kDriftFraction = 0.001;  // twice what a steady clock may be off
-// Times are in whole milliseconds, at the service and here; generous.
+constexpr double kDriftFraction = 0.001;  // twice the assumed drift of a steady clock
+// The service and this process both round times to milliseconds; this margin is deliberately large.
 constexpr Duration kRoundingMargin{20};
 }  // namespace
 
@@ -44,17 +45,17 @@
   state_ = State::Requesting;
   lease_.reset();
   store_.grantLease(settings_.leaseTtl(),
-                    [this, sent = runtime_.now()](const LeaseGrant& grant) { granted(sent, grant); });
+                    [this, sent = runtime_.now()](const LeaseGrant& grant) { handleGrant(sent, grant); });
 }
 
-void ControllerLease::granted(Time sent, const LeaseGrant& grant) {
+void ControllerLease::handleGrant(Time sent, const LeaseGrant& grant) {
   if (!grant.granted()) {
     runtime_.after(kGrantRetryDelay, [this] { requestLease(); });
     return;
   }
   lease_ = grant.lease;
   state_ = State::Joining;
-  renewed(sent);
+  handleRenewed(sent);
   join(grant.lease);
 }
 
@@ -67,18 +68,19 @@
     return;
   }
   store_.waitUntilCurrent(keys::kControllers,
-                          [this, lease](CatchUpResult result) { controllersRead(lease, result); });
+                          [this, lease](CatchUpResult result) { handleControllersCurrent(lease, result); });
 }
 
-void ControllerLease::controllersRead(LeaseId lease, CatchUpResult result) {
+void ControllerLease::handleControllersCurrent(LeaseId lease, CatchUpResult result) {
   if (result != CatchUpResult::Current) {
     retryJoin(lease);
     return;
   }
-  store_.waitUntilCurrent(keys::kShards, [this, lease](CatchUpResult shards) { shardsRead(lease, shards); });
+  store_.waitUntilCurrent(keys::kShards,
+                          [this, lease](CatchUpResult shards) { handleShardsCurrent(lease, shards); });
 }
 
-void ControllerLease::shardsRead(LeaseId lease, CatchUpResult result) {
+void ControllerLease::handleShardsCurrent(LeaseId lease, CatchUpResult result) {
   if (lease_ != lease) return;
   if (result != CatchUpResult::Current) {
     retryJoin(lease);
@@ -86,7 +88,7 @@
   }
   auto conditions = callbacks_.joinConditions();
   store_.transact(RequestPriority::Lease, joinTransaction(lease, std::move(conditions)), kJoinDeadline,
-                  [this, lease](const TransactionResult& result) { joinAnswered(lease, result); });
+                  [this, lease](const TransactionResult& result) { handleJoinResult(lease, result); });
 }
 
 wire::Transaction ControllerLease::joinTransaction(LeaseId lease,
@@ -100,7 +102,7 @@
   return transaction;
 }
 
-void ControllerLease::joinAnswered(LeaseId lease, const TransactionResult& result) {
+void ControllerLease::handleJoinResult(LeaseId lease, const TransactionResult& result) {
   if (lease_ != lease) return;
   if (result.outcome == TransactionResult::Outcome::LeaseExpired) {
     requestLease();
@@ -127,7 +129,7 @@
   if (lease_ != lease) return;
   auto deadline = std::max(settings_.leaseTtl() / kRenewalDeadlinesPerTtl, kMinRenewalDeadline);
   store_.renewLease(lease, deadline, [this, sent = runtime_.now(), lease](LeaseRenewal renewal) {
-    if (lease_ == lease) renewalAnswered(sent, renewal);
+    if (lease_ == lease) handleRenewalResult(sent, renewal);
   });
 }
 
@@ -135,32 +137,32 @@
   runtime_.after(delay, [this, lease = *lease_] { renew(lease); });
 }
 
-void ControllerLease::renewalAnswered(Time sent, LeaseRenewal renewal) {
+void ControllerLease::handleRenewalResult(Time sent, LeaseRenewal renewal) {
   switch (renewal) {
     case LeaseRenewal::Renewed:
-      renewed(sent);
+      handleRenewed(sent);
       break;
     case LeaseRenewal::NoAnswer:
       lastRenewal_ = LastRenewal::Unanswered;
       renewAfter(kRenewalRetryDelay);
       break;
     case LeaseRenewal::Expired:
-      expired();
+      handleExpired();
       break;
   }
 }
 
-void ControllerLease::renewed(Time sent) {
+void ControllerLease::handleRenewed(Time sent) {
   auto answered = runtime_.now();
   extendValidity(sent);
-  // The service is back after a silence in which it may have dropped the watches.
+  // The service is reachable again and may have dropped the watches in the meantime.
   if (lastRenewal_ == LastRenewal::Unanswered && joined()) store_.restartWatches();
   lastRenewal_ = LastRenewal::Answered;
   auto due = sent + settings_.leaseTtl() / kRenewalsPerTtl;
   renewAfter(std::max(due - answered, kMinRenewalDelay));
 }
 
-void ControllerLease::expired() {
+void ControllerLease::handleExpired() {
   log_->info("controller lease expired lease={}", lease_->value);
   state_ = State::Requesting;
   lease_.reset();
--- a/src/cluster/epoch_allocator.cpp
+++ b/src/cluster/epoch_allocator.cpp
@@ -5,7 +5,7 @@
 namespace cherryloft {
 namespace {
 
-// Half the default time to live of a lease; after that the records are read to see what was written.
+// Half the default lease TTL; after that the records are read to find out what was written.
 constexpr Duration kOwnershipChangeDeadline{1'500};
 
 EpochAllocation::Outcome outcomeOf(const TransactionResult& result) {
@@ -15,7 +15,8 @@
     case TransactionResult::Outcome::Conflict:
     case TransactionResult::Outcome::Refused:
       return EpochAllocation::Outcome::Refused;
-    // No answer that this small transaction without a lease should get: nothing is concluded from it.
+    // LeaseExpired and TooLarge are not expected for this small transaction without a lease, so the outcome
+    // is treated as unknown.
     case TransactionResult::Outcome::LeaseExpired:
     case TransactionResult::Outcome::TooLarge:
     case TransactionResult::Outcome::Unknown:
@@ -33,8 +34,12 @@
 }
 
 EpochAllocator::EpochAllocator(const Settings& settings, KeyValueStore& store, const ClusterView& view,
-                               const ControllerLease& lease, std::function<void()> viewCurrent)
-    : settings_(settings), store_(store), view_(view), lease_(lease), viewCurrent_(std::move(viewCurrent)) {}
+                               const ControllerLease& lease, std::function<void()> onViewRefreshed)
+    : settings_(settings),
+      store_(store),
+      view_(view),
+      lease_(lease),
+      onViewRefreshed_(std::move(onViewRefreshed)) {}
 
 void EpochAllocator::allocate(const OwnershipChange& change,
                               std::function<void(const EpochAllocation&)> done) {
@@ -43,7 +48,7 @@
   store_.transact(RequestPriority::Control, transactionFor(change, next), kOwnershipChangeDeadline,
                   [this, next, done = std::move(done)](const TransactionResult& result) {
                     done({outcomeOf(result), next, result.revision});
-                    readShards();
+                    refreshShards();
                   });
 }
 
@@ -63,20 +68,20 @@
 void EpochAllocator::refreshView() {
   if (busy()) return;
   phase_ = Phase::Busy;
-  readShards();
+  refreshShards();
 }
 
-void EpochAllocator::readShards() {
-  store_.waitUntilCurrent(keys::kShards, [this](CatchUpResult) { readControllers(); });
+void EpochAllocator::refreshShards() {
+  store_.waitUntilCurrent(keys::kShards, [this](CatchUpResult) { refreshControllers(); });
 }
 
-void EpochAllocator::readControllers() {
-  store_.waitUntilCurrent(keys::kControllers, [this](CatchUpResult result) { viewRead(result); });
+void EpochAllocator::refreshControllers() {
+  store_.waitUntilCurrent(keys::kControllers, [this](CatchUpResult result) { handleViewRefreshed(result); });
 }
 
-void EpochAllocator::viewRead(CatchUpResult result) {
+void EpochAllocator::handleViewRefreshed(CatchUpResult result) {
   phase_ = Phase::Idle;
-  if (result == CatchUpResult::Current) viewCurrent_();
+  if (result == CatchUpResult::Current) onViewRefreshed_();
 }
 
 }  // namespace cherryloft
--- a/src/cluster/epoch_allocator.h
+++ b/src/cluster/epoch_allocator.h
@@ -1,4 +1,4 @@
-// EpochAllocator: writes changes of ownership, each under a new epoch.
+// EpochAllocator: commits ownership changes, each under a new epoch.
 #pragma once
 
 #include <cstdint>
@@ -12,32 +12,32 @@
 
 namespace cherryloft {
 
-// The state that another controller must be in for a change of ownership to be written.
+// Required state of another controller for an ownership change to be committed.
 struct ControllerCondition {
   ControllerId controller;
-  Version version;  // of its node/ key; 0: there must be none, its lease is over
+  Version version;  // of its node/ key; 0: the key must not exist, i.e. the lease has expired
 };
 
 // The new owner of a shard or of the leadership.
 struct OwnershipChange {
   std::string key;  // of the owner's record
-  Version version;  // that the record must have; 0: it must not exist
+  Version version;  // expected version of the record; 0: it must not exist
   ControllerId newOwner;
   std::optional<ControllerCondition> otherController;
 };
 
-// Makes a controller the owner of what the former owner left; fails if that one has a lease after all.
-// `former`: nothing if there is no record yet, the controller itself if an earlier process of it was the
-// owner.
+// Builds the change that makes `newOwner` the owner in place of `former`. It is refused if the former owner
+// still has a lease, unless both are the same controller, i.e. an earlier process of it was the owner.
+// `former` is null if there is no record yet.
 [[nodiscard]] OwnershipChange makeTakeover(const ControllerId& newOwner, const std::string& key,
                                            const OwnerEntry* former);
 
-// What became of an ownership change.
+// The result of an ownership change.
 struct EpochAllocation {
   enum class Outcome : std::uint8_t {
-    Allocated,  // written: the new owner's epoch is `epoch`, the record's version `version`
-    Refused,    // not written, and never will be
-    InDoubt,    // may have been written, or may be yet
+    Allocated,  // committed with `epoch`; the record has version `version`
+    Refused,    // not committed, and never will be
+    InDoubt,    // may have been committed, or may still be
   };
   Outcome outcome = Outcome::InDoubt;
   Epoch epoch;
@@ -45,39 +45,39 @@
   [[nodiscard]] bool allocated() const { return outcome == Outcome::Allocated; }
 };
 
-// Allocates the next epoch of the cluster to a new owner, in one transaction with the owner's record. The
-// counter of epochs, the record and this controller's membership are conditions of the transaction, so that
-// of several controllers that try at once only one succeeds, and none without a lease.
+// Allocates the cluster's next epoch to a new owner and writes the owner record in the same transaction. The
+// transaction is conditional on the versions of the epoch counter, the record and this controller's node/
+// key, so that only one of several concurrent controllers succeeds, and none without a lease.
 //
-// One change is in flight at a time. After it the cluster view is brought up to date before another one may
-// begin, as it must show what was just written, or what kept it from being written.
+// Only one change is in flight at a time. After each change the cluster view is refreshed before the next one
+// may start, so that it shows the change, or the conflicting change that prevented it.
 class EpochAllocator {
  public:
-  // viewCurrent is called when the view has been brought up to date after a change and the next may begin.
-  // The references must outlive this object, and this object its calls on the store.
+  // onViewRefreshed is called when the view has been refreshed and the next change may start.
+  // The references must outlive this object, and this object must outlive its pending store calls.
   EpochAllocator(const Settings& settings, KeyValueStore& store, const ClusterView& view,
-                 const ControllerLease& lease, std::function<void()> viewCurrent);
+                 const ControllerLease& lease, std::function<void()> onViewRefreshed);
 
-  // A change is in flight, or the view is being brought up to date after one.
+  // Whether a change is in flight or the view is being refreshed.
   [[nodiscard]] bool busy() const { return phase_ == Phase::Busy; }
-  // Must not be called while busy. `done` is called once, before the view is brought up to date.
+  // Must not be called while busy. `done` is called once, before the view is refreshed.
   void allocate(const OwnershipChange& change, std::function<void(const EpochAllocation&)> done);
-  // Brings the view up to date without a change, unless that is about to happen anyway.
+  // Refreshes the view without a change, unless a change or refresh is already in progress.
   void refreshView();
 
  private:
   enum class Phase : std::uint8_t { Idle, Busy };
 
   [[nodiscard]] wire::Transaction transactionFor(const OwnershipChange& change, Epoch next) const;
-  void readShards();
-  void readControllers();
-  void viewRead(CatchUpResult result);
+  void refreshShards();
+  void refreshControllers();
+  void handleViewRefreshed(CatchUpResult result);
 
   const Settings& settings_;
   KeyValueStore& store_;
   const ClusterView& view_;
   const ControllerLease& lease_;
-  std::function<void()> viewCurrent_;
+  std::function<void()> onViewRefreshed_;
   Phase phase_ = Phase::Idle;
 };
 
--- a/src/cluster/keep_alive_proxy.cpp
+++ b/src/cluster/keep_alive_proxy.cpp
@@ -5,11 +5,11 @@
 namespace cherryloft {
 namespace {
 
-// Between a proxy's last statement that it answers nobody and its first answer: long enough for the owner to
-// notice that heartbeats are missing before any lease could end a moment too early in its shard state.
-constexpr Duration kDisclaimerValidity{5'000};
-// What the two clocks may drift apart within that time.
-constexpr Duration kDrift{100};
+// Minimum time between a proxy's last report that it is inactive and its first answer. It lets the owner
+// notice the missing heartbeats before its shard state could consider a worker's lease expired too early.
+constexpr Duration kInactiveReportValidity{5'000};
+// Maximum drift between the two clocks within that time.
+constexpr Duration kMaxClockDrift{100};
 
 std::int64_t toMs(Time time) { return time.time_since_epoch().count(); }
 Time fromMs(std::int64_t ms) { return Time{Duration{ms}}; }
@@ -21,29 +21,30 @@
   heartbeat.echo = peerSentAtMs_;
   heartbeat.proxy = contact == PeerContact::NotReceiving;
   heartbeat.answeredAgoMs = lastAnswerAt_ ? (now - *lastAnswerAt_).count() : -1;
-  if (contact == PeerContact::Receiving) lastDisclaimedAt_ = now;
+  if (contact == PeerContact::Receiving) lastReportedInactiveAt_ = now;
 }
 
 bool KeepAliveProxyState::acceptHeartbeat(const mesh::PeerHeartbeat& heartbeat, Time now) {
-  bool outdated =
-      heartbeat.life < peerLife_ || (heartbeat.life == peerLife_ && heartbeat.at <= peerSentAtMs_);
-  if (outdated) return false;
-  // A process that ended did not tell of its last answers.
-  if (heartbeat.life > peerLife_ && peerLife_ > 0)
-    answeredUntil_ = std::max(answeredUntil_, std::min(now, mayAnswerUntil_));
-  peerLife_ = heartbeat.life;
+  bool stale = heartbeat.life < peerIncarnation_ ||
+               (heartbeat.life == peerIncarnation_ && heartbeat.at <= peerSentAtMs_);
+  if (stale) return false;
+  // The previous process of the peer ended without reporting its last answers.
+  if (heartbeat.life > peerIncarnation_ && peerIncarnation_ > 0)
+    peerAnsweredUntil_ = std::max(peerAnsweredUntil_, std::min(now, peerMayAnswerUntil_));
+  peerIncarnation_ = heartbeat.life;
   peerSentAtMs_ = heartbeat.at;
-  // It echoes a heartbeat of ours, and is younger than that one, however late it comes. One from before our
-  // start may be by another clock.
-  bool echoesOurs = heartbeat.echo >= toMs(started_) && heartbeat.echo <= toMs(now);
-  if (echoesOurs && !heartbeat.proxy) disclaimedAt_ = std::max(disclaimedAt_, fromMs(heartbeat.echo));
+  // The echoed timestamp shows that the heartbeat is newer than the one of ours that it echoes, however late
+  // it arrives. A timestamp from before our start is ignored, as it may be from another clock.
+  bool echoesOurs = heartbeat.echo >= toMs(startedAt_) && heartbeat.echo <= toMs(now);
+  if (echoesOurs && !heartbeat.proxy)
+    peerInactiveAfter_ = std::max(peerInactiveAfter_, fromMs(heartbeat.echo));
   if (heartbeat.answeredAgoMs >= 0)
-    answeredUntil_ = std::max(answeredUntil_, now - Duration{heartbeat.answeredAgoMs});
-  mayAnswerUntil_ = now + maxProxyTime_;
+    peerAnsweredUntil_ = std::max(peerAnsweredUntil_, now - Duration{heartbeat.answeredAgoMs});
+  peerMayAnswerUntil_ = now + maxProxyTime_;
   peerShards_.clear();
-  allowedUntil_ = Time{};
+  mayProxyUntil_ = Time{};
   if (echoesOurs && heartbeat.ownsForMs > 0) {
-    allowedUntil_ = fromMs(heartbeat.echo) + std::min(Duration{heartbeat.ownsForMs} + grace_, maxProxyTime_);
+    mayProxyUntil_ = fromMs(heartbeat.echo) + std::min(Duration{heartbeat.ownsForMs} + grace_, maxProxyTime_);
     for (const auto& owned : heartbeat.owns)
       peerShards_[ShardId{owned.shard}] = {Epoch{owned.epoch}, Version{owned.cancelled}};
   }
@@ -52,16 +53,16 @@
 
 bool KeepAliveProxyState::mayAnswer(ShardId shard, Epoch epoch, Version knownUpTo, PeerContact contact,
                                     Time now) const {
-  if (contact == PeerContact::Receiving || now >= allowedUntil_) return false;
-  if (now - lastDisclaimedAt_ < kDisclaimerValidity + kDrift) return false;
-  auto statement = peerShards_.find(shard);
-  if (statement == peerShards_.end()) return false;
-  return statement->second.epoch == epoch && statement->second.lastCancellation <= knownUpTo;
+  if (contact == PeerContact::Receiving || now >= mayProxyUntil_) return false;
+  if (now - lastReportedInactiveAt_ < kInactiveReportValidity + kMaxClockDrift) return false;
+  auto reported = peerShards_.find(shard);
+  if (reported == peerShards_.end()) return false;
+  return reported->second.epoch == epoch && reported->second.lastCancellation <= knownUpTo;
 }
 
 Time KeepAliveProxyState::latestPossibleAnswer(Time now) const {
-  if (now - disclaimedAt_ < kDisclaimerValidity) return answeredUntil_;
-  return std::max(answeredUntil_, std::min(now, mayAnswerUntil_));
+  if (now - peerInactiveAfter_ < kInactiveReportValidity) return peerAnsweredUntil_;
+  return std::max(peerAnsweredUntil_, std::min(now, peerMayAnswerUntil_));
 }
 
 }  // namespace cherryloft
--- a/src/cluster/keep_alive_proxy.h
+++ b/src/cluster/keep_alive_proxy.h
@@ -1,8 +1,8 @@
-// Keep-alive proxying between two controllers (invariant 15). A controller that is cut off from a shard's
-// owner together with workers of that shard may answer their heartbeats in the owner's name, so that their
-// leases live on. It sends no commands but stops of cancelled tasks (invariant 16), and only for as long as
-// the owner itself might answer after losing its own lease. The owner, or whoever owns the shard next, counts
-// the leases of those workers from the last moment at which the proxy may have answered.
+// Keep-alive proxying between two controllers (invariant 15). A controller that is partitioned from a shard's
+// owner together with workers of that shard may answer their heartbeats on the owner's behalf, so that their
+// leases stay alive. It sends no commands except stops of cancelled tasks (invariant 16), and only for as
+// long as the owner itself could answer after losing its lease. The owner, or the next owner of the shard,
+// computes the leases of those workers from the latest time at which the proxy may have answered.
 #pragma once
 
 #include <cstdint>
@@ -14,59 +14,62 @@
 
 namespace cherryloft {
 
-// Whether the peer was heard directly of late, by Peers::hears.
+// Whether heartbeats were recently received directly from the peer, see Peers::receivesFrom.
 enum class PeerContact : std::uint8_t { Receiving, NotReceiving };
 
-// What one controller knows of one peer, in both roles: as a proxy for shards that the peer owns, and as an
-// owner for whose workers the peer may answer. No I/O and no clock of its own; times are of this controller's
-// steady clock unless said otherwise.
+// The proxying state that one controller keeps for one peer, in both roles: as a proxy for shards that the
+// peer owns, and as an owner whose workers the peer may answer. It does no I/O and reads no clock; times are
+// by this controller's steady clock unless noted otherwise.
 class KeepAliveProxyState {
  public:
-  // grace: how long an owner goes on answering after its lease ended (Settings::grace).
+  // grace: how long an owner continues to answer after its lease ended (Settings::grace).
   // maxProxyTime: how long a proxy may answer after a heartbeat of the owner (Settings::blindFor).
-  KeepAliveProxyState(Time started, Duration grace, Duration maxProxyTime)
-      : started_(started), grace_(grace), maxProxyTime_(maxProxyTime), lastDisclaimedAt_(started) {}
+  KeepAliveProxyState(Time startedAt, Duration grace, Duration maxProxyTime)
+      : startedAt_(startedAt),
+        grace_(grace),
+        maxProxyTime_(maxProxyTime),
+        lastReportedInactiveAt_(startedAt) {}
 
-  // Fills in the fields of a heartbeat to the peer that proxying needs. Call it for every one that is sent:
-  // with Receiving it is a statement that we answer nobody in the peer's name.
+  // Fills in the proxying fields of a heartbeat to the peer. Call it for every heartbeat sent: with Receiving
+  // the heartbeat reports that this controller is not proxying for the peer.
   void fillHeartbeat(mesh::PeerHeartbeat& heartbeat, PeerContact contact, Time now);
-  // Takes in a heartbeat from the peer. False if it is older than one that came before: it says nothing then.
+  // Processes a heartbeat from the peer. Returns false, and ignores it, if a newer one was received before.
   bool acceptHeartbeat(const mesh::PeerHeartbeat& heartbeat, Time now);
 
-  // As a proxy: whether we may answer a worker of that shard that holds a token of that epoch. knownUpTo: the
-  // revision up to which we know every change of jobs; we must know of each cancellation that the owner had
-  // committed by its latest heartbeat.
+  // As a proxy: whether this controller may answer a worker of the shard that holds a token of the epoch.
+  // knownUpTo: the revision up to which this controller has seen all job changes; it must cover every
+  // cancellation that the owner had committed by its latest heartbeat.
   [[nodiscard]] bool mayAnswer(ShardId shard, Epoch epoch, Version knownUpTo, PeerContact contact,
                                Time now) const;
-  // As a proxy: we answered a worker in the peer's name.
+  // As a proxy: records that a worker was answered on the peer's behalf.
   void recordAnswer(Time now) { lastAnswerAt_ = now; }
 
-  // As an owner: the latest moment until now at which the peer may have answered a worker of ours.
+  // As an owner: the latest time, up to now, at which the peer may have answered a worker of this controller.
   [[nodiscard]] Time latestPossibleAnswer(Time now) const;
 
  private:
-  // What the peer said of a shard that it owns.
-  struct OwnershipStatement {
+  // The peer's report on a shard that it owns.
+  struct ReportedOwnership {
     Epoch epoch;
     Version lastCancellation;
   };
 
-  Time started_;
+  Time startedAt_;
   Duration grace_;
   Duration maxProxyTime_;
-  std::uint64_t peerLife_ = 0;     // of the peer's process, later ones higher
-  std::int64_t peerSentAtMs_ = 0;  // by its clock, when it sent the latest heartbeat that was accepted
+  std::uint64_t peerIncarnation_ = 0;  // of the peer's process; increases with each restart
+  std::int64_t peerSentAtMs_ = 0;      // send time of the latest accepted heartbeat, by the peer's clock
 
   // As a proxy.
-  Time lastDisclaimedAt_{};  // our last statement to the peer that we answer nobody in its name
-  std::map<ShardId, OwnershipStatement> peerShards_;
-  Time allowedUntil_{};  // in its name
+  Time lastReportedInactiveAt_{};  // when the peer was last told that we are not proxying for it
+  std::map<ShardId, ReportedOwnership> peerShards_;
+  Time mayProxyUntil_{};  // latest time for answers on the peer's behalf
   std::optional<Time> lastAnswerAt_;
 
   // As an owner.
-  Time disclaimedAt_{};    // at some moment since then the peer answered nobody in our name
-  Time answeredUntil_{};   // it did so until then, by its own statement or at the latest
-  Time mayAnswerUntil_{};  // beyond this it may not, having heard from us
+  Time peerInactiveAfter_{};   // the peer was not proxying for us at some time after this
+  Time peerAnsweredUntil_{};   // latest answer on our behalf, reported or assumed
+  Time peerMayAnswerUntil_{};  // limit set by our last heartbeat that the peer received
 };
 
 }  // namespace cherryloft
--- a/src/cluster/keys.h
+++ b/src/cluster/keys.h
@@ -1,4 +1,4 @@
-// The keys of the shared records in the state service. These strings are on the wire: they never change.
+// The keys of the shared records in the state service. They are part of the wire format and never change.
 //
 // clang-format off
 // | key                    | value (codecs: wire/records.h, wire/cloud.h)              | written by        |
@@ -7,14 +7,14 @@
 // | host/<machine>.<epoch> | GroupRecord: machines of one type and zone in one shard   | leader and owners |
 // | share/<number>         | OwnerRecord: the owner of the shard and its epoch         | the new owner     |
 // | share/leader           | OwnerRecord: the leader and its epoch                     | the new leader    |
-// | share/epoch            | counter: the last epoch allocated                         | whoever takes one |
+// | share/epoch            | counter: the last epoch allocated                         | the allocator     |
 // | share/catalog          | Catalog: machine types and their offerings                | the leader        |
 // | share/groups           | counter: written with every creation of machine groups    | the leader        |
-// | node/<controller>      | exists for as long as the controller's lease lives        | that controller   |
+// | node/<controller>      | exists while the controller's lease is live               | that controller   |
 // | run/<shard>/<page>     | PageRecord: placements and done tasks of the shard's jobs | the shard's owner |
 // clang-format on
 //
-// A new job/ key is created by whichever controller the user submits to.
+// A new job/ key is created by the controller that receives the submission.
 #pragma once
 
 #include <string>
@@ -23,7 +23,7 @@
 
 namespace cherryloft::keys {
 
-// Prefixes that every controller follows with a watch cache.
+// Prefixes that every controller watches with a watch cache.
 inline const std::string kJobs = "job/";
 inline const std::string kMachines = "host/";
 inline const std::string kShards = "share/";
@@ -35,15 +35,14 @@
 inline const std::string kCatalog = "share/catalog";
 inline const std::string kGroups = "share/groups";
 
-// Whether the key lies under the prefix.
+// Whether the key starts with the prefix.
 [[nodiscard]] inline bool isUnder(const std::string& key, const std::string& prefix) {
   return key.compare(0, prefix.size(), prefix) == 0;
 }
 
 [[nodiscard]] inline std::string job(const JobId& id) { return kJobs + id.value; }
 
-// A group is named after its first machine and the epoch under which it was formed, so a name is never
-// reused.
+// A group is named after its first machine and the epoch in which it was created, so names are never reused.
 [[nodiscard]] inline std::string group(const MachineId& first, Epoch epoch) {
   return kMachines + first.value + "." + std::to_string(epoch.value);
 }
--- a/src/cluster/leader_election.cpp
+++ b/src/cluster/leader_election.cpp
@@ -6,7 +6,7 @@
 
 namespace cherryloft {
 namespace {
-// Leadership has no preferred owner of its own: the ring begins where that of the first shard does.
+// Leadership has no preferred owner, so its takeover order is that of the first shard.
 constexpr ShardId kRingStart{0};
 }  // namespace
 
@@ -25,15 +25,15 @@
 }
 
 void LeaderElection::updateLeadership(Time now) {
-  bool leads = lease_.mayOwn(now) && view_.leader && namesThisController(*view_.leader) &&
-               view_.leader->version > lease_.joinVersion();
-  if (leads == leads_) return;
-  leads_ = leads;
-  leadershipChanged_(leads);
+  bool isLeader = lease_.mayOwn(now) && view_.leader && namesThisController(*view_.leader) &&
+                  view_.leader->version > lease_.joinVersion();
+  if (isLeader == isLeader_) return;
+  isLeader_ = isLeader;
+  leadershipChanged_(isLeader);
 }
 
 void LeaderElection::review(Time now) {
-  if (leads_) return;
+  if (isLeader_) return;
   const auto& leader = view_.leader;
   bool ledBeforeJoin = leader && namesThisController(*leader);
   if (leader && !ledBeforeJoin && view_.alive(leader->record.owner)) {
--- a/src/cluster/leader_election.h
+++ b/src/cluster/leader_election.h
@@ -1,4 +1,4 @@
-// LeaderElection: whether this controller leads, and its candidacy when nobody does.
+// LeaderElection: tracks whether this controller is the leader and makes it a candidate if there is none.
 #pragma once
 
 #include <functional>
@@ -10,25 +10,26 @@
 
 namespace cherryloft {
 
-// The leader is the owner of one record, which changes hands as a shard does. A controller leads while it may
-// own anything, the view shows it as the leader, and that record is newer than its own last join: leadership
-// from before the join is not resumed, but written anew with an epoch of its own.
+// The leader is the owner of the leader record, which changes owners in the same way as a shard record. A
+// controller is the leader while its lease allows ownership, the view shows it as the leader, and the record
+// is newer than its last join. Leadership from before the join is not resumed; it is acquired again with a
+// new epoch.
 //
-// Election, step by step:
-//   1. The record names nobody, or a controller without a lease: the time without a leader is counted.
-//   2. Living controllers wait for their turn (takeover_order.h), then write themselves into the record.
-//   3. The one that succeeded leads once its view shows the record.
+// Election steps:
+//   1. If there is no record, or its owner has no lease, the time without a leader is measured.
+//   2. Live controllers wait for their takeover delay (takeover_order.h), then write the record.
+//   3. The one that succeeds becomes the leader once its view shows the record.
 class LeaderElection {
  public:
-  // leadershipChanged: told whether this controller leads from now on. The references must outlive this
-  // object.
+  // leadershipChanged is called with whether this controller is now the leader. The references must outlive
+  // this object.
   LeaderElection(const Settings& settings, Log log, const ClusterView& view, const ControllerLease& lease,
                  EpochAllocator& epochs, std::function<void(bool)> leadershipChanged);
 
-  // Begins or ends leading, as view and lease say.
+  // Starts or ends leadership according to the view and the lease.
   void updateLeadership(Time now);
-  // Becomes a candidate if there is no leader and it is our turn. To be called only while the lease lets us
-  // own things and no change of ownership is in flight.
+  // Writes the leader record if there is no leader and the takeover delay has passed. Call only while the
+  // lease allows ownership and no ownership change is in flight.
   void review(Time now);
 
  private:
@@ -41,7 +42,7 @@
   const ControllerLease& lease_;
   EpochAllocator& epochs_;
   std::function<void(bool)> leadershipChanged_;
-  bool leads_ = false;
+  bool isLeader_ = false;
   std::optional<Time> leaderlessSince_;
 };
 
--- a/src/cluster/machine_group_rewrite.cpp
+++ b/src/cluster/machine_group_rewrite.cpp
@@ -8,18 +8,19 @@
 namespace cherryloft {
 namespace {
 
-// From a split until the group is rewritten: whoever is reading all groups, key after key, has seen the new
-// ones by then.
-constexpr Duration kSplitSettleTime{5'000};
+// Time between a split and the rewrite of the group: any reader that lists all groups page by page has seen
+// the new groups by then.
+constexpr Duration kSplitPropagationTime{5'000};
 
-// Of the keys that a group's members could name, one that is free: groups made of parts have no epoch of
-// their own that would make the first member's key unique.
+// Returns a free key among those derived from the group's members. Groups created by a split keep the epoch
+// of the original group, so the key of the first member may already exist.
 std::string freeKey(const wire::GroupRecord& group, const GroupExists& exists) {
   for (const auto& member : group.members) {
     auto key = keys::group(member.id, group.token);
     if (!exists(key)) return key;
   }
-  // None is: the write's condition, that the key does not exist, will fail and leave everything as it is.
+  // No key is free: the write requires that the key does not exist, so the transaction will fail without
+  // effect.
   return keys::group(group.members.front().id, group.token);
 }
 
@@ -35,24 +36,24 @@
   while (!remaining.members.empty()) {
     auto part = remaining;
     while (part.members.size() > 1 && wire::encodeGroup(part).size() > valueBytes) part.members.pop_back();
-    auto taken = static_cast<std::ptrdiff_t>(part.members.size());
-    remaining.members.erase(remaining.members.begin(), remaining.members.begin() + taken);
+    auto count = static_cast<std::ptrdiff_t>(part.members.size());
+    remaining.members.erase(remaining.members.begin(), remaining.members.begin() + count);
     parts.push_back(std::move(part));
   }
   return parts;
 }
 
 MachineGroupRewrite rewriteGroup(const std::string& key, Version version, const wire::GroupRecord& group,
-                                 std::size_t valueBytes, std::size_t mostWrites, const GroupExists& exists) {
+                                 std::size_t valueBytes, std::size_t maxWrites, const GroupExists& exists) {
   MachineGroupRewrite rewrite;
   auto parts = splitToFit(group, valueBytes);
   if (parts.empty()) rewrite.writes.push_back({{key, std::nullopt, {}}, version});
   if (parts.size() == 1) rewrite.writes.push_back({{key, wire::encodeGroup(group), {}}, version});
   rewrite.splits = parts.size() > 1;
   if (!rewrite.splits) return rewrite;
-  // The first part is what will be left of the group itself.
+  // The first part stays in the group itself.
   parts.erase(parts.begin());
-  parts.resize(std::min(parts.size(), mostWrites));
+  parts.resize(std::min(parts.size(), maxWrites));
   for (const auto& part : parts) rewrite.writes.push_back(creationOf(part, exists));
   return rewrite;
 }
@@ -67,7 +68,7 @@
 bool MachineGroupSplits::recentlySplit(const std::string& key, Time now) {
   auto split = splitAt_.find(key);
   if (split == splitAt_.end()) return false;
-  if (now - split->second < kSplitSettleTime) return true;
+  if (now - split->second < kSplitPropagationTime) return true;
   splitAt_.erase(split);
   return false;
 }
--- a/src/cluster/machine_group_rewrite.h
+++ b/src/cluster/machine_group_rewrite.h
@@ -1,13 +1,12 @@
 // Rewrites the record of a machine group within the limits of the state service.
 //
-// A record that was written under a larger limit may have outgrown a value. It is then rewritten in two
-// steps:
+// A record that was written under a larger limit may exceed the current maximum value size. It is then
+// rewritten in two steps:
 //
-//   1. Split: its last members get new groups, in a transaction that leaves the group itself as it is.
-//   Readers
-//      take the newer of two records of a machine, so that at no moment a machine is without one.
-//   2. Once every reader has seen the new groups (MachineGroupSplits), the group's own record is written
-//      without these members, and fits.
+//   1. Split: the last members are copied to new groups, in a transaction that does not change the group
+//      itself. Readers use the newer of two records of a machine, so every machine always has one.
+//   2. Once every reader has seen the new groups (MachineGroupSplits), the group's own record is rewritten
+//      without these members and fits the limit.
 #pragma once
 
 #include <cstddef>
@@ -21,41 +20,41 @@
 
 namespace cherryloft {
 
-// Whether a key of the machine groups exists, as far as is known.
+// Whether a machine group with that key is known to exist.
 using GroupExists = std::function<bool(const std::string& key)>;
 
 struct MachineGroupRewrite {
   std::vector<ConditionalWrite> writes;
-  // A split: the writes only create groups for some members, the group itself is to be written later.
+  // The writes only create groups for some members; the group itself is rewritten later.
   bool splits = false;
 };
 
-// Splits a group into parts whose records fit a value of that many bytes, members in the order given. A part
-// has one member at least, whatever its size. No parts if there are no members.
+// Splits a group into parts whose records fit into `valueBytes`, keeping the order of members. A part has at
+// least one member, whatever its size. Returns no parts if there are no members.
 [[nodiscard]] std::vector<wire::GroupRecord> splitToFit(const wire::GroupRecord& group,
                                                         std::size_t valueBytes);
 
-// The writes that put the group under its key, on condition of its version; without members they drop the
-// key. If the group has outgrown a value: those that create new groups for the members that do not fit, at
-// most `mostWrites`; their transaction must addCondition the group's version (MachineGroupSplits::add does).
+// Returns the writes that store the group under its key on condition of its version, or delete the key if the
+// group has no members. If the record exceeds the maximum value size, returns at most `maxWrites` writes that
+// create new groups for the members that do not fit; their transaction must be conditional on the group's
+// version (MachineGroupSplits::add adds that condition).
 [[nodiscard]] MachineGroupRewrite rewriteGroup(const std::string& key, Version version,
                                                const wire::GroupRecord& group, std::size_t valueBytes,
-                                               std::size_t mostWrites, const GroupExists& exists);
+                                               std::size_t maxWrites, const GroupExists& exists);
 
-// The writes that create the group, in as many parts as it takes, under keys that are free. Their transaction
-// must have a condition that fails once it was carried out, as the absence of a key does not tell that it was
-// never there.
+// Returns the writes that create the group under free keys, in as many parts as needed. Their transaction
+// must have a condition that fails once it has been executed: a key that does not exist may have been created
+// and deleted since.
 [[nodiscard]] std::vector<ConditionalWrite> createGroup(const wire::GroupRecord& group,
                                                         std::size_t valueBytes, const GroupExists& exists);
 
-// Remembers which groups were split, so that they are not rewritten before every reader has seen the new
-// ones.
+// Tracks recently split groups, so that they are not rewritten before every reader has seen the new groups.
 class MachineGroupSplits {
  public:
-  // Whether the group was split too recently to be rewritten. Forgets splits that are old enough.
+  // Whether the group was split too recently to be rewritten. Removes the entry of an older split.
   [[nodiscard]] bool recentlySplit(const std::string& key, Time now);
-  // Adds the rewrite of the group with that version to the transaction, and notes a split. False, and nothing
-  // is added or noted, if it does not fit.
+  // Adds the rewrite of the group with that version to the transaction and records a split. Returns false,
+  // without any effect, if the rewrite does not fit.
   [[nodiscard]] bool add(TransactionBuilder& transaction, const std::string& key, Version version,
                          const MachineGroupRewrite& rewrite, Time now);
 
--- a/src/cluster/membership.cpp
+++ b/src/cluster/membership.cpp
@@ -4,8 +4,8 @@
 
 namespace cherryloft {
 namespace {
-// Between two reviews that no change brings about: what is due by the clock (a turn to take over, a return,
-// the end of the validity) is late by at most that.
+// Interval between reviews without any change. Time-based actions (takeover, return to the preferred owner,
+// end of the lease's validity) are delayed by at most this.
 constexpr Duration kReviewInterval{250};
 }  // namespace
 
--- a/src/cluster/membership.h
+++ b/src/cluster/membership.h
@@ -1,4 +1,4 @@
-// Membership: this controller's part in the cluster: its lease, the shards it owns, and whether it leads.
+// Membership: this controller's role in the cluster: its lease, its shards, and whether it is the leader.
 #pragma once
 
 #include <cstdint>
@@ -14,34 +14,34 @@
 
 namespace cherryloft {
 
-// Composes ControllerLease, ShardOwnership and LeaderElection, and reviews them against the cluster view: on
-// every change of shards or controllers, after every change of ownership, and at least four times a second.
+// Composes ControllerLease, ShardOwnership and LeaderElection and updates them from the cluster view: on
+// every change of shards or controllers, after every ownership change, and at least four times a second.
 //
-// All callbacks come on the controller's own turn; none may destroy this object.
+// Callbacks run on the controller's thread and must not destroy this object.
 class Membership {
  public:
   struct Callbacks {
     std::function<void(const LeaseValidity&)> leaseValidityChanged;
     std::function<void(const ShardTakeover&)> takenOver;
     std::function<void(ShardId)> lost;
-    // Told whether this controller leads from now on.
+    // Called with whether this controller is now the leader.
     std::function<void(bool)> leadershipChanged;
-    // Asks the shard's scheduler to transfer the shard to that controller when it can.
+    // Requests that the shard's scheduler transfer the shard to that controller when it can.
     std::function<void(ShardId, const ControllerId&)> returnToPreferredOwner;
   };
 
   // The references must outlive this object.
   Membership(const Settings& settings, Runtime& runtime, const Log& log, KeyValueStore& store,
              const ClusterView& view, Callbacks callbacks);
-  // To be called once, after the watches of shards and controllers have begun.
+  // Call once, after the watches of shards and controllers have been started.
   void start();
-  // The cluster view changed under share/ or node/.
+  // Call when the cluster view changed under share/ or node/.
   void changed() { review(); }
 
   [[nodiscard]] LeaseValidity leaseValidity() const { return lease_.validity(); }
-  // The shards owned, each with the epoch of the ownership.
+  // The owned shards, each with the epoch of its ownership.
   [[nodiscard]] const std::map<ShardId, Epoch>& owned() const { return shards_.owned(); }
-  // As in ShardOwnership.
+  // See ShardOwnership.
   void transferOwnership(ShardId shard, Version version, const ControllerId& newOwner,
                          ShardOwnership::TransferDone done);
   void dropOwnership(ShardId shard) { shards_.dropOwnership(shard); }
--- a/src/cluster/peers.cpp
+++ b/src/cluster/peers.cpp
@@ -6,12 +6,12 @@
 namespace {
 
 constexpr Duration kHeartbeatInterval{400};
-// A peer counts as heard for so long: four intervals, and a little for the way.
-constexpr Duration kHeardFor{1'700};
-// An unheard peer's connection is given up no more often than this.
+// Time after its last heartbeat for which a peer counts as received from: four intervals plus transit time.
+constexpr Duration kHeartbeatTimeout{1'700};
+// Minimum interval between reconnects to a silent peer.
 constexpr Duration kReconnectInterval{2'500};
-// Ids of requests begin at the start time of the process shifted by so many bits, so that late answers to an
-// earlier process match none of ours.
+// Request ids start at the process start time shifted left by this many bits, so that late answers to an
+// earlier process never match a request of this one.
 constexpr unsigned kRequestCountBits = 20;
 
 }  // namespace
@@ -21,57 +21,58 @@
       runtime_(runtime),
       callbacks_(std::move(callbacks)),
       self_(settings.preferredShard(settings.controller).value),
-      life_(static_cast<std::uint64_t>(runtime.wall().value)),
-      lastRequestId_(life_ << kRequestCountBits) {
-  KeepAliveProxyState link(runtime.now(), settings.grace(), settings.blindFor());
-  peers_.assign(settings.size(), Peer{{}, {}, {}, link});
+      incarnation_(static_cast<std::uint64_t>(runtime.wall().value)),
+      lastRequestId_(incarnation_ << kRequestCountBits) {
+  KeepAliveProxyState proxyState(runtime.now(), settings.grace(), settings.blindFor());
+  peers_.assign(settings.size(), Peer{{}, {}, {}, proxyState});
 }
 
 void Peers::start() { sendHeartbeats(); }
 
-// --- who hears whom ---
+// --- reachability ---
 
-bool Peers::hears(PeerNumber peer) const {
-  auto heardAt = peers_[peer].lastHeartbeatAt;
-  return heardAt != Time{} && runtime_.now() - heardAt < kHeardFor;
+bool Peers::receivesFrom(PeerNumber peer) const {
+  auto receivedAt = peers_[peer].lastHeartbeatAt;
+  return receivedAt != Time{} && runtime_.now() - receivedAt < kHeartbeatTimeout;
 }
 
 bool Peers::receivesFromAny() const {
   for (PeerNumber peer = 0; peer < peers_.size(); ++peer)
-    if (peer != self_ && hears(peer)) return true;
+    if (peer != self_ && receivesFrom(peer)) return true;
   return false;
 }
 
 bool Peers::anyPeerHoldsLease() const {
   for (PeerNumber peer = 0; peer < peers_.size(); ++peer)
-    if (peer != self_ && hears(peer) && peers_[peer].heartbeat.ownsForMs > 0) return true;
+    if (peer != self_ && receivesFrom(peer) && peers_[peer].heartbeat.ownsForMs > 0) return true;
   return false;
 }
 
-bool Peers::reaches(PeerNumber peer) const { return hears(peer) || hopTo(peer); }
+bool Peers::canReach(PeerNumber peer) const { return receivesFrom(peer) || relayTo(peer); }
 
-std::optional<PeerNumber> Peers::hopTo(PeerNumber to) const {
+std::optional<PeerNumber> Peers::relayTo(PeerNumber to) const {
   for (PeerNumber peer = 0; peer < peers_.size(); ++peer) {
-    if (peer == self_ || peer == to || !hears(peer)) continue;
+    if (peer == self_ || peer == to || !receivesFrom(peer)) continue;
     if (peers_[peer].heartbeat.hears >> to & 1U) return peer;
   }
   return std::nullopt;
 }
 
 PeerContact Peers::contactWith(PeerNumber peer) const {
-  return hears(peer) ? PeerContact::Receiving : PeerContact::NotReceiving;
+  return receivesFrom(peer) ? PeerContact::Receiving : PeerContact::NotReceiving;
 }
 
 // --- keep-alive proxying ---
 
 bool Peers::mayProxyFor(PeerNumber owner, ShardId shard, Epoch epoch, Version knownUpTo) const {
-  return peers_[owner].proxyLink.mayAnswer(shard, epoch, knownUpTo, contactWith(owner), runtime_.now());
+  return peers_[owner].proxyState.mayAnswer(shard, epoch, knownUpTo, contactWith(owner), runtime_.now());
 }
 
 Time Peers::latestPossibleProxyAnswer() const {
   Time latest{};
   for (PeerNumber peer = 0; peer < peers_.size(); ++peer)
-    if (peer != self_) latest = std::max(latest, peers_[peer].proxyLink.latestPossibleAnswer(runtime_.now()));
+    if (peer != self_)
+      latest = std::max(latest, peers_[peer].proxyState.latestPossibleAnswer(runtime_.now()));
   return latest;
 }
 
@@ -81,29 +82,29 @@
   runtime_.after(kHeartbeatInterval, [this] { sendHeartbeats(); });
   auto now = runtime_.now();
   auto heartbeat = callbacks_.heartbeat();
-  heartbeat.life = life_;
+  heartbeat.life = incarnation_;
   heartbeat.hears = 0;
   for (PeerNumber peer = 0; peer < peers_.size(); ++peer)
-    if (peer != self_ && hears(peer)) heartbeat.hears |= 1U << peer;
+    if (peer != self_ && receivesFrom(peer)) heartbeat.hears |= 1U << peer;
   for (PeerNumber peer = 0; peer < peers_.size(); ++peer) {
     if (peer == self_) continue;
-    reconnectIfUnheard(peer, now);
-    peers_[peer].proxyLink.fillHeartbeat(heartbeat, contactWith(peer), now);
+    reconnectIfSilent(peer, now);
+    peers_[peer].proxyState.fillHeartbeat(heartbeat, contactWith(peer), now);
     runtime_.mesh(peer, {self_, peer, heartbeat});
   }
 }
 
-// What lies in a stuck connection would arrive late and in the way of what is new.
-void Peers::reconnectIfUnheard(PeerNumber peer, Time now) {
-  if (hears(peer) || now - peers_[peer].reconnectedAt <= kReconnectInterval) return;
+// Data queued in a stalled connection would arrive late and delay newer messages.
+void Peers::reconnectIfSilent(PeerNumber peer, Time now) {
+  if (receivesFrom(peer) || now - peers_[peer].reconnectedAt <= kReconnectInterval) return;
   peers_[peer].reconnectedAt = now;
   runtime_.remesh(peer);
 }
 
 void Peers::send(PeerNumber to, mesh::Payload payload) {
   mesh::Frame frame{self_, to, std::move(payload)};
-  auto hop = hears(to) ? std::nullopt : hopTo(to);
-  runtime_.mesh(hop.value_or(to), frame);
+  auto relay = receivesFrom(to) ? std::nullopt : relayTo(to);
+  runtime_.mesh(relay.value_or(to), frame);
 }
 
 void Peers::send(const ControllerId& to, mesh::Payload payload) {
@@ -116,7 +117,7 @@
     if (peer != self_) send(peer, payload);
 }
 
-std::uint64_t Peers::expectAnswer(Duration deadline, AnswerHandler done) {
+std::uint64_t Peers::registerRequest(Duration deadline, AnswerHandler done) {
   auto id = ++lastRequestId_;
   pendingRequests_[id] = std::move(done);
   runtime_.after(deadline, [this, id] { finishRequest(id, nullptr); });
@@ -128,7 +129,7 @@
 void Peers::handleFrame(const mesh::Frame& frame) {
   if (frame.from >= peers_.size() || frame.to >= peers_.size() || frame.from == self_) return;
   if (frame.to != self_)
-    return runtime_.mesh(frame.to, frame);  // we are the one hop: it is not passed on again
+    return runtime_.mesh(frame.to, frame);  // relayed through this controller, at most once
   if (const auto* heartbeat = std::get_if<mesh::PeerHeartbeat>(&frame.payload))
     handleHeartbeat(frame.from, *heartbeat);
   else if (const auto* answer = std::get_if<mesh::Answer>(&frame.payload))
@@ -139,8 +140,8 @@
 
 void Peers::handleHeartbeat(PeerNumber from, const mesh::PeerHeartbeat& heartbeat) {
   auto& peer = peers_[from];
-  bool newest = peer.proxyLink.acceptHeartbeat(heartbeat, runtime_.now());
-  if (!newest) return;  // held back on its way, and passed by a later one
+  bool newest = peer.proxyState.acceptHeartbeat(heartbeat, runtime_.now());
+  if (!newest) return;  // delayed in transit and overtaken by a newer one
   peer.lastHeartbeatAt = runtime_.now();
   peer.heartbeat = heartbeat;
 }
--- a/src/cluster/peers.h
+++ b/src/cluster/peers.h
@@ -1,6 +1,6 @@
-// Peers: what this controller says to and hears from the others. Heartbeats between controllers, requests
-// with a deadline, one hop through a third controller around a cut link, and the keep-alive proxying that
-// follows from who hears whom (invariant 15).
+// Peers: communication between this controller and the others. Sends heartbeats and requests with deadlines,
+// relays frames through a third controller when a link is down, and tracks keep-alive proxying, which depends
+// on the reachability of the peers (invariant 15).
 #pragma once
 
 #include <cstdint>
@@ -15,58 +15,60 @@
 
 namespace cherryloft {
 
-// The place of a controller in the settings, the same at all of them.
+// The index of a controller in the settings, which is the same on all controllers.
 using PeerNumber = std::uint32_t;
 
-// One per controller, on the controller's thread. Settings and runtime must outlive it. Numbers of peers must
-// be below Settings::size().
+// One instance per controller, used on the controller's thread only. Settings and runtime must outlive it.
+// Peer numbers must be below Settings::size().
 class Peers {
  public:
   struct Callbacks {
-    // A message came, from that controller, that is neither a heartbeat nor an answer.
+    // Called for a message that is neither a heartbeat nor an answer.
     std::function<void(PeerNumber from, const mesh::Payload&)> received;
-    // What to say of ourselves in a heartbeat; the fields that Peers knows are filled in here.
+    // Returns this controller's next heartbeat; Peers fills in the fields that it maintains itself.
     std::function<mesh::PeerHeartbeat()> heartbeat;
   };
-  // Told the answer, or null if none came within the deadline. Called exactly once.
+  // Called exactly once: with the answer, or with null if none arrived before the deadline.
   using AnswerHandler = std::function<void(const mesh::Answer*)>;
 
   Peers(const Settings& settings, Runtime& runtime, Callbacks callbacks);
 
-  // Sends the first heartbeats; they go on until the end.
+  // Starts sending heartbeats periodically.
   void start();
-  // Takes in a frame from the mesh. One for another controller is passed on.
+  // Processes a frame from the mesh. A frame for another controller is forwarded.
   void handleFrame(const mesh::Frame& frame);
 
-  // Messages may be lost without notice. A peer that is not heard is sent to through one that hears it.
+  // Sends a message, which may be lost without notice. If no heartbeats arrive from the peer, the message is
+  // relayed through a third controller that receives them.
   void send(PeerNumber to, mesh::Payload payload);
-  // Does nothing if that controller is this one or is not in the settings.
+  // Does nothing if `to` is this controller or is not in the settings.
   void send(const ControllerId& to, mesh::Payload payload);
   void broadcast(const mesh::Payload& payload);
-  // Sends a request that is answered with mesh::Answer; its id is set here.
+  // Sends a request that is answered with mesh::Answer; sets its id.
   template <class Request>
-  void ask(const ControllerId& to, Request request, Duration deadline, AnswerHandler done) {
-    request.id = expectAnswer(deadline, std::move(done));
+  void sendRequest(const ControllerId& to, Request request, Duration deadline, AnswerHandler done) {
+    request.id = registerRequest(deadline, std::move(done));
     send(to, std::move(request));
   }
 
-  // Whether heartbeats of that peer come to us directly.
-  [[nodiscard]] bool hears(PeerNumber peer) const;
+  // Whether heartbeats are being received directly from the peer.
+  [[nodiscard]] bool receivesFrom(PeerNumber peer) const;
   [[nodiscard]] bool receivesFromAny() const;
-  // When its latest heartbeat came; Time{} if none ever did.
+  // When the peer's latest heartbeat arrived; Time{} if none did yet.
   [[nodiscard]] Time lastHeartbeatAt(PeerNumber peer) const { return peers_[peer].lastHeartbeatAt; }
-  // Some peer that is heard holds its lease: the state service is there for others.
+  // Whether a peer from which heartbeats are received holds its lease, i.e. the state service is available to
+  // it.
   [[nodiscard]] bool anyPeerHoldsLease() const;
-  // It is heard, or a peer that is heard hears it.
-  [[nodiscard]] bool reaches(PeerNumber peer) const;
-  [[nodiscard]] bool reaches(const ControllerId& peer) const { return reaches(numberOf(peer)); }
+  // Whether the peer can be reached directly or through a relay.
+  [[nodiscard]] bool canReach(PeerNumber peer) const;
+  [[nodiscard]] bool canReach(const ControllerId& peer) const { return canReach(numberOf(peer)); }
 
-  // Whether a worker of a shard of that owner's, with a token of that epoch, may be answered in its name,
-  // when we know every change of jobs up to that revision (invariant 15).
+  // Whether a worker of the owner's shard that holds a token of that epoch may be answered on the owner's
+  // behalf, given that all job changes up to `knownUpTo` have been seen (invariant 15).
   [[nodiscard]] bool mayProxyFor(PeerNumber owner, ShardId shard, Epoch epoch, Version knownUpTo) const;
-  // A worker's heartbeat was answered in that owner's name.
-  void recordProxyAnswerFor(PeerNumber owner) { peers_[owner].proxyLink.recordAnswer(runtime_.now()); }
-  // The latest moment at which any peer may have answered a worker in our name (invariant 15).
+  // Records that a worker's heartbeat was answered on the owner's behalf.
+  void recordProxyAnswerFor(PeerNumber owner) { peers_[owner].proxyState.recordAnswer(runtime_.now()); }
+  // The latest time at which any peer may have answered a worker on this controller's behalf (invariant 15).
   [[nodiscard]] Time latestPossibleProxyAnswer() const;
 
   [[nodiscard]] PeerNumber self() const { return self_; }
@@ -77,26 +79,26 @@
  private:
   struct Peer {
     Time lastHeartbeatAt{};
-    mesh::PeerHeartbeat heartbeat;  // the latest
-    Time reconnectedAt{};           // when our connection to it was last given up
-    KeepAliveProxyState proxyLink;
+    mesh::PeerHeartbeat heartbeat;  // the latest one received
+    Time reconnectedAt{};           // when the connection to it was last reset
+    KeepAliveProxyState proxyState;
   };
   [[nodiscard]] PeerContact contactWith(PeerNumber peer) const;
-  // A peer that is heard and hears that one.
-  [[nodiscard]] std::optional<PeerNumber> hopTo(PeerNumber to) const;
-  std::uint64_t expectAnswer(Duration deadline, AnswerHandler done);
-  // Ends the wait for that answer; an answer nobody waits for any more is dropped.
+  // A peer with mutual contact: heartbeats are received from it, and it receives those of `to`.
+  [[nodiscard]] std::optional<PeerNumber> relayTo(PeerNumber to) const;
+  std::uint64_t registerRequest(Duration deadline, AnswerHandler done);
+  // Completes the pending request; an answer without a pending request is dropped.
   void finishRequest(std::uint64_t id, const mesh::Answer* answer);
   void sendHeartbeats();
-  void reconnectIfUnheard(PeerNumber peer, Time now);
+  void reconnectIfSilent(PeerNumber peer, Time now);
   void handleHeartbeat(PeerNumber from, const mesh::PeerHeartbeat& heartbeat);
 
   const Settings& settings_;
   Runtime& runtime_;
   Callbacks callbacks_;
   PeerNumber self_;
-  std::uint64_t life_;       // of this process, later ones higher
-  std::vector<Peer> peers_;  // by number; the one of ourselves stays unused
+  std::uint64_t incarnation_;  // of this process; increases with each restart
+  std::vector<Peer> peers_;    // by number; the entry of this controller is unused
   std::map<std::uint64_t, AnswerHandler> pendingRequests_;
   std::uint64_t lastRequestId_ = 0;
 };
--- a/src/cluster/shard_ownership.cpp
+++ b/src/cluster/shard_ownership.cpp
@@ -6,11 +6,11 @@
 
 namespace cherryloft {
 namespace {
-// How much longer a shard that nobody ever owned waits for its preferred owner: at the first start of a
-// cluster the controllers start one after another, and each should begin with its own shard.
+// Additional takeover delay for a shard that never had an owner. When a cluster is first started, controllers
+// start one after another, and each should acquire its preferred shard.
 constexpr Duration kFirstOwnerDelay{4'000};
-// Between two requests to return a shard, as a transfer may have been refused.
-constexpr Duration kReturnRequestInterval{5'000};
+// Interval between requests to return a shard, as a transfer may be refused.
+constexpr Duration kReturnRetryInterval{5'000};
 }  // namespace
 
 ShardOwnership::ShardOwnership(const Settings& settings, Runtime& runtime, Log log, const ClusterView& view,
@@ -79,7 +79,7 @@
   }
   const auto& owner = entry->second;
   if (namesThisController(owner)) {
-    reviewShardInOurName(shard, owner);
+    reviewShardRecordedAsOurs(shard, owner);
     return;
   }
   if (view_.alive(owner.record.owner)) {
@@ -95,14 +95,15 @@
   if (preferredOwner == settings_.controller || alive == aliveSince_.end()) return;
   if (now - alive->second < settings_.tuning.returnOwnershipAfter) return;
   auto& requestedAt = returnRequestedAt_[shard];
-  if (now - requestedAt < kReturnRequestInterval) return;
+  if (now - requestedAt < kReturnRetryInterval) return;
   requestedAt = now;
   callbacks_.returnToPreferredOwner(shard, preferredOwner);
 }
 
-// The record names this controller, which does not act for the shard. Transferred to this very process: its
-// epoch is fresh. Left over from an earlier process: a new one must be allocated.
-void ShardOwnership::reviewShardInOurName(ShardId shard, const OwnerEntry& entry) {
+// The record names this controller, which does not act as the owner yet. If the shard was transferred to this
+// process, its epoch is new and can be used. If the record is from an earlier process, a new epoch must be
+// allocated.
+void ShardOwnership::reviewShardRecordedAsOurs(ShardId shard, const OwnerEntry& entry) {
   bool transferredToThisProcess =
       entry.version > lease_.joinVersion() && entry.record.epoch > lastUsedEpoch_[shard];
   if (transferredToThisProcess)
@@ -111,7 +112,7 @@
     takeOver(shard, &entry);
 }
 
-// `former` is nothing if the shard never had an owner.
+// `former` is null if the shard never had an owner.
 void ShardOwnership::takeOverWhenDue(ShardId shard, const OwnerEntry* former, Time now) {
   auto since = ownerlessSince_.try_emplace(shard, now).first->second;
   auto delay = takeoverDelay(settings_, view_, shard);
@@ -133,8 +134,8 @@
   lastUsedEpoch_[shard] = epoch;
   ownerlessSince_.erase(shard);
   returnRequestedAt_[shard] = runtime_.now();
-  // The former owner, or a keep-alive proxy of its, may answer for its grace; one that transferred the shard
-  // and lives, also for its lease (invariant 6).
+  // The former owner, or its keep-alive proxy, may answer heartbeats for the grace period. A former owner
+  // that transferred the shard and is live may in addition do so until its lease ends (invariant 6).
   auto formerOwnerAnswersFor = settings_.grace() + settings_.leaseTtl();
   callbacks_.takenOver({shard, epoch, version, formerOwnerAnswersFor});
 }
@@ -149,12 +150,12 @@
   OwnershipChange change{keys::shard(shard), version, newOwner,
                          ControllerCondition{newOwner, controller->second}};
   epochs_.allocate(change, [this, shard, done = std::move(done)](const EpochAllocation& allocation) {
-    transferAnswered(shard, allocation, done);
+    handleTransferResult(shard, allocation, done);
   });
 }
 
-void ShardOwnership::transferAnswered(ShardId shard, const EpochAllocation& allocation,
-                                      const TransferDone& done) {
+void ShardOwnership::handleTransferResult(ShardId shard, const EpochAllocation& allocation,
+                                          const TransferDone& done) {
   if (allocation.outcome == EpochAllocation::Outcome::Refused) {
     done(TransferOutcome::StillOwned);
     return;
--- a/src/cluster/takeover_order.cpp
+++ b/src/cluster/takeover_order.cpp
@@ -3,23 +3,23 @@
 namespace cherryloft {
 namespace {
 
-// How long the next in line waits for the one before it.
+// Additional delay for each live controller that is earlier in the order.
 constexpr Duration kTakeoverStep{1'500};
 
-unsigned livingControllersBefore(const Settings& settings, const ClusterView& view, ShardId shard) {
-  unsigned living = 0;
+unsigned liveControllersBefore(const Settings& settings, const ClusterView& view, ShardId shard) {
+  unsigned live = 0;
   for (unsigned step = 0; step < settings.size(); ++step) {
     const auto& controller = settings.controllers[(shard.value + step) % settings.size()];
     if (controller == settings.controller) break;
-    if (view.alive(controller)) ++living;
+    if (view.alive(controller)) ++live;
   }
-  return living;
+  return live;
 }
 
 }  // namespace
 
 Duration takeoverDelay(const Settings& settings, const ClusterView& view, ShardId shard) {
-  return kTakeoverStep * livingControllersBefore(settings, view, shard);
+  return kTakeoverStep * liveControllersBefore(settings, view, shard);
 }
 
 }  // namespace cherryloft
--- a/src/cluster/takeover_order.h
+++ b/src/cluster/takeover_order.h
@@ -1,13 +1,13 @@
-// The order in which living controllers take over what has lost its owner.
+// The order in which live controllers take over shards and leadership without an owner.
 #pragma once
 
 #include "cluster/cluster_view.h"
 
 namespace cherryloft {
 
-// How long this controller waits before it takes over a shard without a living owner: one step for each
-// living controller that comes before it in the ring, which begins at the shard's preferred owner. Attempts
-// of several at once would be harmless, as only one can succeed, but would cost writes.
+// How long this controller waits before it takes over a shard without a live owner: one step for each live
+// controller that precedes it in the ring, which starts at the shard's preferred owner. Concurrent attempts
+// would be safe, as only one can succeed, but would waste writes.
 [[nodiscard]] Duration takeoverDelay(const Settings& settings, const ClusterView& view, ShardId shard);
 
 }  // namespace cherryloft
