--- a/src/cluster/peers.h
+++ b/src/cluster/peers.h
@@ -84,7 +84,7 @@
     KeepAliveProxyState proxyState;
   };
   [[nodiscard]] PeerContact contactWith(PeerNumber peer) const;
-  // A peer with mutual contact: heartbeats are received from it, and it receives those of `to`.
+  // A peer from which heartbeats are received and which itself receives those of `to`.
   [[nodiscard]] std::optional<PeerNumber> relayTo(PeerNumber to) const;
   std::uint64_t registerRequest(Duration deadline, AnswerHandler done);
   // Completes the pending request; an answer without a pending request is dropped.
--- a/src/cluster/shard_ownership.cpp
+++ b/src/cluster/shard_ownership.cpp
@@ -36,9 +36,9 @@
 void ShardOwnership::trackLiveControllers(Time now) {
   for (const auto& controller : settings_.controllers) {
     if (view_.alive(controller))
-      aliveSince_.try_emplace(controller, now);
+      leaseSeenSince_.try_emplace(controller, now);
     else
-      aliveSince_.erase(controller);
+      leaseSeenSince_.erase(controller);
   }
 }
 
@@ -91,9 +91,9 @@
 
 void ShardOwnership::reviewOwnedShard(ShardId shard, Time now) {
   const auto& preferredOwner = settings_.controllers[shard.value];
-  auto alive = aliveSince_.find(preferredOwner);
-  if (preferredOwner == settings_.controller || alive == aliveSince_.end()) return;
-  if (now - alive->second < settings_.tuning.returnOwnershipAfter) return;
+  auto leaseSeen = leaseSeenSince_.find(preferredOwner);
+  if (preferredOwner == settings_.controller || leaseSeen == leaseSeenSince_.end()) return;
+  if (now - leaseSeen->second < settings_.tuning.returnOwnershipAfter) return;
   auto& requestedAt = returnRequestedAt_[shard];
   if (now - requestedAt < kReturnRetryInterval) return;
   requestedAt = now;
--- a/src/cluster/shard_ownership.h
+++ b/src/cluster/shard_ownership.h
@@ -105,7 +105,7 @@
   std::map<ShardId, Epoch> lastUsedEpoch_;  // latest epoch that this process has used
   std::map<ShardId, Time> ownerlessSince_;
   std::map<ShardId, Time> returnRequestedAt_;  // initially the time of the takeover
-  std::map<ControllerId, Time> aliveSince_;
+  std::map<ControllerId, Time> leaseSeenSince_;
 };
 
 }  // namespace cherryloft
--- a/src/kvstore/group_commit.cpp
+++ b/src/kvstore/group_commit.cpp
@@ -9,9 +9,10 @@
 namespace cherryloft {
 namespace {
 
-// Until the rate limiter is asked again when it hasTokensFor no write.
-constexpr Duration kPollInterval{20};
-// For the answer to one transaction, however long its creations may wait: the next ones wait for it.
+// Interval at which the rate limiter is checked again when it has no write tokens.
+constexpr Duration kRetryInterval{20};
+// Upper bound for the deadline of one transaction, however long its creations may wait, as the next batch
+// waits for its result.
 constexpr Duration kMaxTransactionDeadline{2'000};
 
 }  // namespace
@@ -24,18 +25,19 @@
 void GroupCommit::commitNext() {
   if (commitInFlight_ || waiting_.empty()) return;
   limiter_.refill(runtime_.now());
-  // No more than can be afforded at once: all other requests would overtake a batch that waits for more.
-  auto affordable = static_cast<std::size_t>(std::max(limiter_.writes(), 0.0));
+  // No more than the tokens available now: a batch waiting for more tokens would be overtaken by all other
+  // requests.
+  auto affordable = static_cast<std::size_t>(std::max(limiter_.writeTokens(), 0.0));
   auto maxCreations = std::min<std::size_t>(settings_.txnOps, affordable);
   if (maxCreations == 0 || limiter_.paused(runtime_.now())) {
     refuseExpired();
-    return commitLater();
+    return scheduleCommit();
   }
   auto batch = takeBatch(maxCreations);
   commitInFlight_ = true;
   auto deadline = std::clamp(batch->expiresAt - runtime_.now(), Duration{1}, kMaxTransactionDeadline);
   client_.transact(RequestPriority::Control, batch->transaction, deadline,
-                   [this, batch](const TransactionResult& result) { finish(*batch, result); });
+                   [this, batch](const TransactionResult& result) { completeBatch(*batch, result); });
 }
 
 std::shared_ptr<GroupCommit::Batch> GroupCommit::takeBatch(std::size_t maxCreations) {
@@ -49,7 +51,7 @@
     bytes += wire::estimatedBytes(write);
     bool full = batch->creations.size() >= maxCreations ||
                 (!batch->creations.empty() && bytes > wire::kMaxTransactionBytes);
-    // The service takes a key only once in a transaction.
+    // The service accepts each key only once in a transaction.
     bool duplicate = transaction.conditions.count(write.key) > 0;
     if (full || duplicate) {
       remaining.push_back(std::move(creation));
@@ -64,8 +66,8 @@
   return batch;
 }
 
-// After a conflict, the creations whose keys are free go into the next transaction, before all others.
-void GroupCommit::finish(Batch& batch, const TransactionResult& result) {
+// After a conflict, the creations whose keys did not conflict are queued first for the next transaction.
+void GroupCommit::completeBatch(Batch& batch, const TransactionResult& result) {
   commitInFlight_ = false;
   bool conflict = result.outcome == TransactionResult::Outcome::Conflict;
   std::set<std::string> takenKeys(result.conflictingKeys.begin(), result.conflictingKeys.end());
@@ -86,15 +88,15 @@
   while (!waiting_.empty() && waiting_.front().expiresAt <= runtime_.now()) {
     auto creation = std::move(waiting_.front());
     waiting_.pop_front();
-    ++tally_.expired;
+    ++counters_.expired;
     creation.done({TransactionResult::Outcome::Refused, {}, {}});
   }
 }
 
-void GroupCommit::commitLater() {
+void GroupCommit::scheduleCommit() {
   if (commitScheduled_) return;
   commitScheduled_ = true;
-  runtime_.after(kPollInterval, [this] {
+  runtime_.after(kRetryInterval, [this] {
     commitScheduled_ = false;
     commitNext();
   });
--- a/src/kvstore/group_commit.h
+++ b/src/kvstore/group_commit.h
@@ -1,4 +1,4 @@
-// GroupCommit: creates keys that must not exist yet, many in one transaction.
+// GroupCommit: creates keys that must not exist yet, combining many creations into one transaction.
 #pragma once
 
 #include <deque>
@@ -10,20 +10,20 @@
 
 namespace cherryloft {
 
-/// Collects creations while one transaction is in flight and sends them together in the next, as the service
-/// limits requests more tightly than writes. Creations are independent: one whose key is taken does not
-/// fail the others.
+/// Collects creations while one transaction is in flight and sends them together in the next, because the
+/// service's limit on requests is lower than that on writes. Creations are independent: one whose key already
+/// exists does not fail the others.
 ///
-/// Runs on the event loop's thread only. All that it refers to must outlive it, and it must outlive the calls
-/// and timers that it starts.
+/// Runs on the event loop's thread only. Everything it references must outlive it, and it must outlive the
+/// calls and timers that it starts.
 class GroupCommit {
  public:
   GroupCommit(const Settings& settings, Runtime& runtime, KeyValueClient& client, RateLimiter& limiter,
-              RequestCounters& tally)
-      : settings_(settings), runtime_(runtime), client_(client), limiter_(limiter), tally_(tally) {}
+              RequestCounters& counters)
+      : settings_(settings), runtime_(runtime), client_(client), limiter_(limiter), counters_(counters) {}
 
-  /// Writes the key on condition that it does not exist. Always ends in one call of `done`: with Conflict
-  /// only if this key exists, with Refused if it had no turn before the deadline.
+  /// Writes the key on condition that it does not exist. Calls `done` exactly once: with Conflict only if
+  /// this key exists, with Refused if it was not sent before the deadline.
   void create(wire::Write write, Duration deadline, std::function<void(TransactionResult)> done);
 
   /// Creations that are not yet part of a transaction in flight.
@@ -38,21 +38,21 @@
   struct Batch {
     std::vector<Creation> creations;
     wire::Transaction transaction;
-    Time expiresAt;  // the latest of its creations'
+    Time expiresAt;  // the latest of its creations
   };
 
   void commitNext();
-  // Moves up to `maxCreations` from the queue, of which the first always goes, into a batch.
+  // Moves up to `maxCreations`, and at least the first, from the queue into a batch.
   std::shared_ptr<Batch> takeBatch(std::size_t maxCreations);
-  void finish(Batch& batch, const TransactionResult& result);
+  void completeBatch(Batch& batch, const TransactionResult& result);
   void refuseExpired();
-  void commitLater();
+  void scheduleCommit();
 
   const Settings& settings_;
   Runtime& runtime_;
   KeyValueClient& client_;
   RateLimiter& limiter_;
-  RequestCounters& tally_;
+  RequestCounters& counters_;
   std::deque<Creation> waiting_;
   bool commitInFlight_ = false;
   bool commitScheduled_ = false;
--- a/src/kvstore/key_value_client.cpp
+++ b/src/kvstore/key_value_client.cpp
@@ -10,7 +10,7 @@
 
 constexpr Duration kListPageDeadline{3'000};
 constexpr Duration kGrantLeaseDeadline{1'000};
-// Entries in one page of a list, well within the largest response that is read.
+// Entries per list page; keeps a page well below the maximum response size.
 constexpr const char* kListPageLimit = "1000";
 
 namespace status {
@@ -23,15 +23,15 @@
 constexpr int kUnavailable = 503;
 }  // namespace status
 
-// Names of operations in the log.
+// Operation names in log lines.
 constexpr const char* kTransact = "txn";
 constexpr const char* kGet = "get";
 constexpr const char* kList = "list";
 constexpr const char* kWatch = "watch";
 constexpr const char* kLease = "lease";
 
-// The first part of a key, such as "job/": changes are counted by it.
-std::string firstPartOf(const std::string& key) { return key.substr(0, key.find('/') + 1); }
+// The first segment of a key, such as "job/", by which writes are counted.
+std::string firstSegmentOf(const std::string& key) { return key.substr(0, key.find('/') + 1); }
 
 bool attachesToLease(const wire::Transaction& transaction) {
   return std::any_of(transaction.operations.begin(), transaction.operations.end(),
@@ -47,8 +47,8 @@
   return result;
 }
 
-// The service answers 400 both for a lease that is gone and for a transaction beyond its limits. Transactions
-// that attach keys to a lease are small, so for them it is the lease.
+// The service responds with 400 both for an expired lease and for a transaction that exceeds its limits.
+// Transactions that attach keys to a lease are small, so for them 400 means an expired lease.
 TransactionResult decodeTransaction(const HttpResponse& response, bool attachedToLease) {
   using Outcome = TransactionResult::Outcome;
   switch (response.status) {
@@ -110,7 +110,7 @@
 
 void KeyValueClient::transact(RequestPriority priority, const wire::Transaction& transaction,
                               Duration deadline, std::function<void(TransactionResult)> done) {
-  for (const auto& write : transaction.operations) ++tally_.writesByPrefix[firstPartOf(write.key)];
+  for (const auto& write : transaction.operations) ++counters_.writesByPrefix[firstSegmentOf(write.key)];
   HttpRequest request{"POST", "/txn", wire::encodeTransaction(transaction), false};
   auto writes = static_cast<unsigned>(transaction.operations.size());
   auto answered = [done = std::move(done), withLease = attachesToLease(transaction)](
@@ -137,10 +137,10 @@
   std::string path = "/keys?prefix=" + call->prefix + "&limit=" + kListPageLimit;
   if (!afterKey.empty()) path += "&since=" + afterKey;
   queue_.push(call->priority, {kList, {"GET", path, "", false}, 0}, kListPageDeadline,
-              [this, call](const HttpResult& answer) { pageReceived(call, answer); });
+              [this, call](const HttpResult& answer) { handlePage(call, answer); });
 }
 
-void KeyValueClient::pageReceived(const std::shared_ptr<ListCall>& call, const HttpResult& answer) {
+void KeyValueClient::handlePage(const std::shared_ptr<ListCall>& call, const HttpResult& answer) {
   auto page = answer.answered(status::kOk) ? wire::parseKeyPage(answer.response.body) : std::nullopt;
   if (!page) return call->done({});
   auto& result = call->result;
--- a/src/kvstore/key_value_store.cpp
+++ b/src/kvstore/key_value_store.cpp
@@ -6,19 +6,19 @@
 namespace cherryloft {
 namespace {
 
-// Writes are short while less than this fraction of one second's writes is left.
-constexpr double kSaturatedFraction = 0.6;
-// While writes are short, background transactions take this part of the largest transaction.
+// Writes are saturated while fewer tokens than this fraction of one second's writes are left.
+constexpr double kSaturationThreshold = 0.6;
+// While writes are saturated, background transactions are limited to the maximum size divided by this.
 constexpr std::size_t kBackgroundBatchDivisor = 3;
 constexpr std::size_t kMinBackgroundBatch = 2;
-// Writes that others can make between two commits of a scheduler while writes are short.
-constexpr double kWritesBetweenCommits = 2.5;
+// Writes left for other components between two commits of a scheduler while writes are saturated.
+constexpr double kOtherWritesPerCommit = 2.5;
 constexpr double kMaxCommitIntervalSeconds = 1;
-// The part of the writes that creations get at least, about.
-constexpr double kCreationFraction = 0.5;
-// A creation that would wait longer is not worth accepting: its user has given up by then.
+// Approximate minimum fraction of the writes that is available to creations.
+constexpr double kMinCreationFraction = 0.5;
+// Creations that would wait longer are rejected, as the user would have given up by then.
 constexpr double kMaxCreationWaitSeconds = 1.5;
-constexpr double kMinWritesPerSecond = 0.1;  // never divide by less
+constexpr double kMinWritesPerSecond = 0.1;  // lower bound for divisors
 
 }  // namespace
 
@@ -28,12 +28,12 @@
       log_(std::move(log)),
       rng_(seed),
       limiter_(settings, runtime.now()),
-      queue_(settings, runtime, limiter_, tally_, rng_),
-      client_(queue_, tally_),
-      creations_(settings, runtime, client_, limiter_, tally_) {}
+      queue_(settings, runtime, limiter_, counters_, rng_),
+      client_(queue_, counters_),
+      creations_(settings, runtime, client_, limiter_, counters_) {}
 
 bool KeyValueStore::writesSaturated() const {
-  return limiter_.writes() < kSaturatedFraction * limiter_.writesPerSecond() || creations_.waiting() > 0;
+  return limiter_.writeTokens() < kSaturationThreshold * limiter_.writesPerSecond() || creations_.waiting() > 0;
 }
 
 std::size_t KeyValueStore::backgroundBatchSize() const {
@@ -43,11 +43,12 @@
 
 Duration KeyValueStore::commitInterval() const {
   double writesPerSecond = std::max(limiter_.writesPerSecond(), kMinWritesPerSecond);
-  return seconds(std::min(kWritesBetweenCommits / writesPerSecond, kMaxCommitIntervalSeconds));
+  return seconds(std::min(kOtherWritesPerCommit / writesPerSecond, kMaxCommitIntervalSeconds));
 }
 
 std::optional<std::chrono::seconds> KeyValueStore::creationBacklogDelay() const {
-  double creationsPerSecond = std::max(limiter_.writesPerSecond() * kCreationFraction, kMinWritesPerSecond);
+  double creationsPerSecond =
+      std::max(limiter_.writesPerSecond() * kMinCreationFraction, kMinWritesPerSecond);
   double waitSeconds = static_cast<double>(creations_.waiting()) / creationsPerSecond;
   if (waitSeconds <= kMaxCreationWaitSeconds) return std::nullopt;
   return std::chrono::seconds{static_cast<int>(std::ceil(waitSeconds))};
--- a/src/kvstore/key_value_store.h
+++ b/src/kvstore/key_value_store.h
@@ -1,6 +1,6 @@
-// KeyValueStore: the only way to the state service, a replicated key-value store with leases,
-// compare-and-swap transactions and watches. It keeps within this controller's fraction of the service's
-// limits, sends what is most important first, groups creations of keys, and keeps watch caches of prefixes.
+// KeyValueStore: the only interface to the state service, a replicated key-value store with leases,
+// compare-and-swap transactions and watches. It enforces this controller's fraction of the service's rate
+// limits, sends requests by priority, batches creations of keys, and maintains watch caches of prefixes.
 #pragma once
 
 #include <chrono>
@@ -24,13 +24,13 @@
 
 namespace cherryloft {
 
-/// The state service as all other parts of a controller see it; it owns the objects of this directory.
+/// Facade of the state service for all other components of a controller; owns the objects of this directory.
 ///
 /// Runs on the event loop's thread only. Settings and runtime must outlive it, and it must outlive the calls
-/// and timers that it starts. Every operation with a `done` ends in exactly one call of it.
+/// and timers that it starts. Every operation with a `done` callback calls it exactly once.
 class KeyValueStore {
  public:
-  /// `seed`: of the jitter of retries.
+  /// `seed` seeds the jitter of retries.
   KeyValueStore(const Settings& settings, Runtime& runtime, Log log, std::uint64_t seed);
 
   // --- operations ---
@@ -39,17 +39,17 @@
   void transact(RequestPriority priority, const wire::Transaction& transaction, Duration deadline,
                 std::function<void(TransactionResult)> done);
 
-  /// Creates one key that must not exist yet, in one transaction with others that come in the meantime.
+  /// Creates a key that must not exist yet, batched with other creations into one transaction.
   void create(wire::Write write, Duration deadline, std::function<void(TransactionResult)> done);
 
-  /// Reads one key from the service itself, which no watch cache may contradict.
+  /// Reads one key directly from the service, bypassing the watch caches.
   void get(RequestPriority priority, const std::string& key, Duration deadline,
            std::function<void(GetResult)> done);
 
-  /// Reads all keys under a prefix from the service itself.
+  /// Reads all keys under a prefix directly from the service.
   void list(RequestPriority priority, const std::string& prefix, std::function<void(ListResult)> done);
 
-  /// Asks for a new lease, which expires when it is not renewed for `timeToLive`.
+  /// Requests a new lease, which expires if it is not renewed for `timeToLive`.
   void grantLease(Duration timeToLive, std::function<void(LeaseGrant)> done);
 
   /// Extends a lease by its time to live.
@@ -60,41 +60,41 @@
   /// Sets this controller's fraction (0 to 1) of the service's limits.
   void setFractionOfLimits(double fraction) { limiter_.setFractionOfLimits(fraction); }
 
-  /// Whether writes are short, so that what can wait should come in fewer and larger transactions.
+  /// Whether write tokens are scarce, so that deferrable writes should be batched into fewer transactions.
   [[nodiscard]] bool writesSaturated() const;
 
-  /// How many writes a transaction without urgency should make at most, so that others have their turn soon.
+  /// Maximum number of writes for a non-urgent transaction, so that it does not delay others for long.
   [[nodiscard]] std::size_t backgroundBatchSize() const;
 
-  /// The time between two commits of a scheduler that leaves writes for everything else.
+  /// Interval between two commits of a scheduler that leaves enough writes for other components.
   [[nodiscard]] Duration commitInterval() const;
 
-  /// The time after which one more creation would have its turn, if that is longer than anyone should wait.
+  /// The expected wait of a new creation, or nullopt while it is short enough for creations to be accepted.
   [[nodiscard]] std::optional<std::chrono::seconds> creationBacklogDelay() const;
 
-  /// What was asked of the service since the last call.
-  [[nodiscard]] RequestCounters takeCounters() { return std::exchange(tally_, {}); }
+  /// Returns the request counters since the last call and resets them.
+  [[nodiscard]] RequestCounters takeCounters() { return std::exchange(counters_, {}); }
 
   // --- watch caches ---
 
-  /// Keeps a watch cache of the prefix from now on. One for each prefix; see WatchCache for the listener.
+  /// Starts a watch cache of the prefix. Call at most once per prefix; see WatchCache for the listener.
   void watch(const std::string& prefix, WatchCache::Listener listener);
 
   /// Whether all watch caches are loaded.
   [[nodiscard]] bool cachesLoaded() const;
 
-  /// Calls `done` once the watch cache of the prefix shows at least all that was committed before this call.
-  /// Fails if the prefix is not watched.
+  /// Calls `done` once the watch cache of the prefix contains everything committed before this call. Fails if
+  /// the prefix is not watched.
   void waitUntilCurrent(const std::string& prefix, std::function<void(CatchUpResult)> done);
 
-  /// All that was committed under the prefix before that time shows in its watch cache. The epoch of the
+  /// The time up to which the watch cache contains everything committed under the prefix. The epoch of the
   /// clock if the prefix is not watched.
   [[nodiscard]] Time currentAsOf(const std::string& prefix) const;
 
-  /// The watch cache of the prefix shows every change up to that revision. 0 if the prefix is not watched.
+  /// The revision up to which the watch cache contains every change under the prefix. 0 if it is not watched.
   [[nodiscard]] Version revisionOf(const std::string& prefix) const;
 
-  /// Replaces all watches in flight, as the service is back after an outage.
+  /// Replaces all watches in flight; to be called when the service is reachable again after an outage.
   void restartWatches();
 
  private:
@@ -104,7 +104,7 @@
   Runtime& runtime_;
   Log log_;
   std::mt19937_64 rng_;
-  RequestCounters tally_;
+  RequestCounters counters_;
   RateLimiter limiter_;
   RequestQueue queue_;
   KeyValueClient client_;
--- a/src/kvstore/rate_limiter.cpp
+++ b/src/kvstore/rate_limiter.cpp
@@ -5,39 +5,39 @@
 namespace cherryloft {
 namespace {
 
-// What this controller uses of its fraction of the limits; the rest absorbs differences between clocks.
-constexpr double kUsedFraction = 0.9;
-constexpr double kMinRequestCapacity = 2;  // requests that the bucket can hold at least
+// Part of its fraction of the limits that this controller uses; the rest absorbs clock differences.
+constexpr double kUtilization = 0.9;
+constexpr double kMinRequestBucket = 2;  // minimum capacity of the request bucket
 
 }  // namespace
 
 RateLimiter::RateLimiter(const Settings& settings, Time now)
     : settings_(settings), fractionOfLimits_(1.0 / settings.size()), refilledAt_(now) {
-  requests_ = requestsPerSecond();
-  writes_ = writesPerSecond();
+  requestTokens_ = requestsPerSecond();
+  writeTokens_ = writesPerSecond();
 }
 
 double RateLimiter::requestsPerSecond() const {
-  return settings_.stateRps * fractionOfLimits_ * kUsedFraction;
+  return settings_.stateRps * fractionOfLimits_ * kUtilization;
 }
 
 double RateLimiter::writesPerSecond() const {
-  return settings_.stateWriteRps * fractionOfLimits_ * kUsedFraction;
+  return settings_.stateWriteRps * fractionOfLimits_ * kUtilization;
 }
 
 void RateLimiter::refill(Time now) {
   double elapsedSeconds = inSeconds(now - refilledAt_);
   refilledAt_ = now;
-  // The largest transaction must be affordable at some time, however small our fraction is.
-  double requestCapacity = std::max(requestsPerSecond(), kMinRequestCapacity);
+  // The bucket must be able to hold the tokens of the largest transaction, however small the fraction is.
+  double requestCapacity = std::max(requestsPerSecond(), kMinRequestBucket);
   double writeCapacity = std::max(writesPerSecond(), static_cast<double>(settings_.txnOps));
-  requests_ = std::min(requests_ + elapsedSeconds * requestsPerSecond(), requestCapacity);
-  writes_ = std::min(writes_ + elapsedSeconds * writesPerSecond(), writeCapacity);
+  requestTokens_ = std::min(requestTokens_ + elapsedSeconds * requestsPerSecond(), requestCapacity);
+  writeTokens_ = std::min(writeTokens_ + elapsedSeconds * writesPerSecond(), writeCapacity);
 }
 
 void RateLimiter::consumeTokens(unsigned writes) {
-  requests_ -= 1;
-  writes_ -= writes;
+  requestTokens_ -= 1;
+  writeTokens_ -= writes;
 }
 
 }  // namespace cherryloft
--- a/src/kvstore/rate_limiter.h
+++ b/src/kvstore/rate_limiter.h
@@ -1,47 +1,50 @@
-// RateLimiter: how many requests and writes this controller may send to the state service now.
+// RateLimiter: limits the requests and writes that this controller sends to the state service.
 #pragma once
 
 #include "config/settings.h"
 
 namespace cherryloft {
 
-/// Two token buckets, one of requests and one of writes (keys written or deleted), that fill at this
-/// controller's fraction of the service's limits. They start with the tokens of one second.
+/// Two token buckets, one for requests and one for writes (keys written or deleted), that are refilled at
+/// this controller's fraction of the service's limits. They initially hold the tokens of one second.
 ///
 /// Runs on the event loop's thread only. The settings must outlive it.
 class RateLimiter {
  public:
   RateLimiter(const Settings& settings, Time now);
 
-  /// Sets this controller's fraction (0 to 1) of the service's limits, as the load is not equal on all. An
-  /// equal fraction for each controller at first.
+  /// Sets this controller's fraction (0 to 1) of the service's limits, which follows its part of the load.
+  /// Initially all controllers have equal fractions.
   void setFractionOfLimits(double fraction) { fractionOfLimits_ = fraction; }
 
   [[nodiscard]] double requestsPerSecond() const;
   [[nodiscard]] double writesPerSecond() const;
 
-  /// Adds the tokens that have come free since the last call.
+  /// Adds the tokens accrued since the last call.
   void refill(Time now);
 
-  /// Tokens in the buckets; below zero when overdrawn.
-  [[nodiscard]] double requests() const { return requests_; }
-  [[nodiscard]] double writes() const { return writes_; }
+  /// Tokens in the buckets; negative when overdrawn.
+  [[nodiscard]] double requestTokens() const { return requestTokens_; }
+  [[nodiscard]] double writeTokens() const { return writeTokens_; }
 
   /// Whether one request with that many writes can be sent now.
-  [[nodiscard]] bool hasTokensFor(unsigned writes) const { return requests_ >= 1 && writes_ >= writes; }
+  [[nodiscard]] bool hasTokensFor(unsigned writes) const {
+    return requestTokens_ >= 1 && writeTokens_ >= writes;
+  }
 
-  /// Takes the tokens of one request with that many writes. A request that must not wait may overdraw.
+  /// Takes the tokens of one request with that many writes. A request that must not wait may overdraw the
+  /// buckets.
   void consumeTokens(unsigned writes);
 
-  /// Nothing is to be sent before that time, as the service has throttled us.
+  /// Suspends sending until that time, after the service has throttled this controller.
   void pauseUntil(Time time) { pausedUntil_ = time; }
   [[nodiscard]] bool paused(Time now) const { return now < pausedUntil_; }
 
  private:
   const Settings& settings_;
   double fractionOfLimits_;
-  double requests_ = 0;
-  double writes_ = 0;
+  double requestTokens_ = 0;
+  double writeTokens_ = 0;
   Time refilledAt_;
   Time pausedUntil_{};
 };
--- a/src/kvstore/request_queue.cpp
+++ b/src/kvstore/request_queue.cpp
@@ -6,41 +6,42 @@
 namespace cherryloft {
 namespace {
 
-// Until the rate limiter is asked again for what it did not afford: short beside any deadline.
-constexpr Duration kPollInterval{10};
-// Nothing is sent for so long after a 429, plus jitter so that the controllers don't come back together.
+// Interval at which the rate limiter is checked again for waiting requests; short compared to all deadlines.
+constexpr Duration kRetryInterval{10};
+// Sending pause after a 429, plus jitter so that the controllers do not resume at the same time.
 constexpr Duration kThrottlePause{250};
 constexpr std::uint64_t kThrottleJitterMs = 250;
 constexpr int kTooManyRequests = 429;
-constexpr std::array kInOrder{RequestPriority::Lease, RequestPriority::Control, RequestPriority::Work,
-                              RequestPriority::User};
-static_assert(kInOrder.size() == kRequestPriorities);
+constexpr std::array kPriorityOrder{RequestPriority::Lease, RequestPriority::Control, RequestPriority::Work,
+                                    RequestPriority::User};
+static_assert(kPriorityOrder.size() == kRequestPriorities);
 
 }  // namespace
 
 void RequestQueue::push(RequestPriority priority, QueuedRequest request, Duration deadline, HttpDone done) {
   auto& queue = queueOf(priority);
-  // Users may ask more than can be sent. Failing at once tells them sooner and bounds the memory used.
+  // Users may send more requests than the rate limits allow. Failing early reports this sooner and bounds
+  // memory.
   if (priority == RequestPriority::User && wouldExpire(queue.size(), deadline))
-    return failUnsent(std::move(done));
+    return failWithoutSending(std::move(done));
   queue.push_back({std::move(request), runtime_.now() + deadline, std::move(done)});
-  sendAffordable();
+  sendEligible();
 }
 
-bool RequestQueue::wouldExpire(std::size_t waitingBefore, Duration deadline) const {
-  double sentInTime = std::max(limiter_.requestsPerSecond() * inSeconds(deadline), 1.0);
-  return static_cast<double>(waitingBefore) > sentInTime;
+bool RequestQueue::wouldExpire(std::size_t queueLength, Duration deadline) const {
+  double sentBeforeDeadline = std::max(limiter_.requestsPerSecond() * inSeconds(deadline), 1.0);
+  return static_cast<double>(queueLength) > sentBeforeDeadline;
 }
 
-void RequestQueue::sendAffordable() {
+void RequestQueue::sendEligible() {
   auto now = runtime_.now();
   limiter_.refill(now);
-  for (auto priority : kInOrder)
-    if (!sendFrom(priority, now)) return sendLater();
+  for (auto priority : kPriorityOrder)
+    if (!drainQueue(priority, now)) return scheduleSend();
 }
 
-bool RequestQueue::sendFrom(RequestPriority priority, Time now) {
-  // Renewals never wait for the rate limiter: they are few, and everything else depends on them.
+bool RequestQueue::drainQueue(RequestPriority priority, Time now) {
+  // Lease requests bypass the rate limiter: they are few, and everything else depends on them.
   bool exempt = priority == RequestPriority::Lease;
   auto& queue = queueOf(priority);
   while (!queue.empty()) {
@@ -50,42 +51,42 @@
     auto next = std::move(queue.front());
     queue.pop_front();
     if (expired)
-      failUnsent(std::move(next.done));
+      failWithoutSending(std::move(next.done));
     else
       send(std::move(next));
   }
   return true;
 }
 
-void RequestQueue::send(Waiting next) {
+void RequestQueue::send(QueueEntry next) {
   limiter_.consumeTokens(next.request.writes);
-  ++tally_.requestsByOperation[next.request.operation];
+  ++counters_.requestsByOperation[next.request.operation];
   auto deadline = std::max(next.expiresAt - runtime_.now(), Duration{1});
   auto onAnswer = [this, done = std::move(next.done)](HttpResult result) {
-    answered(result);
+    handleResponse(result);
     done(std::move(result));
   };
   runtime_.call(settings_.state, std::move(next.request.request), deadline, std::move(onAnswer));
 }
 
-void RequestQueue::answered(const HttpResult& result) {
+void RequestQueue::handleResponse(const HttpResult& result) {
   if (!result.answered(kTooManyRequests)) return;
-  ++tally_.throttled;
+  ++counters_.throttled;
   limiter_.pauseUntil(runtime_.now() + kThrottlePause + Duration{rng_() % kThrottleJitterMs});
 }
 
-// Called from the event loop, as the caller may not be ready for the result within push().
-void RequestQueue::failUnsent(HttpDone done) {
-  ++tally_.expired;
+// Calls `done` from the event loop, as the caller may not be ready for the result during push().
+void RequestQueue::failWithoutSending(HttpDone done) {
+  ++counters_.expired;
   runtime_.after(Duration{0}, [done = std::move(done)] { done({HttpResult::Outcome::NotSent, {}}); });
 }
 
-void RequestQueue::sendLater() {
+void RequestQueue::scheduleSend() {
   if (sendScheduled_) return;
   sendScheduled_ = true;
-  runtime_.after(kPollInterval, [this] {
+  runtime_.after(kRetryInterval, [this] {
     sendScheduled_ = false;
-    sendAffordable();
+    sendEligible();
   });
 }
 
--- a/src/kvstore/request_queue.h
+++ b/src/kvstore/request_queue.h
@@ -1,4 +1,4 @@
-// RequestQueue: sends requests to the state service within the rate limits, the most important ones first.
+// RequestQueue: sends requests to the state service within the rate limits, in order of priority.
 #pragma once
 
 #include <array>
@@ -13,67 +13,68 @@
 
 namespace cherryloft {
 
-/// The order in which waiting requests are sent, the most important one first.
+/// Priorities of requests, from highest to lowest.
 enum class RequestPriority : std::uint8_t {
-  Lease,    // of this controller's own lease; does not wait for the rate limiter
+  Lease,    // this controller's own lease; bypasses the rate limiter
   Control,  // ownership, leadership, watches, machine records, new jobs
-  Work,     // commits of the scheduler
-  User,     // reads to answer users; beyond what can be sent in time they fail at once
+  Work,     // scheduler commits
+  User,     // reads for user requests; fail at once if they cannot be sent in time
 };
 inline constexpr std::size_t kRequestPriorities = 4;
 
-/// What was asked of the state service, for the summary in the log. All are counts since the last summary.
+/// Counters of requests to the state service since the last summary in the log.
 struct RequestCounters {
   std::map<std::string, std::uint64_t> requestsByOperation;
-  std::map<std::string, std::uint64_t> writesByPrefix;  // by the first part of the key
-  std::uint64_t throttled = 0;                          // answered 429
+  std::map<std::string, std::uint64_t> writesByPrefix;  // by the first segment of the key
+  std::uint64_t throttled = 0;                          // responses with status 429
   std::uint64_t expired = 0;                            // not sent before their deadline
 };
 
-/// A request and what it costs.
+/// A request and its cost.
 struct QueuedRequest {
-  const char* operation = "";  // its name in the tally; a literal
+  const char* operation = "";  // its name in the counters; a string literal
   HttpRequest request;
-  unsigned writes = 0;  // keys that it writes or deletes
+  unsigned writes = 0;  // number of keys written or deleted
 };
 
-/// One queue for each priority over one rate limiter. Within a priority the order is first in, first out, and
-/// a request that cannot be afforded yet holds back all of lower priority, so that a large one gets its turn.
+/// One FIFO queue per priority, sharing one rate limiter. A request that lacks tokens blocks all requests of
+/// lower priority, so that large requests are not starved.
 ///
-/// Runs on the event loop's thread only. All that it refers to must outlive it, and it must outlive the calls
-/// and timers that it starts.
+/// Runs on the event loop's thread only. Everything it references must outlive it, and it must outlive the
+/// calls and timers that it starts.
 class RequestQueue {
  public:
-  RequestQueue(const Settings& settings, Runtime& runtime, RateLimiter& limiter, RequestCounters& tally,
+  RequestQueue(const Settings& settings, Runtime& runtime, RateLimiter& limiter, RequestCounters& counters,
                std::mt19937_64& rng)
-      : settings_(settings), runtime_(runtime), limiter_(limiter), tally_(tally), rng_(rng) {}
+      : settings_(settings), runtime_(runtime), limiter_(limiter), counters_(counters), rng_(rng) {}
 
-  /// Sends the request when its turn has come. Always ends in one call of `done`, at the latest when
-  /// `deadline` is over; with NotSent if it had no turn before that, or could not have one.
+  /// Queues the request and sends it as priority and rate limits allow. Calls `done` exactly once, at the
+  /// latest when `deadline` expires; with NotSent if the request was not, or could not have been, sent before
+  /// that.
   void push(RequestPriority priority, QueuedRequest request, Duration deadline, HttpDone done);
 
  private:
-  struct Waiting {
+  struct QueueEntry {
     QueuedRequest request;
     Time expiresAt;
     HttpDone done;
   };
-  using Queue = std::deque<Waiting>;
+  using Queue = std::deque<QueueEntry>;
 
   Queue& queueOf(RequestPriority priority) { return queues_[static_cast<std::size_t>(priority)]; }
-  [[nodiscard]] bool wouldExpire(std::size_t waitingBefore, Duration deadline) const;
-  void sendAffordable();
-  // Returns false if a request had to stay, as the rate limiter does not afford it yet.
-  [[nodiscard]] bool sendFrom(RequestPriority priority, Time now);
-  void send(Waiting next);
-  void answered(const HttpResult& result);
-  void failUnsent(HttpDone done);
-  void sendLater();
+  [[nodiscard]] bool wouldExpire(std::size_t queueLength, Duration deadline) const;
+  void sendEligible();
+  // Returns false if a request remains queued because the rate limiter lacks tokens for it.
+  [[nodiscard]] bool drainQueue(RequestPriority priority, Time now);
+  void send(QueueEntry next);
+  void handleResponse(const HttpResult& result);
+  void failWithoutSending(HttpDone done);
+  void scheduleSend();
 
   const Settings& settings_;
   Runtime& runtime_;
   RateLimiter& limiter_;
-  RequestCounters& tally_;
+  RequestCounters& counters_;
   std::mt19937_64& rng_;
   std::array<Queue, kRequestPriorities> queues_;
   bool sendScheduled_ = false;
--- a/src/kvstore/results.h
+++ b/src/kvstore/results.h
@@ -1,5 +1,5 @@
-// Results of the operations of the state service. Each names what the caller may conclude, as a request that
-// was not answered may have been executed all the same.
+// Results of the operations of the state service. Each states what the caller may conclude, as an unanswered
+// request may still have been executed.
 #pragma once
 
 #include <cstdint>
@@ -13,18 +13,18 @@
 /// The result of a compare-and-swap transaction.
 struct TransactionResult {
   enum class Outcome : std::uint8_t {
-    /// Executed; `revision` is the version that every key written by it now has.
+    /// Executed; `revision` is the new version of every key that it wrote.
     Committed,
-    /// Not executed: `conflictingKeys` do not have the versions that the conditions ask for.
+    /// Not executed: `conflictingKeys` do not have the versions that the conditions require.
     Conflict,
-    /// Not executed: the lease that a written key should be attached to is gone.
+    /// Not executed: the lease to attach a written key to has expired.
     LeaseExpired,
-    /// Not executed, and may be sent again: throttled, the service is unavailable, or it was never sent.
+    /// Not executed, may be retried: it was throttled, the service is unavailable, or it was never sent.
     Refused,
-    /// Not executed, and never will be as it is: it exceeds the limits of the service.
+    /// Not executed, not retryable: it exceeds the limits of the service.
     TooLarge,
-    /// No usable answer: it may have been executed, or may be yet. Sending the same conditions again tells:
-    /// a conflict means that it was executed, or that another writer came first.
+    /// No usable response: it may have been executed, or may still be. Retrying with the same conditions
+    /// resolves this: a conflict means that it was executed or that another writer was first.
     Unknown,
   };
   Outcome outcome = Outcome::Unknown;
@@ -37,11 +37,11 @@
 struct ListResult {
   enum class Outcome : std::uint8_t {
     Complete,
-    Failed,  // a page was not answered; `entries` is empty
+    Failed,  // a page had no usable response; `entries` is empty
   };
   Outcome outcome = Outcome::Failed;
   std::vector<wire::KeyChange> entries;
-  /// The revision of the first page. Later pages may be newer, so watch on from this one.
+  /// The revision of the first page. Later pages may be newer, so a watch must start from this revision.
   Version revision;
   [[nodiscard]] bool complete() const { return outcome == Outcome::Complete; }
 };
@@ -50,8 +50,8 @@
 struct GetResult {
   enum class Outcome : std::uint8_t {
     Found,   // `entry` is valid
-    Absent,  // the service says that there is no such key
-    Failed,  // no usable answer: nothing is known of the key
+    Absent,  // the service reports that the key does not exist
+    Failed,  // no usable response: nothing is known about the key
   };
   Outcome outcome = Outcome::Failed;
   wire::KeyChange entry;
@@ -61,35 +61,35 @@
 struct WatchResult {
   enum class Outcome : std::uint8_t {
     Changes,    // `page` is valid, and may be empty
-    Compacted,  // the service keeps no changes from so long ago: list the prefix again
-    Failed,     // no usable answer: the same watch may be sent again
+    Compacted,  // changes this old are no longer available: list the prefix again
+    Failed,     // no usable response: the watch may be retried
   };
   Outcome outcome = Outcome::Failed;
   wire::KeyPage page;
 };
 
-/// A request for a new lease.
+/// The result of a request for a new lease.
 struct LeaseGrant {
   enum class Outcome : std::uint8_t {
     Granted,  // `lease` is valid
-    Failed,   // no usable answer. A lease granted unknown to the caller expires by itself.
+    Failed,   // no usable response; a lease that was granted nevertheless expires by itself
   };
   Outcome outcome = Outcome::Failed;
   LeaseId lease;
   [[nodiscard]] bool granted() const { return outcome == Outcome::Granted; }
 };
 
-/// A request to extend a lease by its time to live.
+/// The result of a request to extend a lease by its time to live.
 enum class LeaseRenewal : std::uint8_t {
-  Renewed,   // for the time to live, counted from when the request was sent at the earliest
-  Expired,   // the lease is gone, and so are the keys attached to it
-  NoAnswer,  // it may have been renewed or not; try again
+  Renewed,   // by the time to live, measured from the send time of the request or later
+  Expired,   // the lease has expired, and the keys attached to it are deleted
+  NoAnswer,  // unknown whether it was renewed; retry
 };
 
-/// Whether a watch cache shows all that was committed before it was asked to become current.
+/// Whether a watch cache contains everything committed before waitUntilCurrent() was called.
 enum class CatchUpResult : std::uint8_t {
   Current,
-  Failed,  // not loaded yet, or no usable answer: ask again later
+  Failed,  // not loaded yet, or no usable response: retry later
 };
 
 }  // namespace cherryloft
--- a/src/kvstore/transaction_builder.cpp
+++ b/src/kvstore/transaction_builder.cpp
@@ -18,16 +18,16 @@
 
 bool TransactionBuilder::addAll(const std::vector<ConditionalWrite>& writes) {
   std::size_t bytes = 0;
-  for (const auto& versioned : writes) bytes += wire::estimatedBytes(versioned.write);
+  for (const auto& conditional : writes) bytes += wire::estimatedBytes(conditional.write);
   if (!fits(writes.size(), bytes)) return false;
-  for (const auto& versioned : writes) append(versioned);
+  for (const auto& conditional : writes) append(conditional);
   return true;
 }
 
-void TransactionBuilder::append(ConditionalWrite versioned) {
-  bytes_ += wire::estimatedBytes(versioned.write);
-  transaction_.conditions[versioned.write.key] = versioned.version;
-  transaction_.operations.push_back(std::move(versioned.write));
+void TransactionBuilder::append(ConditionalWrite conditional) {
+  bytes_ += wire::estimatedBytes(conditional.write);
+  transaction_.conditions[conditional.write.key] = conditional.version;
+  transaction_.operations.push_back(std::move(conditional.write));
 }
 
 }  // namespace cherryloft
--- a/src/kvstore/transaction_builder.h
+++ b/src/kvstore/transaction_builder.h
@@ -1,4 +1,4 @@
-// TransactionBuilder: a transaction that grows write by write within the state service's limits.
+// TransactionBuilder: builds a transaction incrementally within the state service's limits.
 #pragma once
 
 #include <vector>
@@ -7,44 +7,44 @@
 
 namespace cherryloft {
 
-/// A write on condition that its key has that version; version 0 if the key must not exist.
+/// A write on condition that its key has the given version; version 0 means that the key must not exist.
 struct ConditionalWrite {
   wire::Write write;
   Version version;
 };
 
-/// Builds one transaction. A plain value without references to anything else.
+/// Builds one transaction. A plain value type.
 class TransactionBuilder {
  public:
-  /// `maxWrites`: how many operations the state service takes in one transaction.
+  /// `maxWrites`: the maximum number of operations that the state service accepts in one transaction.
   explicit TransactionBuilder(std::size_t maxWrites) : maxWrites_(maxWrites) {}
 
-  /// Adds a condition without a write: the key must have that version.
+  /// Adds a condition without a write: the key must have the given version.
   void addCondition(const std::string& key, Version version) { transaction_.conditions[key] = version; }
 
-  /// Whether a write of that many bytes (wire::estimatedBytes) still fits. The first one always does,
-  /// whatever its size: it could never be sent otherwise, and the service refuses it if it is too large.
+  /// Whether a write of that many bytes (wire::estimatedBytes) still fits. The first write always fits, as it
+  /// could otherwise never be sent; the service rejects it if it is too large.
   [[nodiscard]] bool hasRoom(std::size_t bytes) const;
 
-  /// Adds a write on condition that its key has that version. Returns whether it was added; if it does not
-  /// fit, the transaction stays as it was.
+  /// Adds a write on condition that its key has the given version. Returns whether it was added; if it does
+  /// not fit, the transaction is unchanged.
   bool add(wire::Write write, Version version);
 
-  /// Adds writes that must be executed together. Returns whether all were added; otherwise none was.
+  /// Adds writes that must be executed together. Returns whether they were added; adds all or none.
   [[nodiscard]] bool addAll(const std::vector<ConditionalWrite>& writes);
 
   /// The number of writes added.
   [[nodiscard]] std::size_t writes() const { return transaction_.operations.size(); }
 
-  /// Whether there is no write yet; there may be conditions.
+  /// Whether no write was added yet; conditions may have been.
   [[nodiscard]] bool empty() const { return transaction_.operations.empty(); }
 
-  /// Moves the transaction out. The builder is not to be used after it.
+  /// Moves the transaction out. The builder must not be used afterwards.
   [[nodiscard]] wire::Transaction take() { return std::move(transaction_); }
 
  private:
   [[nodiscard]] bool fits(std::size_t writes, std::size_t bytes) const;
-  void append(ConditionalWrite versioned);
+  void append(ConditionalWrite conditional);
 
   std::size_t maxWrites_;
   std::size_t bytes_ = 0;
--- a/src/kvstore/watch_cache.cpp
+++ b/src/kvstore/watch_cache.cpp
@@ -7,7 +7,7 @@
 namespace cherryloft {
 namespace {
 
-// How long the service holds a watch open without changes, and the deadline, which leaves time to answer it.
+// How long the service holds a watch without changes, and the request deadline, which leaves time to respond.
 constexpr Duration kWatchWait{8'000};
 constexpr Duration kWatchDeadline{10'000};
 constexpr Duration kCatchUpDeadline{2'000};
@@ -24,7 +24,7 @@
     startListing();
 }
 
-void WatchCache::retryLater() {
+void WatchCache::scheduleRetry() {
   backoff_ = std::clamp(backoff_ * 2, kMinBackoff, kMaxBackoff);
   runtime_.after(backoff_ + Duration{rng_() % kBackoffJitterMs}, [this, failed = currentRequest_] {
     if (failed == currentRequest_) restart();
@@ -36,30 +36,31 @@
   auto request = ++currentRequest_;
   client_.list(RequestPriority::Control, prefix_,
                [this, request, sentAt = runtime_.now()](const ListResult& result) {
-                 if (request == currentRequest_) listed(sentAt, result);
+                 if (request == currentRequest_) handleList(sentAt, result);
                });
 }
 
-void WatchCache::listed(Time sentAt, const ListResult& result) {
-  if (!result.complete()) return retryLater();
+void WatchCache::handleList(Time sentAt, const ListResult& result) {
+  if (!result.complete()) return scheduleRetry();
   backoff_ = Duration{0};
-  // The answer to waitUntilCurrent() may have overtaken the list and cover more: the list says nothing new.
-  bool overtaken = result.revision < revision_;
-  if (!overtaken) {
-    applyList(result);
+  // The response to waitUntilCurrent() may have arrived before the list with a newer revision; the list then
+  // contains nothing new.
+  bool outdated = result.revision < revision_;
+  if (!outdated) {
+    applyListedEntries(result);
     revision_ = result.revision;
     currentAsOf_ = std::max(currentAsOf_, sentAt);
   }
   startWatching();
 }
 
-void WatchCache::applyList(const ListResult& result) {
+void WatchCache::applyListedEntries(const ListResult& result) {
   for (const auto& entry : result.entries)
     if (recordWrite(entry)) listener_(entry);
   removeAbsentKeys(result);
 }
 
-// Keys that were deleted while no watch was open.
+// Handles keys that were deleted while no watch was open.
 void WatchCache::removeAbsentKeys(const ListResult& result) {
   std::set<std::string> present;
   for (const auto& entry : result.entries) present.insert(entry.key);
@@ -79,16 +80,16 @@
   auto request = ++currentRequest_;
   client_.watch(prefix_, revision_, kWatchWait, kWatchDeadline,
                 [this, request, sentAt = runtime_.now()](const WatchResult& result) {
-                  if (request == currentRequest_) watched(sentAt, result);
+                  if (request == currentRequest_) handleWatch(sentAt, result);
                 });
 }
 
-void WatchCache::watched(Time sentAt, const WatchResult& result) {
+void WatchCache::handleWatch(Time sentAt, const WatchResult& result) {
   switch (result.outcome) {
     case WatchResult::Outcome::Compacted:
       return startListing();
     case WatchResult::Outcome::Failed:
-      return retryLater();
+      return scheduleRetry();
     case WatchResult::Outcome::Changes:
       break;
   }
@@ -99,10 +100,11 @@
 
 void WatchCache::applyChanges(Time sentAt, const wire::KeyPage& page) {
   for (const auto& change : page.entries) {
-    // Answers overtake each other: what an earlier one covered is in view, and may be deleted again since.
+    // Responses may arrive out of order: changes up to revision_ are already applied, and their keys may have
+    // been deleted since.
     if (change.version <= revision_) continue;
-    bool news = change.value ? recordWrite(change) : recordDelete(change);
-    if (news) listener_(change);
+    bool isNew = change.value ? recordWrite(change) : recordDelete(change);
+    if (isNew) listener_(change);
   }
   revision_ = std::max(revision_, page.revision);
   currentAsOf_ = std::max(currentAsOf_, sentAt);
@@ -124,7 +126,7 @@
 
 void WatchCache::waitUntilCurrent(std::function<void(CatchUpResult)> done) {
   if (!loaded()) return done(CatchUpResult::Failed);
-  // A watch that does not wait: its answer covers all that was committed before it was sent. It is no part of
+  // A watch without a wait: its response covers everything committed before it was sent. It is independent of
   // the list or watch in flight, so neither replaces the other.
   auto answered = [this, sentAt = runtime_.now(), done = std::move(done)](const WatchResult& result) {
     if (result.outcome == WatchResult::Outcome::Compacted && loaded()) startListing();
--- a/tests/unit/controller_lease_test.cpp
+++ b/tests/unit/controller_lease_test.cpp
@@ -1,4 +1,4 @@
-// Until when a controller may act, as its lease is granted, joined, renewed and lost.
+// How long a controller may act while its lease is granted, joined, renewed and lost.
 #include "cluster/controller_lease.h"
 
 #include "unit/joined_controller_fixture.h"
@@ -8,7 +8,7 @@
 
 struct ControllerLeaseTest : JoinedControllerTest {};
 
-TEST_F(ControllerLeaseTest, ALeaseWithoutAJoinOwnsNothing) {
+TEST_F(ControllerLeaseTest, LeaseWithoutJoinOwnsNothing) {
   ControllerLease unjoined{
       settings,    service,
       silentLog(), store,
@@ -21,7 +21,7 @@
   EXPECT_TRUE(unjoined.validity().answers(service.now()));
 }
 
-TEST_F(ControllerLeaseTest, WithoutAnswersItOwnsForLessThanATtlAndAnswersForTheGraceAfterIt) {
+TEST_F(ControllerLeaseTest, WithoutRenewalsOwnsForLessThanTheTtlAndAnswersForTheGraceAfterIt) {
   service.renewalStatus = [] { return 503; };
   runFor(Duration{20});
   auto validity = lease.validity();
@@ -32,12 +32,12 @@
   EXPECT_TRUE(lease.joined());
 }
 
-TEST_F(ControllerLeaseTest, AnExpiredLeaseEndsOwnershipAtOnce) {
+TEST_F(ControllerLeaseTest, ExpiredLeaseEndsOwnershipAtOnce) {
   service.renewalStatus = [] { return 404; };
   service.transactionStatus = [] { return 409; };
   runFor(settings.leaseTtl() / 2);
   EXPECT_FALSE(lease.joined());
-  EXPECT_FALSE(toldValidity.owns(service.now()));
+  EXPECT_FALSE(reportedValidity.owns(service.now()));
   EXPECT_GT(service.leasesGranted, 1);
 }
 
--- a/tests/unit/epoch_allocator_test.cpp
+++ b/tests/unit/epoch_allocator_test.cpp
@@ -1,4 +1,4 @@
-// Changes of ownership, each under a new epoch.
+// Ownership changes, each under a new epoch.
 #include "cluster/epoch_allocator.h"
 
 #include "unit/joined_controller_fixture.h"
@@ -14,7 +14,7 @@
   }
 };
 
-TEST_F(EpochAllocatorTest, TheNextEpochIsWrittenWithTheOwnersRecord) {
+TEST_F(EpochAllocatorTest, WritesTheNextEpochWithTheOwnerRecord) {
   view.epoch = Epoch{41};
   allocate(makeTakeover(self(), "share/1", nullptr));
   runFor(Duration{100});
@@ -26,7 +26,7 @@
   EXPECT_NE(service.transactions[0].find(wire::encodeOwnerRecord({self(), Epoch{42}})), std::string::npos);
 }
 
-TEST_F(EpochAllocatorTest, RecordCounterAndBothControllersAreConditions) {
+TEST_F(EpochAllocatorTest, RequiresVersionsOfRecordCounterAndBothControllers) {
   view.epochVersion = Version{7};
   OwnerEntry former{{other(), Epoch{3}}, Version{9}};
   allocate(makeTakeover(self(), "share/1", &former));
@@ -40,12 +40,12 @@
     EXPECT_NE(takeover.find(condition), std::string::npos) << condition;
 }
 
-TEST_F(EpochAllocatorTest, AnEarlierProcessOfTheControllerNeedNotBeDead) {
+TEST_F(EpochAllocatorTest, TakeoverFromAnEarlierProcessDoesNotRequireAnExpiredLease) {
   OwnerEntry former{{self(), Epoch{3}}, Version{9}};
   EXPECT_FALSE(makeTakeover(self(), "share/0", &former).otherController);
 }
 
-TEST_F(EpochAllocatorTest, AConflictIsARefusal) {
+TEST_F(EpochAllocatorTest, ConflictIsRefused) {
   service.transactionStatus = [] { return 409; };
   allocate(makeTakeover(self(), "share/1", nullptr));
   runFor(Duration{100});
@@ -53,7 +53,7 @@
   EXPECT_EQ(allocation->outcome, EpochAllocation::Outcome::Refused);
 }
 
-TEST_F(EpochAllocatorTest, AnErrorLeavesTheChangeInDoubt) {
+TEST_F(EpochAllocatorTest, ErrorLeavesTheChangeInDoubt) {
   service.transactionStatus = [] { return 500; };
   allocate(makeTakeover(self(), "share/1", nullptr));
   runFor(Duration{3'000});
@@ -61,15 +61,15 @@
   EXPECT_EQ(allocation->outcome, EpochAllocation::Outcome::InDoubt);
 }
 
-TEST_F(EpochAllocatorTest, ItIsBusyUntilTheViewIsCurrent) {
+TEST_F(EpochAllocatorTest, IsBusyUntilTheViewIsRefreshed) {
   allocate(makeTakeover(self(), "share/1", nullptr));
   EXPECT_TRUE(epochs.busy());
   while (!allocation) runFor(Duration{1});
   EXPECT_TRUE(epochs.busy());
-  EXPECT_EQ(viewUpdates, 0);
+  EXPECT_EQ(viewRefreshes, 0);
   runFor(Duration{100});
   EXPECT_FALSE(epochs.busy());
-  EXPECT_EQ(viewUpdates, 1);
+  EXPECT_EQ(viewRefreshes, 1);
 }
 
 }  // namespace
--- a/tests/unit/fake_state_service.h
+++ b/tests/unit/fake_state_service.h
@@ -1,5 +1,4 @@
-// A state service with nothing in it: each request is answered after 5 ms with the status that the test
-// names.
+// An empty state service that answers each request after 5 ms with the status set by the test.
 #pragma once
 
 #include <functional>
@@ -13,7 +12,7 @@
 struct FakeStateService : ClockRuntime {
   int leasesGranted = 0;
   int renewals = 0;
-  std::vector<std::string> transactions;  // the bodies, in the order in which they came
+  std::vector<std::string> transactions;  // request bodies in order of arrival
   std::function<int()> transactionStatus = [] { return 200; };
   std::function<int()> renewalStatus = [] { return 200; };
 
@@ -29,7 +28,7 @@
       response.status = transactionStatus();
       response.body = R"({"ledger_rev":2,"failed":["share/epoch"]})";
     } else if (request.target.find("wait_ms=0") == std::string::npos && request.target.find("/follow") == 0) {
-      return;  // a watch without news
+      return;  // a watch without changes stays open
     }
     clock.after(5, [done = std::move(done), response] { done({HttpResult::Outcome::Answered, response}); });
   }
--- a/tests/unit/group_commit_test.cpp
+++ b/tests/unit/group_commit_test.cpp
@@ -1,4 +1,4 @@
-// How creations of keys share transactions.
+// Batching of key creations into transactions.
 #include "kvstore/group_commit.h"
 
 #include <gtest/gtest.h>
@@ -14,8 +14,8 @@
 using Outcome = TransactionResult::Outcome;
 
 struct GroupCommitTest : RequestQueueFixture {
-  KeyValueClient client{queue, tally};
-  GroupCommit commits{settings, runtime, client, limiter, tally};
+  KeyValueClient client{queue, counters};
+  GroupCommit commits{settings, runtime, client, limiter, counters};
   std::map<std::string, std::vector<Outcome>> results;
 
   void create(const std::string& key, Duration deadline = Duration{10'000}) {
@@ -51,7 +51,7 @@
   EXPECT_EQ(commits.waiting(), 1U);
 }
 
-TEST_F(GroupCommitTest, OnlyTakenKeysAreInConflict) {
+TEST_F(GroupCommitTest, OnlyExistingKeysAreInConflict) {
   for (const auto* key : {"job/a", "job/b", "job/c"}) create(key);
   runtime.answer(0, 200, kCommitted);
   runtime.answer(1, 409, R"({"failed":["job/b"]})");
@@ -61,7 +61,7 @@
   EXPECT_TRUE(requestNames(2, "job/c"));
 }
 
-TEST_F(GroupCommitTest, CreationWithoutATurnBeforeItsDeadlineIsRefused) {
+TEST_F(GroupCommitTest, CreationNotSentBeforeItsDeadlineIsRefused) {
   limiter.pauseUntil(runtime.now() + Duration{1'000});
   create("job/a", Duration{100});
   runtime.clock.run(runtime.clock.now() + 500);
--- a/tests/unit/joined_controller_fixture.h
+++ b/tests/unit/joined_controller_fixture.h
@@ -1,4 +1,4 @@
-// A controller that has joined a cluster whose view is the test's to fill.
+// A controller that has joined a cluster; tests set up the cluster view.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -15,16 +15,16 @@
   FakeStateService service;
   KeyValueStore store{settings, service, silentLog(), 1};
   ClusterView view;
-  LeaseValidity toldValidity;
+  LeaseValidity reportedValidity;
   ControllerLease lease{settings,
                         service,
                         silentLog(),
                         store,
                         view,
-                        {[this](const LeaseValidity& validity) { toldValidity = validity; },
+                        {[this](const LeaseValidity& validity) { reportedValidity = validity; },
                          [] { return std::map<std::string, Version>{}; }, [] {}}};
-  int viewUpdates = 0;
-  EpochAllocator epochs{settings, store, view, lease, [this] { ++viewUpdates; }};
+  int viewRefreshes = 0;
+  EpochAllocator epochs{settings, store, view, lease, [this] { ++viewRefreshes; }};
 
   JoinedControllerTest() {
     for (const auto& prefix : {keys::kJobs, keys::kMachines, keys::kShards, keys::kControllers})
--- a/tests/unit/key_value_client_test.cpp
+++ b/tests/unit/key_value_client_test.cpp
@@ -1,4 +1,4 @@
-// What callers may conclude from each answer, or absence of one, of the state service.
+// The result that each response of the state service, or its absence, is mapped to.
 #include "kvstore/key_value_client.h"
 
 #include <gtest/gtest.h>
@@ -10,7 +10,7 @@
 namespace {
 
 struct KeyValueClientTest : RequestQueueFixture {
-  KeyValueClient client{queue, tally};
+  KeyValueClient client{queue, counters};
 
   TransactionResult transact(const wire::Transaction& transaction, const HttpResult& answer) {
     TransactionResult received;
@@ -31,7 +31,7 @@
 
 }  // namespace
 
-TEST_F(KeyValueClientTest, CommittedTransactionTellsItsRevision) {
+TEST_F(KeyValueClientTest, CommittedTransactionReturnsItsRevision) {
   auto result = transactAnswered(200, R"({"ledger_rev":7})");
   EXPECT_EQ(result.outcome, Outcome::Committed);
   EXPECT_EQ(result.revision, Version{7});
@@ -50,7 +50,7 @@
 
 TEST_F(KeyValueClientTest, ThrottledOrUnavailableServiceRefuses) {
   EXPECT_EQ(transactAnswered(429, "{}").outcome, Outcome::Refused);
-  // The queue now waits out the pause that a 429 asks for.
+  // Wait until the sending pause after the 429 is over.
   runtime.clock.run(runtime.clock.now() + 1'000);
   EXPECT_EQ(transactAnswered(503, "{}").outcome, Outcome::Refused);
 }
@@ -59,7 +59,7 @@
   EXPECT_EQ(transactAnswered(400, "{}").outcome, Outcome::TooLarge);
 }
 
-TEST_F(KeyValueClientTest, BadRequestMeansThatTheLeaseIsGoneWithOne) {
+TEST_F(KeyValueClientTest, BadRequestMeansAnExpiredLeaseWithOne) {
   wire::Transaction transaction{{}, {{"node/a", "{}", LeaseId{3}}}};
   EXPECT_EQ(transact(transaction, answered(400, "{}")).outcome, Outcome::LeaseExpired);
 }
@@ -90,7 +90,7 @@
   EXPECT_FALSE(listed.complete());
 }
 
-TEST_F(KeyValueClientTest, LeaseThatIsGoneIsNotTakenForNoAnswer) {
+TEST_F(KeyValueClientTest, ExpiredLeaseIsDistinguishedFromNoAnswer) {
   std::vector<LeaseRenewal> renewals;
   for (int status : {200, 404, 500}) {
     client.renewLease(LeaseId{3}, Duration{500}, [&](LeaseRenewal renewal) { renewals.push_back(renewal); });
--- a/tests/unit/key_value_store_test.cpp
+++ b/tests/unit/key_value_store_test.cpp
@@ -1,4 +1,4 @@
-// The client of the state service under more requests than its rate limits can bear.
+// The client of the state service with more requests than its rate limits allow.
 #include "kvstore/key_value_store.h"
 
 #include <gtest/gtest.h>
@@ -9,8 +9,9 @@
 
 namespace {
 
-// Time stands still. Calls are counted and never answered; what was scheduled without delay runs when asked.
-struct FrozenRuntime : Runtime {
+// The clock does not advance. Calls are counted and never answered; tasks without a delay are run by the
+// test.
+struct StoppedClockRuntime : Runtime {
   std::vector<std::function<void()>> scheduled;
   std::size_t calls = 0;
   Time now() const override { return Time{Duration{5000}}; }
@@ -29,14 +30,14 @@
   world::Deployment deployment;
   deployment.rps = 101;
   auto settings = parseSettings(deployment.settingsOf(0), {});
-  FrozenRuntime runtime;
+  StoppedClockRuntime runtime;
   KeyValueStore store(settings, runtime, silentLog(), 1);
   int failed = 0;
   for (int read = 0; read < 1000; ++read)
     store.get(RequestPriority::User, "job/x", Duration{1000},
               [&](const GetResult& result) { failed += result.outcome == GetResult::Outcome::Failed; });
   for (auto& task : runtime.scheduled) task();
-  // A third of the service's requests of one second are sent, as many again wait.
+  // The controller's third of the service's requests per second is sent, and as many again are queued.
   EXPECT_EQ(runtime.calls, 30U);
   EXPECT_EQ(failed, 1000 - 30 - 31);
 }
--- a/tests/unit/leader_election_test.cpp
+++ b/tests/unit/leader_election_test.cpp
@@ -1,4 +1,4 @@
-// Who leads, and who becomes a candidate.
+// When a controller becomes a candidate, gains and loses leadership.
 #include "cluster/leader_election.h"
 
 #include "unit/joined_controller_fixture.h"
@@ -7,9 +7,9 @@
 namespace {
 
 struct LeaderElectionTest : JoinedControllerTest {
-  std::vector<bool> told;
+  std::vector<bool> changes;
   LeaderElection election{settings, silentLog(), view,
-                          lease,    epochs,      [this](bool leads) { told.push_back(leads); }};
+                          lease,    epochs,      [this](bool leads) { changes.push_back(leads); }};
 
   void setLeader(const ControllerId& leader, Version version) {
     view.leader = OwnerEntry{{leader, Epoch{5}}, version};
@@ -20,20 +20,20 @@
   }
 };
 
-TEST_F(LeaderElectionTest, ItLeadsOnceTheViewShowsARecordNewerThanTheJoin) {
+TEST_F(LeaderElectionTest, LeadsOnceTheViewShowsARecordNewerThanTheJoin) {
   setLeader(self(), Version{lease.joinVersion().value + 1});
   review();
-  EXPECT_EQ(told, std::vector<bool>{true});
+  EXPECT_EQ(changes, std::vector<bool>{true});
 }
 
-TEST_F(LeaderElectionTest, LeadershipFromBeforeTheJoinIsWrittenAnew) {
+TEST_F(LeaderElectionTest, LeadershipFromBeforeTheJoinIsAcquiredAgain) {
   setLeader(self(), lease.joinVersion());
   review();
-  EXPECT_TRUE(told.empty());
+  EXPECT_TRUE(changes.empty());
   EXPECT_TRUE(epochs.busy());
 }
 
-TEST_F(LeaderElectionTest, ALivingLeaderIsNotChallenged) {
+TEST_F(LeaderElectionTest, LiveLeaderIsNotReplaced) {
   setAlive(other());
   setLeader(other(), Version{9});
   review();
@@ -42,19 +42,19 @@
   EXPECT_TRUE(service.transactions.empty());
 }
 
-TEST_F(LeaderElectionTest, WithoutALeaderTheFirstInTurnIsACandidateAtOnce) {
+TEST_F(LeaderElectionTest, WithoutALeaderTheFirstInOrderIsACandidateAtOnce) {
   setLeader(other(), Version{9});
   review();
   EXPECT_TRUE(epochs.busy());
 }
 
-TEST_F(LeaderElectionTest, ItStopsLeadingWhenTheLeaseIsOver) {
+TEST_F(LeaderElectionTest, StopsLeadingWhenTheLeaseHasExpired) {
   setLeader(self(), Version{9});
   review();
   service.renewalStatus = [] { return 503; };
   runFor(settings.leaseTtl() + Duration{1});
   review();
-  EXPECT_EQ(told, (std::vector<bool>{true, false}));
+  EXPECT_EQ(changes, (std::vector<bool>{true, false}));
 }
 
 }  // namespace
--- a/tests/unit/machine_group_rewrite_test.cpp
+++ b/tests/unit/machine_group_rewrite_test.cpp
@@ -1,5 +1,5 @@
-// Machine groups that have outgrown a value: every machine must stay in one group, and no write may be larger
-// than the state service takes.
+// Machine groups that exceed the maximum value size: every machine must stay in a group, and no write may be
+// larger than the state service accepts.
 #include "cluster/machine_group_rewrite.h"
 
 #include <gtest/gtest.h>
@@ -31,7 +31,7 @@
 
 const GroupExists kNoneExists = [](const std::string&) { return false; };
 
-TEST(MachineGroupRewrite, WhatFitsStaysOneWrite) {
+TEST(MachineGroupRewrite, GroupThatFitsIsOneWrite) {
   auto group = groupOf(3);
   auto rewrite = rewriteGroup(kGroupKey, Version{5}, group, kValueBytes, 4, kNoneExists);
   EXPECT_FALSE(rewrite.splits);
@@ -41,9 +41,9 @@
   EXPECT_EQ(*rewrite.writes[0].write.value, wire::encodeGroup(group));
 }
 
-// A reader that sees the group without some of its machines before it sees them elsewhere takes their tasks
-// for lost and starts them twice: the first step must leave the group as it is.
-TEST(MachineGroupRewrite, WhatHasOutgrownAValueGivesMembersNewGroupsAndStaysAsItIs) {
+// A reader that sees the group without some of its machines before it sees these in another group considers
+// their tasks lost and starts them twice, so the first step must not change the group.
+TEST(MachineGroupRewrite, OversizedGroupMovesMembersToNewGroupsAndStaysUnchanged) {
   auto group = groupOf(60);
   ASSERT_GT(wire::encodeGroup(group).size(), kValueBytes);
   auto rewrite = rewriteGroup(kGroupKey, Version{5}, group, kValueBytes, 8, kNoneExists);
@@ -57,19 +57,19 @@
   }
   auto moved = membersIn(rewrite.writes);
   EXPECT_EQ(std::set<MachineId>(moved.begin(), moved.end()).size(), moved.size());
-  // What is left then fits.
+  // The remaining members fit.
   std::erase_if(group.members, [&](const auto& member) { return moved.count(member.id) > 0; });
   EXPECT_LE(wire::encodeGroup(group).size(), kValueBytes);
 }
 
-TEST(MachineGroupRewrite, NoMoreWritesThanATransactionTakes) {
+TEST(MachineGroupRewrite, SplitIsLimitedToTheMaximumNumberOfWrites) {
   auto rewrite = rewriteGroup(kGroupKey, Version{5}, groupOf(300), kValueBytes, 3, kNoneExists);
   EXPECT_TRUE(rewrite.splits);
   EXPECT_EQ(rewrite.writes.size(), 3U);
 }
 
-// A group whose first machine has left keeps its key: another group must not be written under it.
-TEST(MachineGroupRewrite, NoKeyThatExistsIsTakenForANewGroup) {
+// A group keeps its key after its first machine has left, so no other group may be written under that key.
+TEST(MachineGroupRewrite, NewGroupsDoNotUseExistingKeys) {
   std::set<std::string> taken;
   auto exists = [&](const std::string& key) { return taken.count(key) > 0; };
   for (const auto& [write, _] : createGroup(groupOf(60), kValueBytes, exists)) taken.insert(write.key);
@@ -77,13 +77,13 @@
     EXPECT_EQ(taken.count(write.key), 0U);
 }
 
-TEST(MachineGroupRewrite, AGroupWithoutMachinesIsDropped) {
+TEST(MachineGroupRewrite, GroupWithoutMachinesIsDeleted) {
   auto rewrite = rewriteGroup(kGroupKey, Version{5}, groupOf(0), kValueBytes, 4, kNoneExists);
   ASSERT_EQ(rewrite.writes.size(), 1U);
   EXPECT_FALSE(rewrite.writes[0].write.value);
 }
 
-TEST(MachineGroupSplits, ASplitGroupSettlesForAWhile) {
+TEST(MachineGroupSplits, SplitGroupCountsAsRecentlySplitForAWhile) {
   MachineGroupSplits splits;
   TransactionBuilder transaction{8};
   const Time now{Duration{1'000}};
--- a/tests/unit/membership_test.cpp
+++ b/tests/unit/membership_test.cpp
@@ -1,4 +1,4 @@
-// A controller's lease at the state service.
+// A controller's lease in the state service.
 #include "cluster/membership.h"
 
 #include <gtest/gtest.h>
@@ -26,7 +26,7 @@
     for (const auto& prefix : {keys::kJobs, keys::kMachines, keys::kShards, keys::kControllers})
       store.watch(prefix, [](const wire::KeyChange&) {});
   }
-  // What the count of requests gains in 10 s, once four leases have expired.
+  // Returns by how much `count` increases within 10 s after four leases have expired.
   int requestsInTenSecondsAfterFourLeases(const std::function<int()>& count) {
     membership.start();
     service.clock.run(10'000);
@@ -37,16 +37,17 @@
   }
 };
 
-// The store says now and then that a lease is gone before a renewal does: the next lease is renewed as often.
-TEST_F(MembershipTest, ALeaseIsRenewedOnceAtATime) {
+// Four joins fail with an expired lease before a renewal reports it. Renewals of the earlier leases must
+// stop, otherwise the renewal rate grows with every lease.
+TEST_F(MembershipTest, OnlyOneRenewalSequenceRunsAtATime) {
   int refused = 0;
   service.transactionStatus = [&refused] { return ++refused <= 4 ? 400 : 409; };
-  // Four in a time to live of 3 s.
+  // Four renewals per lease TTL of 3 s.
   EXPECT_LE(requestsInTenSecondsAfterFourLeases([this] { return service.renewals; }), 14);
 }
 
-// Leases expire while a join under them is still to come about: there is one join at a time, under the last.
-TEST_F(MembershipTest, ALeaseIsJoinedOnceAtATime) {
+// Leases expire while their join is still being retried. Only the join under the latest lease may continue.
+TEST_F(MembershipTest, OnlyOneJoinSequenceRunsAtATime) {
   service.transactionStatus = [] { return 409; };
   int gone = 0;
   service.renewalStatus = [&gone] { return ++gone <= 4 ? 404 : 200; };
--- a/tests/unit/rate_limiter_test.cpp
+++ b/tests/unit/rate_limiter_test.cpp
@@ -1,4 +1,4 @@
-// How the buckets of requests and writes fill and empty.
+// Refilling and spending of the request and write buckets.
 #include "kvstore/rate_limiter.h"
 
 #include <gtest/gtest.h>
@@ -27,10 +27,10 @@
   limiter.refill(start + Duration{500});
   EXPECT_TRUE(limiter.hasTokensFor(1));
   limiter.refill(start + Duration{100'000});
-  EXPECT_NEAR(limiter.requests(), limiter.requestsPerSecond(), 1e-9);
+  EXPECT_NEAR(limiter.requestTokens(), limiter.requestsPerSecond(), 1e-9);
 }
 
-TEST_F(RateLimiterTest, AffordsTheLargestTransactionAtTheSmallestFraction) {
+TEST_F(RateLimiterTest, HasTokensForTheLargestTransactionAtASmallFraction) {
   limiter.setFractionOfLimits(1e-3);
   limiter.refill(start + Duration{3'600'000});
   EXPECT_TRUE(limiter.hasTokensFor(static_cast<unsigned>(settings.txnOps)));
--- a/tests/unit/request_queue_fixture.h
+++ b/tests/unit/request_queue_fixture.h
@@ -1,4 +1,5 @@
-// The queue of requests to the state service with all that it needs, for tests of the objects on top of it.
+// The request queue of the state service with its dependencies, for tests of it and of the classes that use
+// it.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -15,9 +16,9 @@
   Settings settings = parseSettings(world::Deployment{}.settingsOf(0), {});
   HeldCallsRuntime runtime;
   RateLimiter limiter{settings, runtime.now()};
-  RequestCounters tally;
+  RequestCounters counters;
   std::mt19937_64 rng{1};
-  RequestQueue queue{settings, runtime, limiter, tally, rng};
+  RequestQueue queue{settings, runtime, limiter, counters, rng};
 };
 
 }  // namespace cherryloft
--- a/tests/unit/request_queue_test.cpp
+++ b/tests/unit/request_queue_test.cpp
@@ -1,4 +1,4 @@
-// In which order requests to the state service are sent, and how many.
+// The order and rate in which requests to the state service are sent.
 #include "kvstore/request_queue.h"
 
 #include <gtest/gtest.h>
@@ -17,7 +17,7 @@
     queue.push(priority, {"test", {"GET", target, "", false}, writes}, deadline,
                [this](const HttpResult& result) { outcomes.push_back(result.outcome); });
   }
-  void useUpRequests() {
+  void spendAllRequestTokens() {
     while (limiter.hasTokensFor(0)) limiter.consumeTokens(0);
   }
   void run(world::Ms ms) { runtime.clock.run(runtime.clock.now() + ms); }
@@ -26,7 +26,7 @@
 }  // namespace
 
 TEST_F(RequestQueueTest, SendsByPriority) {
-  useUpRequests();
+  spendAllRequestTokens();
   push(RequestPriority::User, "/user");
   push(RequestPriority::Work, "/work");
   push(RequestPriority::Control, "/control");
@@ -36,18 +36,18 @@
 }
 
 TEST_F(RequestQueueTest, LeaseRenewalsDoNotWaitForTheRateLimiter) {
-  useUpRequests();
+  spendAllRequestTokens();
   push(RequestPriority::Lease, "/lease");
   EXPECT_EQ(runtime.targets(), (std::vector<std::string>{"/lease"}));
 }
 
-TEST_F(RequestQueueTest, RequestWithoutATurnBeforeItsDeadlineIsNotSent) {
+TEST_F(RequestQueueTest, RequestIsNotSentAfterItsDeadline) {
   limiter.pauseUntil(runtime.now() + Duration{1'000});
   push(RequestPriority::Control, "/late", Duration{100});
   run(2'000);
   EXPECT_TRUE(runtime.requests.empty());
   EXPECT_EQ(outcomes, (std::vector<HttpResult::Outcome>{HttpResult::Outcome::NotSent}));
-  EXPECT_EQ(tally.expired, 1U);
+  EXPECT_EQ(counters.expired, 1U);
 }
 
 TEST_F(RequestQueueTest, PausesWhenThrottled) {
@@ -59,11 +59,11 @@
   EXPECT_EQ(runtime.requests.size(), 1U);
   run(1'000);
   EXPECT_EQ(runtime.requests.size(), 2U);
-  EXPECT_EQ(tally.throttled, 1U);
+  EXPECT_EQ(counters.throttled, 1U);
 }
 
-TEST_F(RequestQueueTest, SpendsWritesToo) {
-  auto allWrites = static_cast<unsigned>(limiter.writes());
+TEST_F(RequestQueueTest, ConsumesWriteTokensToo) {
+  auto allWrites = static_cast<unsigned>(limiter.writeTokens());
   push(RequestPriority::Work, "/all", Duration{10'000}, allWrites);
   push(RequestPriority::Work, "/more", Duration{10'000}, 1);
   EXPECT_EQ(runtime.targets(), (std::vector<std::string>{"/all"}));
--- a/tests/unit/shard_ownership_test.cpp
+++ b/tests/unit/shard_ownership_test.cpp
@@ -1,4 +1,4 @@
-// How shards come to a controller and leave it.
+// How a controller acquires, transfers and loses shards.
 #include "cluster/shard_ownership.h"
 
 #include "unit/joined_controller_fixture.h"
@@ -7,8 +7,8 @@
 namespace {
 
 constexpr ShardId kOwnShard{0};    // this controller is its preferred owner
-constexpr ShardId kOtherShard{1};  // the other one is
-constexpr Duration kLongerThanAnyTurn{20'000};
+constexpr ShardId kOtherShard{1};  // the other controller is its preferred owner
+constexpr Duration kLongerThanAnyTakeoverDelay{20'000};
 
 struct ShardOwnershipTest : JoinedControllerTest {
   std::vector<ShardTakeover> takeovers;
@@ -33,7 +33,7 @@
   void setOwner(ShardId shard, const ControllerId& owner, Epoch epoch, Version version) {
     view.shards[shard] = {{owner, epoch}, version};
   }
-  // Shard 0 comes to this controller, written by a living owner after the join.
+  // Shard 0 is transferred to this controller by a live owner after the join.
   void receiveOwnShard() {
     setOwner(kOwnShard, self(), Epoch{10}, Version{10});
     review();
@@ -49,7 +49,7 @@
   }
 };
 
-TEST_F(ShardOwnershipTest, ARecordOfAnEarlierProcessIsWrittenAnewAtOnce) {
+TEST_F(ShardOwnershipTest, RecordOfAnEarlierProcessIsRewrittenAtOnce) {
   review();
   EXPECT_TRUE(takeovers.empty());
   runFor(Duration{100});
@@ -58,32 +58,32 @@
   EXPECT_EQ(service.transactions.size(), 1U);
 }
 
-TEST_F(ShardOwnershipTest, AShardTransferredToThisProcessNeedsNoWrite) {
+TEST_F(ShardOwnershipTest, ShardTransferredToThisProcessNeedsNoWrite) {
   receiveOwnShard();
   ASSERT_EQ(takeovers.size(), 1U);
   EXPECT_EQ(takeovers[0].epoch, Epoch{10});
   EXPECT_TRUE(service.transactions.empty());
 }
 
-TEST_F(ShardOwnershipTest, AShardWithALivingOwnerIsLeftToIt) {
+TEST_F(ShardOwnershipTest, ShardWithALiveOwnerIsNotTakenOver) {
   receiveOwnShard();
-  runFor(kLongerThanAnyTurn);
+  runFor(kLongerThanAnyTakeoverDelay);
   review();
   EXPECT_TRUE(service.transactions.empty());
 }
 
-TEST_F(ShardOwnershipTest, AShardOfADeadOwnerIsTakenOverInTurn) {
+TEST_F(ShardOwnershipTest, ShardOfADeadOwnerIsTakenOverAfterTheDelay) {
   receiveOwnShard();
   view.controllers.erase(other());
   review();
   EXPECT_TRUE(service.transactions.empty());
-  runFor(kLongerThanAnyTurn);
+  runFor(kLongerThanAnyTakeoverDelay);
   review();
   runFor(Duration{100});
   EXPECT_EQ(shards.owned().count(kOtherShard), 1U);
 }
 
-TEST_F(ShardOwnershipTest, AShardThatAnotherTookIsLost) {
+TEST_F(ShardOwnershipTest, ShardTakenOverByAnotherIsLost) {
   receiveOwnShard();
   setOwner(kOwnShard, other(), Epoch{11}, Version{11});
   review();
@@ -91,7 +91,7 @@
   EXPECT_TRUE(shards.owned().empty());
 }
 
-TEST_F(ShardOwnershipTest, APreferredOwnerThatIsBackGetsItsShardAfterAWhile) {
+TEST_F(ShardOwnershipTest, ReturnedPreferredOwnerGetsItsShardAfterTheDelay) {
   receiveOwnShard();
   setOwner(kOtherShard, self(), Epoch{11}, Version{11});
   review();
@@ -104,7 +104,7 @@
   EXPECT_EQ(returnsRequested, std::vector<ShardId>{kOtherShard});
 }
 
-TEST_F(ShardOwnershipTest, ATransferredShardIsReleased) {
+TEST_F(ShardOwnershipTest, TransferredShardIsReleased) {
   receiveOwnShard();
   transferOwnShard(other());
   EXPECT_FALSE(transfer);
@@ -113,7 +113,7 @@
   EXPECT_TRUE(shards.owned().empty());
 }
 
-TEST_F(ShardOwnershipTest, ARefusedTransferKeepsTheShard) {
+TEST_F(ShardOwnershipTest, RefusedTransferKeepsTheShard) {
   receiveOwnShard();
   service.transactionStatus = [] { return 409; };
   transferOwnShard(other());
@@ -122,7 +122,7 @@
   EXPECT_EQ(shards.owned().count(kOwnShard), 1U);
 }
 
-TEST_F(ShardOwnershipTest, ATransferInDoubtReleasesTheShard) {
+TEST_F(ShardOwnershipTest, TransferInDoubtReleasesTheShard) {
   receiveOwnShard();
   service.transactionStatus = [] { return 500; };
   transferOwnShard(other());
@@ -131,7 +131,7 @@
   EXPECT_TRUE(shards.owned().empty());
 }
 
-TEST_F(ShardOwnershipTest, NothingIsTransferredToAControllerWithoutALease) {
+TEST_F(ShardOwnershipTest, NoTransferToAControllerWithoutALease) {
   receiveOwnShard();
   view.controllers.erase(other());
   transferOwnShard(other());
--- a/tests/unit/takeover_order_test.cpp
+++ b/tests/unit/takeover_order_test.cpp
@@ -1,4 +1,4 @@
-// Who takes over first.
+// The takeover delay of a controller by its position in the order.
 #include "cluster/takeover_order.h"
 
 #include <gtest/gtest.h>
@@ -21,13 +21,13 @@
   EXPECT_EQ(takeoverDelay(settings, view, ShardId{0}), Duration{0});
 }
 
-TEST_F(TakeoverOrderTest, EachLivingControllerBeforeThisOneAddsAStep) {
+TEST_F(TakeoverOrderTest, EachLiveControllerBeforeThisOneAddsAStep) {
   auto oneBefore = takeoverDelay(settings, view, ShardId{2});
   EXPECT_GT(oneBefore, Duration{0});
   EXPECT_EQ(takeoverDelay(settings, view, ShardId{1}), 2 * oneBefore);
 }
 
-TEST_F(TakeoverOrderTest, NobodyWaitsForAControllerWithoutALease) {
+TEST_F(TakeoverOrderTest, ControllersWithoutALeaseAddNoDelay) {
   view.controllers.erase(settings.controllers[2]);
   EXPECT_EQ(takeoverDelay(settings, view, ShardId{2}), Duration{0});
 }
--- a/tests/unit/transaction_builder_test.cpp
+++ b/tests/unit/transaction_builder_test.cpp
@@ -1,4 +1,5 @@
-// The limits of a transaction: a write too many, or too large a body, would be refused by the state service.
+// The limits of a transaction. The state service refuses transactions with too many writes or too large a
+// body.
 #include "kvstore/transaction_builder.h"
 
 #include <gtest/gtest.h>
@@ -8,7 +9,7 @@
 
 wire::Write writeOf(const std::string& key, std::size_t bytes) { return {key, std::string(bytes, 'x'), {}}; }
 
-TEST(TransactionBuilder, TakesNoMoreWritesThanAllowed) {
+TEST(TransactionBuilder, LimitsTheNumberOfWrites) {
   TransactionBuilder builder(2);
   EXPECT_TRUE(builder.empty());
   EXPECT_TRUE(builder.add(writeOf("a", 10), Version{1}));
@@ -21,7 +22,7 @@
   EXPECT_EQ(transaction.conditions.count("c"), 0U);
 }
 
-TEST(TransactionBuilder, StaysWithinItsBytesButForTheFirstWrite) {
+TEST(TransactionBuilder, LimitsTheSizeExceptForTheFirstWrite) {
   TransactionBuilder builder(8);
   EXPECT_TRUE(builder.add(writeOf("a", 2 * wire::kMaxTransactionBytes), Version{1}));
   EXPECT_FALSE(builder.add(writeOf("b", 1), Version{1}));
@@ -31,14 +32,14 @@
   EXPECT_TRUE(second.add(writeOf("c", wire::kMaxTransactionBytes / 4), Version{1}));
 }
 
-TEST(TransactionBuilder, RequiresVersionsOfKeysThatItDoesNotWrite) {
+TEST(TransactionBuilder, AddsConditionsOnKeysThatItDoesNotWrite) {
   TransactionBuilder builder(8);
   builder.addCondition("share/0", Version{7});
   EXPECT_TRUE(builder.empty());
   EXPECT_EQ(builder.take().conditions.at("share/0"), Version{7});
 }
 
-TEST(TransactionBuilder, AddsWritesThatBelongTogetherAllOrNone) {
+TEST(TransactionBuilder, AddsAllOrNoneOfAGroupOfWrites) {
   TransactionBuilder builder(2);
   EXPECT_TRUE(builder.add(writeOf("a", 10), Version{1}));
   EXPECT_FALSE(builder.addAll({{writeOf("b", 10), Version{2}}, {writeOf("c", 10), Version{3}}}));
--- a/tests/unit/watch_cache_test.cpp
+++ b/tests/unit/watch_cache_test.cpp
@@ -1,4 +1,4 @@
-// What a watch cache of the state service shows when answers come late and out of order.
+// The contents of a watch cache when responses arrive late and out of order.
 #include <gtest/gtest.h>
 
 #include "kvstore/key_value_store.h"
@@ -8,8 +8,8 @@
 
 namespace {
 
-// Keeps every request for the test to answer when it likes; time stands.
-struct AnsweringRuntime : Runtime {
+// Keeps every request until the test answers it. The clock does not advance.
+struct ManualAnswerRuntime : Runtime {
   struct Call {
     std::string target;
     HttpDone done;
@@ -31,17 +31,17 @@
 
 struct WatchCacheTest : testing::Test {
   Settings settings = parseSettings(world::Deployment{}.settingsOf(0), {});
-  AnsweringRuntime runtime;
+  ManualAnswerRuntime runtime;
   KeyValueStore store{settings, runtime, silentLog(), 1};
-  std::set<std::string> shown;
+  std::set<std::string> knownKeys;
 
   // Calls 0 and 1 are the first list and the first watch.
   void begin(const std::string& entries) {
     store.watch("node/", [this](const wire::KeyChange& change) {
       if (change.value)
-        shown.insert(change.key);
+        knownKeys.insert(change.key);
       else
-        shown.erase(change.key);
+        knownKeys.erase(change.key);
     });
     runtime.answer(0, R"({"entries":[)" + entries + R"(],"truncated":false,"ledger_rev":4})");
   }
@@ -49,26 +49,27 @@
 
 }  // namespace
 
-TEST_F(WatchCacheTest, LateAnswerDoesNotBringBackADeletedKey) {
+TEST_F(WatchCacheTest, LateAnswerDoesNotRestoreADeletedKey) {
   begin("");
   store.waitUntilCurrent("node/", [](CatchUpResult) {});
   ASSERT_EQ(runtime.calls.size(), 3U);
   runtime.answer(
       2, R"({"ledger_rev":7,"news":[{"write":"node/x","value":{},"stamp":5},{"drop":"node/x","stamp":7}]})");
-  EXPECT_TRUE(shown.empty());
+  EXPECT_TRUE(knownKeys.empty());
   runtime.answer(1, R"({"ledger_rev":5,"news":[{"write":"node/x","value":{},"stamp":5}]})");
-  EXPECT_TRUE(shown.empty());
+  EXPECT_TRUE(knownKeys.empty());
 }
 
-TEST_F(WatchCacheTest, OldListDoesNotDeleteANewerKey) {
+TEST_F(WatchCacheTest, OutdatedListDoesNotDeleteANewerKey) {
   begin("");
   store.waitUntilCurrent("node/", [](CatchUpResult) {});
-  // The watch is too old and all is read anew; the list is as old as its first page.
+  // The watch's revision was compacted, so the cache lists all keys again. The list has the revision of its
+  // first page.
   auto tooOld = runtime.calls.at(1).done;
   tooOld({HttpResult::Outcome::Answered, {410, "{}", false, 0}});
   ASSERT_EQ(runtime.calls.size(), 4U);
   runtime.answer(2, R"({"ledger_rev":9,"news":[{"write":"node/x","value":{},"stamp":9}]})");
-  EXPECT_EQ(shown.size(), 1U);
+  EXPECT_EQ(knownKeys.size(), 1U);
   runtime.answer(3, R"({"entries":[],"truncated":false,"ledger_rev":8})");
-  EXPECT_EQ(shown.size(), 1U);
+  EXPECT_EQ(knownKeys.size(), 1U);
 }
