--- a/src/kvstore/key_value_store.cpp
+++ b/src/kvstore/key_value_store.cpp
@@ -33,7 +33,8 @@
       creations_(settings, runtime, client_, limiter_, counters_) {}
 
 bool KeyValueStore::writesSaturated() const {
-  return limiter_.writeTokens() < kSaturationThreshold * limiter_.writesPerSecond() || creations_.waiting() > 0;
+  return limiter_.writeTokens() < kSaturationThreshold * limiter_.writesPerSecond() ||
+         creations_.waiting() > 0;
 }
 
 std::size_t KeyValueStore::backgroundBatchSize() const {
