--- a/src/autoscaler/scale_in.cpp
+++ b/src/autoscaler/scale_in.cpp
@@ -102,7 +102,7 @@
   if (transaction.empty()) return {};
   // In turn with the commits of our own shard, never before all of them: where machines come and go by the
   // hundreds this alone would take all changes there are.
-  context_.store.transact(RequestPriority::Work, transaction.take(), kRewriteDeadline, std::move(done));
+  context_.store.transact(RequestPriority::Commit, transaction.take(), kRewriteDeadline, std::move(done));
   return written;
 }
 
--- a/src/cluster/cluster_view.cpp
+++ b/src/cluster/cluster_view.cpp
@@ -27,12 +27,12 @@
 }  // namespace
 
 std::vector<MachineId> ClusterView::apply(const wire::KeyChange& change, const Log& log) {
-  if (keys::isUnder(change.key, keys::kMachines)) return applyGroup(change, log);
-  if (keys::isUnder(change.key, keys::kJobs))
+  if (keys::hasPrefix(change.key, keys::kMachines)) return applyGroup(change, log);
+  if (keys::hasPrefix(change.key, keys::kJobs))
     applyJob(change, log);
-  else if (keys::isUnder(change.key, keys::kControllers))
+  else if (keys::hasPrefix(change.key, keys::kControllers))
     applyController(change);
-  else if (keys::isUnder(change.key, keys::kShards))
+  else if (keys::hasPrefix(change.key, keys::kShards))
     applyShardKey(change);
   return {};
 }
--- a/src/cluster/keys.h
+++ b/src/cluster/keys.h
@@ -36,7 +36,7 @@
 inline const std::string kGroups = "share/groups";
 
 // Whether the key starts with the prefix.
-[[nodiscard]] inline bool isUnder(const std::string& key, const std::string& prefix) {
+[[nodiscard]] inline bool hasPrefix(const std::string& key, const std::string& prefix) {
   return key.compare(0, prefix.size(), prefix) == 0;
 }
 
--- a/src/cluster/machine_group_rewrite.cpp
+++ b/src/cluster/machine_group_rewrite.cpp
@@ -58,8 +58,8 @@
   return rewrite;
 }
 
-std::vector<ConditionalWrite> createGroup(const wire::GroupRecord& group, std::size_t valueBytes,
-                                          const GroupExists& exists) {
+std::vector<ConditionalWrite> groupCreationWrites(const wire::GroupRecord& group, std::size_t valueBytes,
+                                                  const GroupExists& exists) {
   std::vector<ConditionalWrite> writes;
   for (const auto& part : splitToFit(group, valueBytes)) writes.push_back(creationOf(part, exists));
   return writes;
--- a/src/cluster/machine_group_rewrite.h
+++ b/src/cluster/machine_group_rewrite.h
@@ -45,8 +45,9 @@
 // Returns the writes that create the group under free keys, in as many parts as needed. Their transaction
 // must have a condition that fails once it has been executed: a key that does not exist may have been created
 // and deleted since.
-[[nodiscard]] std::vector<ConditionalWrite> createGroup(const wire::GroupRecord& group,
-                                                        std::size_t valueBytes, const GroupExists& exists);
+[[nodiscard]] std::vector<ConditionalWrite> groupCreationWrites(const wire::GroupRecord& group,
+                                                                std::size_t valueBytes,
+                                                                const GroupExists& exists);
 
 // Tracks recently split groups, so that they are not rewritten before every reader has seen the new groups.
 class MachineGroupSplits {
--- a/src/cluster/membership.cpp
+++ b/src/cluster/membership.cpp
@@ -17,7 +17,7 @@
               [this] { review(); }}),
       epochs_(settings, store, view, lease_, [this] { review(); }),
       shards_(settings, runtime, log, view, lease_, epochs_,
-              {std::move(callbacks.takenOver), std::move(callbacks.lost),
+              {std::move(callbacks.shardAcquired), std::move(callbacks.lost),
                std::move(callbacks.returnToPreferredOwner)}),
       leaderElection_(settings, log, view, lease_, epochs_, std::move(callbacks.leadershipChanged)) {}
 
--- a/src/cluster/membership.h
+++ b/src/cluster/membership.h
@@ -22,7 +22,7 @@
  public:
   struct Callbacks {
     std::function<void(const LeaseValidity&)> leaseValidityChanged;
-    std::function<void(const ShardTakeover&)> takenOver;
+    std::function<void(const ShardTakeover&)> shardAcquired;
     std::function<void(ShardId)> lost;
     // Called with whether this controller is now the leader.
     std::function<void(bool)> leadershipChanged;
--- a/src/cluster/shard_ownership.cpp
+++ b/src/cluster/shard_ownership.cpp
@@ -137,7 +137,7 @@
   // The former owner, or its keep-alive proxy, may answer heartbeats for the grace period. A former owner
   // that transferred the shard and is live may in addition do so until its lease ends (invariant 6).
   auto formerOwnerAnswersFor = settings_.grace() + settings_.leaseTtl();
-  callbacks_.takenOver({shard, epoch, version, formerOwnerAnswersFor});
+  callbacks_.shardAcquired({shard, epoch, version, formerOwnerAnswersFor});
 }
 
 void ShardOwnership::transferOwnership(ShardId shard, Version version, const ControllerId& newOwner,
--- a/src/cluster/shard_ownership.h
+++ b/src/cluster/shard_ownership.h
@@ -36,7 +36,7 @@
 //   3. The one with the shortest delay writes itself as the owner with a new epoch, on condition that the
 //      former owner has no lease. By its own clock, the former owner has stopped acting as the owner by then
 //      (invariant 6).
-//   4. takenOver starts the new owner's scheduler, which loads the shard's state (invariant 7).
+//   4. shardAcquired starts the new owner's scheduler, which loads the shard's state (invariant 7).
 //
 // A controller that restarts quickly and is still named in the record writes the record again at once with a
 // new epoch: an epoch is never used by two processes.
@@ -50,7 +50,7 @@
 class ShardOwnership {
  public:
   struct Callbacks {
-    std::function<void(const ShardTakeover&)> takenOver;
+    std::function<void(const ShardTakeover&)> shardAcquired;
     std::function<void(ShardId)> lost;
     // Requests that the shard's scheduler transfer the shard to that controller when it can.
     std::function<void(ShardId, const ControllerId&)> returnToPreferredOwner;
--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -79,7 +79,7 @@
   callbacks.leaseValidityChanged = [this](const LeaseValidity& validity) {
     schedulers_.forEach([&validity](ShardScheduler& scheduler) { scheduler.leaseValidity(validity); });
   };
-  callbacks.takenOver = [this](const ShardTakeover& takeover) { handleTakeover(takeover); };
+  callbacks.shardAcquired = [this](const ShardTakeover& takeover) { handleTakeover(takeover); };
   callbacks.lost = [this](ShardId shard) { schedulers_.remove(shard); };
   callbacks.leadershipChanged = [this](bool leads) { autoscaler_.leading(leads); };
   callbacks.returnToPreferredOwner = [this](ShardId shard, const ControllerId& to) {
@@ -170,9 +170,9 @@
 
 void Controller::handleKeyChange(const wire::KeyChange& change) {
   auto machines = view_.apply(change, log_);
-  if (keys::isUnder(change.key, keys::kJobs)) {
+  if (keys::hasPrefix(change.key, keys::kJobs)) {
     schedulers_.jobChanged(JobId{change.key.substr(keys::kJobs.size())});
-  } else if (keys::isUnder(change.key, keys::kMachines)) {
+  } else if (keys::hasPrefix(change.key, keys::kMachines)) {
     for (const auto& machine : machines) schedulers_.machineChanged(machine);
   } else if (store_.cachesLoaded()) {
     membership_.changed();
--- a/src/kvstore/request_queue.cpp
+++ b/src/kvstore/request_queue.cpp
@@ -12,9 +12,9 @@
 constexpr Duration kThrottlePause{250};
 constexpr std::uint64_t kThrottleJitterMs = 250;
 constexpr int kTooManyRequests = 429;
-constexpr std::array kPriorityOrder{RequestPriority::Lease, RequestPriority::Control, RequestPriority::Work,
+constexpr std::array kPriorityOrder{RequestPriority::Lease, RequestPriority::Control, RequestPriority::Commit,
                                     RequestPriority::User};
-static_assert(kPriorityOrder.size() == kRequestPriorities);
+static_assert(kPriorityOrder.size() == kRequestPriorityCount);
 
 }  // namespace
 
--- a/src/kvstore/request_queue.h
+++ b/src/kvstore/request_queue.h
@@ -17,10 +17,10 @@
 enum class RequestPriority : std::uint8_t {
   Lease,    // this controller's own lease; bypasses the rate limiter
   Control,  // ownership, leadership, watches, machine records, new jobs
-  Work,     // scheduler commits
+  Commit,   // scheduler commits
   User,     // reads for user requests; fail at once if they cannot be sent in time
 };
-inline constexpr std::size_t kRequestPriorities = 4;
+inline constexpr std::size_t kRequestPriorityCount = 4;
 
 /// Counters of requests to the state service since the last summary in the log.
 struct RequestCounters {
@@ -76,7 +76,7 @@
   RateLimiter& limiter_;
   RequestCounters& counters_;
   std::mt19937_64& rng_;
-  std::array<Queue, kRequestPriorities> queues_;
+  std::array<Queue, kRequestPriorityCount> queues_;
   bool sendScheduled_ = false;
 };
 
--- a/src/scheduler/commits.cpp
+++ b/src/scheduler/commits.cpp
@@ -131,7 +131,7 @@
     return;
   }
   committing_ = true;
-  store_.transact(RequestPriority::Work, commitInFlight_->transaction, kCommitDeadline,
+  store_.transact(RequestPriority::Commit, commitInFlight_->transaction, kCommitDeadline,
                   guarded([this](TransactionResult result) { committed(result); }));
 }
 
--- a/src/scheduler/machine_record_writer.cpp
+++ b/src/scheduler/machine_record_writer.cpp
@@ -52,7 +52,7 @@
   if (transaction.writes() == writesBefore) return;
   addressUnwrittenSince_ = Time{};
   writeInFlight_ = true;
-  store_.transact(RequestPriority::Work, transaction.take(), kWriteDeadline,
+  store_.transact(RequestPriority::Commit, transaction.take(), kWriteDeadline,
                   [this, alive = std::weak_ptr<bool>(alive_)](const TransactionResult& result) {
                     if (alive.lock()) written(result);
                   });
@@ -119,7 +119,7 @@
   auto exists = [&](const std::string& other) { return view_.groups.count(other) > 0; };
   std::vector<ConditionalWrite> created;
   for (const auto& [to, machines] : change.movedToShard) {
-    auto parts = createGroup(movedGroup(group, to, machines, token), settings_.valueBytes, exists);
+    auto parts = groupCreationWrites(movedGroup(group, to, machines, token), settings_.valueBytes, exists);
     created.insert(created.end(), parts.begin(), parts.end());
   }
   updateMembers(group, change);
--- a/tests/unit/machine_group_rewrite_test.cpp
+++ b/tests/unit/machine_group_rewrite_test.cpp
@@ -72,8 +72,9 @@
 TEST(MachineGroupRewrite, NewGroupsDoNotUseExistingKeys) {
   std::set<std::string> taken;
   auto exists = [&](const std::string& key) { return taken.count(key) > 0; };
-  for (const auto& [write, _] : createGroup(groupOf(60), kValueBytes, exists)) taken.insert(write.key);
-  for (const auto& [write, _] : createGroup(groupOf(60), kValueBytes, exists))
+  for (const auto& [write, _] : groupCreationWrites(groupOf(60), kValueBytes, exists))
+    taken.insert(write.key);
+  for (const auto& [write, _] : groupCreationWrites(groupOf(60), kValueBytes, exists))
     EXPECT_EQ(taken.count(write.key), 0U);
 }
 
--- a/tests/unit/request_queue_test.cpp
+++ b/tests/unit/request_queue_test.cpp
@@ -28,7 +28,7 @@
 TEST_F(RequestQueueTest, SendsByPriority) {
   spendAllRequestTokens();
   push(RequestPriority::User, "/user");
-  push(RequestPriority::Work, "/work");
+  push(RequestPriority::Commit, "/work");
   push(RequestPriority::Control, "/control");
   EXPECT_TRUE(runtime.requests.empty());
   run(1'000);
@@ -64,8 +64,8 @@
 
 TEST_F(RequestQueueTest, ConsumesWriteTokensToo) {
   auto allWrites = static_cast<unsigned>(limiter.writeTokens());
-  push(RequestPriority::Work, "/all", Duration{10'000}, allWrites);
-  push(RequestPriority::Work, "/more", Duration{10'000}, 1);
+  push(RequestPriority::Commit, "/all", Duration{10'000}, allWrites);
+  push(RequestPriority::Commit, "/more", Duration{10'000}, 1);
   EXPECT_EQ(runtime.targets(), (std::vector<std::string>{"/all"}));
   run(1'000);
   EXPECT_EQ(runtime.requests.size(), 2U);
