--- a/src/kvstore/request_queue.h
+++ b/src/kvstore/request_queue.h
@@ -17,7 +17,7 @@
 enum class RequestPriority : std::uint8_t {
   Lease,    // this controller's own lease; bypasses the rate limiter
   Control,  // ownership, leadership, watches, machine records, new jobs
-  Commit,   // scheduler commits
+  Commit,   // commits of schedulers and rewrites of machine groups
   User,     // reads for user requests; fail at once if they cannot be sent in time
 };
 inline constexpr std::size_t kRequestPriorityCount = 4;
