--- a/src/cluster/keep_alive_proxy.h
+++ b/src/cluster/keep_alive_proxy.h
@@ -69,7 +69,7 @@
   // As an owner.
   Time peerInactiveAfter_{};   // the peer was not proxying for us at some time after this
   Time peerAnsweredUntil_{};   // latest answer on our behalf, reported or assumed
-  Time peerMayAnswerUntil_{};  // limit set by our last heartbeat that the peer received
+  Time peerMayAnswerUntil_{};  // the peer does not answer on our behalf after this
 };
 
 }  // namespace cherryloft
--- a/src/cluster/shard_ownership.h
+++ b/src/cluster/shard_ownership.h
@@ -45,8 +45,8 @@
 //   1. returnToPreferredOwner notifies the shard's scheduler, which waits for its commit in flight.
 //   2. The scheduler calls transferOwnership: the preferred owner is written with a new epoch, on condition
 //      that its lease is live.
-//   3. The preferred owner sees its name in the record with an epoch that it has not used yet, and takes
-//   over.
+//   3. The preferred owner sees its name in the record with an epoch that it has not used yet, and starts
+//      to act as the owner.
 class ShardOwnership {
  public:
   struct Callbacks {
