--- a/src/kvstore/watch_cache.h
+++ b/src/kvstore/watch_cache.h
@@ -40,7 +40,7 @@
 
   [[nodiscard]] const std::string& prefix() const { return prefix_; }
 
-  /// Whether all keys have been handleList. False while they are handleList again after a lost watch.
+  /// Whether all keys have been listed. False while they are listed again after a lost watch.
   [[nodiscard]] bool loaded() const { return phase_ == Phase::Watching; }
 
   /// Everything committed before this time has been applied.
