--- a/src/autoscaler/autoscaler.cpp
+++ b/src/autoscaler/autoscaler.cpp
@@ -7,90 +7,90 @@
 namespace cherryloft {
 namespace {
 
-constexpr Duration kTick{500};
+constexpr Duration kTickInterval{500};
 
 }  // namespace
 
 Autoscaler::Autoscaler(const Settings& settings, Runtime& runtime, Log log, KeyValueStore& store,
-                       const ClusterView& view, std::uint64_t seed, Callbacks out)
+                       const ClusterView& view, std::uint64_t seed, Callbacks callbacks)
     : settings_(settings),
       runtime_(runtime),
       log_(log),
       view_(view),
-      callbacks_(std::move(out)),
+      callbacks_(std::move(callbacks)),
       context_{settings, runtime, std::move(log), store, view, leadership_},
-      calls_(settings.cloudRps, runtime.now()),
+      cloudCallBudget_(settings.cloudRps, runtime.now()),
       catalog_(context_),
-      prices_(catalog_.prices()),
+      machineTypes_(catalog_.machineTypes()),
       records_(context_, [this](const MachineId& id) { return scaleIn_.returned(id); }),
       scaleIn_(context_,
-               [this](const policy::InstanceOffering& offer) { scaleOut_.offeringAvailable(offer); }),
+               [this](const policy::InstanceOffering& offering) { scaleOut_.offeringAvailable(offering); }),
       scaleOut_(context_, records_, seed),
-      adoption_(context_, catalog_, records_, scaleIn_, [this] { return shardGaps(); }),
+      adoption_(context_, catalog_, records_, scaleIn_, [this] { return shardDeficits(); }),
       inventory_(context_, catalog_, adoption_, scaleIn_) {}
 
 void Autoscaler::start() { tick(); }
 
-void Autoscaler::leading(bool yes) {
-  leadership_.active = yes;
-  if (!yes) return;
+void Autoscaler::handleLeadershipChange(bool isLeader) {
+  leadership_.active = isLeader;
+  if (!isLeader) return;
   leadership_.since = runtime_.now();
   lastRebalance_ = leadership_.since;
   loads_.clear();
-  inventory_.restart();
-  scaleIn_.restart();
-  scaleOut_.restart();
-  adoption_.restart();
-  records_.restart();
+  inventory_.reset();
+  scaleIn_.reset();
+  scaleOut_.reset();
+  adoption_.reset();
+  records_.reset();
 }
 
-void Autoscaler::load(const mesh::ShardLoad& load) {
+void Autoscaler::handleShardLoad(const mesh::ShardLoad& load) {
   auto& reported = loads_[ShardId{load.shard}];
-  if (reported.load.epoch > load.epoch) return;  // of a former owner
+  if (reported.load.epoch > load.epoch) return;  // sent by a former owner
   reported = {load, runtime_.now()};
 }
 
 void Autoscaler::tick() {
-  runtime_.after(kTick, [this] { tick(); });
-  if (!leadership_.active || !callbacks_.mayAct()) return;
-  calls_.refill(runtime_.now());
-  catalog_.useKept();
-  catalog_.refresh(calls_);
-  inventory_.refresh(calls_);
-  scaleIn_.returnMarked(calls_);
-  inventory_.reviewRecords();
+  runtime_.after(kTickInterval, [this] { tick(); });
+  if (!leadership_.active || !callbacks_.holdsLease()) return;
+  cloudCallBudget_.refill(runtime_.now());
+  catalog_.loadPersisted();
+  catalog_.refresh(cloudCallBudget_);
+  inventory_.refresh(cloudCallBudget_);
+  scaleIn_.returnMarked(cloudCallBudget_);
+  inventory_.reconcileRecords();
   scaleIn_.markRequested();
-  if (records_.current()) adoption_.assignToShards();
-  if (!prices_.empty() && runtime_.now() - leadership_.since >= kSettle) plan();
+  if (records_.viewIsCurrent()) adoption_.assignToShards();
+  if (!machineTypes_.empty() && runtime_.now() - leadership_.since >= kNewLeaderSettleTime) plan();
 }
 
 policy::ShardFleet Autoscaler::fleetOf(ShardId shard) const {
   auto reported = loads_.find(shard);
   const auto* load = reported == loads_.end() ? nullptr : &reported->second.load;
-  auto fleet = describeShardFleet(shard, load, view_, prices_, runtime_.wall());
-  scaleOut_.addOrdered(shard, fleet);
+  auto fleet = describeShardFleet(shard, load, view_, machineTypes_, runtime_.wall());
+  scaleOut_.addPendingMachines(shard, fleet);
   return fleet;
 }
 
-ShardGaps Autoscaler::shardGaps() const {
-  ShardGaps gaps;
+ShardDeficits Autoscaler::shardDeficits() const {
+  ShardDeficits deficits;
   for (std::uint32_t number = 0; number < settings_.size(); ++number) {
     ShardId shard{number};
     auto fleet = fleetOf(shard);
-    auto& gap = gaps[shard];
-    gap.cores = fleet.onDemandOnly.used + fleet.onDemandOnly.waiting + fleet.spotAllowed.used +
-                fleet.spotAllowed.waiting;
+    auto& deficit = deficits[shard];
+    deficit.missingCores = fleet.onDemandOnly.used + fleet.onDemandOnly.waiting + fleet.spotAllowed.used +
+                           fleet.spotAllowed.waiting;
     for (const auto& machine : fleet.machines) {
-      gap.cores -= machine.cores;
-      ++gap.machinesOfType[machine.type];
+      deficit.missingCores -= machine.cores;
+      ++deficit.machineCountByType[machine.type];
     }
   }
-  return gaps;
+  return deficits;
 }
 
 void Autoscaler::startScaleOut(ShardId shard, const policy::ScaleOutRequest& request) {
-  calls_.take();
-  scaleOut_.start(shard, request);
+  cloudCallBudget_.consume();
+  scaleOut_.requestMachines(shard, request);
 }
 
 }  // namespace cherryloft
--- a/src/autoscaler/autoscaler.h
+++ b/src/autoscaler/autoscaler.h
@@ -1,5 +1,6 @@
-// Autoscaler: acts on the leader only. Plans the machines of all shards, and has its parts scale out, adopt,
-// record and return them. Machines that are to move or go are asked of their owners.
+// Autoscaler: runs on the leader only. Plans the capacity of all shards; its components request, adopt,
+// record and return machines. To move or release a machine it sends a directive to the owner of the machine's
+// shard.
 #pragma once
 
 #include "autoscaler/cloud_catalog.h"
@@ -17,49 +18,53 @@
 class Autoscaler {
  public:
   struct Callbacks {
-    std::function<void(const mesh::MachineDirective&)> sendDirective;  // to the owner of the shard
-    // Whether our lease is good this very moment: leadership was judged by a clock read before.
-    std::function<bool()> mayAct;
+    std::function<void(const mesh::MachineDirective&)> sendDirective;  // to the shard's owner
+    // Whether our lease is valid at this moment. The leadership flag alone is not enough: it was set from an
+    // earlier clock reading.
+    std::function<bool()> holdsLease;
   };
   Autoscaler(const Settings& settings, Runtime& runtime, Log log, KeyValueStore& store,
-             const ClusterView& view, std::uint64_t seed, Callbacks out);
+             const ClusterView& view, std::uint64_t seed, Callbacks callbacks);
   void start();
-  void leading(bool yes);
-  void load(const mesh::ShardLoad& l);
-  // A machine without a record has reported.
-  void unrecordedMachineSeen(const wire::WorkerHeartbeat& r) { adoption_.reported(r); }
+  void handleLeadershipChange(bool isLeader);
+  void handleShardLoad(const mesh::ShardLoad& load);
+  // A machine without a record sent a heartbeat.
+  void handleUnrecordedMachine(const wire::WorkerHeartbeat& heartbeat) {
+    adoption_.handleHeartbeat(heartbeat);
+  }
 
  private:
-  // What a shard's owner reported last, and when it came.
+  // The latest load report of a shard's owner, and when it was received.
   struct ReportedLoad {
     mesh::ShardLoad load;
     Time at;
   };
 
   void tick();
-  // How many idle machines of a shard may move in one turn.
+  // How many idle machines a shard may give away in one planning run.
   enum class MoveScope : std::uint8_t { OnePerShard, AllSpare };
   struct MoveDestination {
     ShardId shard;
-    bool takesSpot = false;  // work waits there that spot machines may run
+    bool acceptsSpot = false;  // it has waiting work that may run on spot machines
   };
 
   void plan();
   void planShard(ShardId shard, const policy::ShardFleet& fleet, const policy::CapacityTargets& target,
                  double spareSpotCores);
-  void logShard(ShardId shard, const policy::ShardFleet& fleet, const policy::CapacityTargets& target) const;
+  void logShardCapacity(ShardId shard, const policy::ShardFleet& fleet,
+                        const policy::CapacityTargets& target) const;
   void moveToEmptyShards(const std::map<ShardId, policy::ShardFleet>& fleets);
   void scaleOutInTurn(const std::map<ShardId, policy::ShardFleet>& fleets,
                       const std::map<ShardId, policy::CapacityTargets>& targets);
-  // The shards, the one that lacks most of what it wants first.
-  static std::vector<ShardId> byPressure(const std::map<ShardId, policy::ShardFleet>& fleets,
-                                         const std::map<ShardId, policy::CapacityTargets>& targets);
-  bool mayAskAgain(const MachineId& machine);
-  void returnDrained(ShardId shard);
+  // All shards, those furthest below their targets first.
+  static std::vector<ShardId> shardsByPressure(const std::map<ShardId, policy::ShardFleet>& fleets,
+                                               const std::map<ShardId, policy::CapacityTargets>& targets);
+  bool shouldSendDirective(const MachineId& machine);
+  void returnDrainedMachines(ShardId shard);
   void cancelOneDrain(ShardId shard);
-  void releaseIdle(ShardId shard, const policy::ShardFleet& fleet, const policy::CapacityTargets& target,
-                   double spareSpotCores);
-  void drainSome(ShardId shard, const policy::ShardFleet& fleet, const policy::CapacityTargets& target);
+  void releaseIdleMachines(ShardId shard, const policy::ShardFleet& fleet,
+                           const policy::CapacityTargets& target, double spareSpotCores);
+  void drainMachines(ShardId shard, const policy::ShardFleet& fleet, const policy::CapacityTargets& target);
   double coresMovingTo(ShardId to);
   void moveIdleMachines(const std::map<ShardId, policy::ShardFleet>& fleets,
                         const std::map<ShardId, policy::CapacityTargets>& targets, MoveScope scope);
@@ -67,8 +72,8 @@
                 MoveScope scope);
   void startScaleOut(ShardId shard, const policy::ScaleOutRequest& request);
   policy::ShardFleet fleetOf(ShardId shard) const;
-  std::set<policy::InstanceOffering> unavailable() const { return scaleOut_.refused(); }
-  ShardGaps shardGaps() const;
+  std::set<policy::InstanceOffering> unavailableOfferings() const { return scaleOut_.unavailableOfferings(); }
+  ShardDeficits shardDeficits() const;
 
   const Settings& settings_;
   Runtime& runtime_;
@@ -77,9 +82,9 @@
   Callbacks callbacks_;
   Leadership leadership_;
   AutoscalerContext context_;
-  CallBudget calls_;
+  CloudCallBudget cloudCallBudget_;
   CloudCatalog catalog_;
-  const Catalog& prices_;
+  const Catalog& machineTypes_;
   MachineRecords records_;
   ScaleIn scaleIn_;
   ScaleOut scaleOut_;
@@ -87,15 +92,15 @@
   MachineInventory inventory_;
   std::map<ShardId, ReportedLoad> loads_;
   Time lastRebalance_{};
-  // A machine that was asked to move and is not recorded there yet.
-  struct Moving {
+  // A machine whose move to another shard was requested but is not yet recorded.
+  struct PendingMove {
     ShardId to;
     Time at;
     double cores = 0;
   };
-  std::map<MachineId, Moving> moving_;
-  std::map<ShardId, Time> moveAfterDrainAt_;
-  std::map<MachineId, Time> asked_;  // machines whose owner was told to give them up
+  std::map<MachineId, PendingMove> pendingMoves_;
+  std::map<ShardId, Time> lastMoveAfterDrainAt_;
+  std::map<MachineId, Time> lastDirectiveAt_;  // last directive to give the machine up
 };
 
 }  // namespace cherryloft
--- a/src/autoscaler/autoscaler_context.h
+++ b/src/autoscaler/autoscaler_context.h
@@ -1,4 +1,4 @@
-// What the parts of Fleet have in common: the surroundings, the current leadership, the calls to the cloud.
+// State shared by the components of the autoscaler: dependencies, current leadership, cloud call budget.
 #pragma once
 
 #include <algorithm>
@@ -13,50 +13,53 @@
 
 namespace cherryloft {
 
-// Whether this controller leads, and since when. A later leadership of the same controller has another start.
+// Whether this controller is the leader, and since when. The start time identifies the term: each later term
+// of the same controller has a different one.
 struct Leadership {
   bool active = false;
   Time since{};
 
-  // Whether what was begun under the leadership of that start still counts.
+  // Whether an operation begun in the term that started at `start` is still valid.
   bool continues(Time start) const { return active && since == start; }
 };
 
-// How many calls to the cloud may be made now. Only the leader speaks to the cloud, and so it has nearly all
-// of the limit; a rest is left for a rival that has not yet noticed that it leads no more.
-class CallBudget {
+// Token bucket that limits calls to the cloud API. Only the leader calls the cloud, so it uses most of the
+// rate limit; the remainder is reserved for a former leader that has not yet noticed that it lost leadership.
+class CloudCallBudget {
  public:
-  CallBudget(double callsPerSecond, Time now)
-      : callsPerSecond_(callsPerSecond), calls_(callsPerSecond), refilled_(now) {}
+  CloudCallBudget(double callsPerSecond, Time now)
+      : callsPerSecond_(callsPerSecond), available_(callsPerSecond), refilled_(now) {}
 
   void refill(Time now) {
-    calls_ = std::min(calls_ + inSeconds(now - refilled_) * callsPerSecond_ * kOfLimit, callsPerSecond_);
+    available_ = std::min(available_ + inSeconds(now - refilled_) * callsPerSecond_ * kFractionOfLimit,
+                          callsPerSecond_);
     refilled_ = now;
   }
-  // Takes one call if there is one.
-  bool tryTake() {
-    if (calls_ < 1) return false;
-    take();
+  // Consumes one call if one is available.
+  bool tryConsume() {
+    if (available_ < 1) return false;
+    consume();
     return true;
   }
-  void take() { calls_ -= 1; }
-  void giveBack() { calls_ += 1; }
-  // Compares the calls that are left.
-  friend std::partial_ordering operator<=>(const CallBudget& budget, double calls) {
-    return budget.calls_ <=> calls;
+  void consume() { available_ -= 1; }
+  void refund() { available_ += 1; }
+  // Compares the number of calls available.
+  friend std::partial_ordering operator<=>(const CloudCallBudget& budget, double calls) {
+    return budget.available_ <=> calls;
   }
 
  private:
-  static constexpr double kOfLimit = 0.7;
+  static constexpr double kFractionOfLimit = 0.7;
   double callsPerSecond_;
-  double calls_;
+  double available_;
   Time refilled_;
 };
 
-inline constexpr Duration kCloudDeadline{4'000};
-inline constexpr Duration kSettle{5'000};  // a new leader looks before it acts
+inline constexpr Duration kCloudCallTimeout{4'000};
+// A new leader observes the cluster for this long before acting.
+inline constexpr Duration kNewLeaderSettleTime{5'000};
 
-// Everything in it outlives the parts.
+// All references must outlive the components that use the context.
 struct AutoscalerContext {
   const Settings& settings;
   Runtime& runtime;
@@ -66,7 +69,7 @@
   const Leadership& leadership;
 
   void callCloud(HttpRequest request, HttpDone done) const {
-    runtime.call(settings.cloud, std::move(request), kCloudDeadline, std::move(done));
+    runtime.call(settings.cloud, std::move(request), kCloudCallTimeout, std::move(done));
   }
 };
 
--- a/src/autoscaler/cloud_catalog.h
+++ b/src/autoscaler/cloud_catalog.h
@@ -1,4 +1,4 @@
-// CloudCatalog: the machine types that the cloud offers, with their prices of now.
+// CloudCatalog: the machine types that the cloud offers, with their current prices.
 #pragma once
 
 #include "autoscaler/autoscaler_context.h"
@@ -9,20 +9,20 @@
 class CloudCatalog {
  public:
   explicit CloudCatalog(const AutoscalerContext& context) : context_(context) {}
-  // The cloud's own, with current spot prices; until it answers, what was kept of it.
-  const Catalog& prices() const { return prices_; }
-  // Takes what was kept if nothing is known yet.
-  void useKept();
-  // Asks the cloud if it is time to and the budget has a call left.
-  void refresh(CallBudget& calls);
+  // As the cloud reported them, with current spot prices; before its first answer, the persisted copy.
+  const Catalog& machineTypes() const { return machineTypes_; }
+  // Loads the persisted copy if no catalog is known yet.
+  void loadPersisted();
+  // Fetches the catalog if a refresh is due and the budget has a call left.
+  void refresh(CloudCallBudget& budget);
 
  private:
   void fetch();
-  void fetched(const HttpResult& result);
-  void keep(const Catalog& fresh);
+  void handleFetchResult(const HttpResult& result);
+  void persist(const Catalog& fresh);
 
   const AutoscalerContext& context_;
-  Catalog prices_;
+  Catalog machineTypes_;
   Time refreshedAt_{};
   bool fetching_ = false;
 };
--- a/src/autoscaler/machine_adoption.cpp
+++ b/src/autoscaler/machine_adoption.cpp
@@ -7,78 +7,81 @@
 namespace cherryloft {
 namespace {
 
-constexpr Duration kDealTogether{1'000};
-constexpr Duration kAskDeadline{2'000};
-constexpr Duration kAskAgain{1'000};
-constexpr std::size_t kMostAsking = 16;  // machines that turned up, asked at a time
+constexpr Duration kBatchDelay{1'000};
+constexpr Duration kProbeTimeout{2'000};
+constexpr Duration kProbeInterval{1'000};
+constexpr std::size_t kMaxConcurrentProbes = 16;  // unrecorded machines probed at the same time
 
-long machinesOfType(const ShardGap& gap, const std::string& type) {
-  auto it = gap.machinesOfType.find(type);
-  return it == gap.machinesOfType.end() ? 0 : it->second;
+long machineCount(const ShardDeficit& deficit, const std::string& type) {
+  auto it = deficit.machineCountByType.find(type);
+  return it == deficit.machineCountByType.end() ? 0 : it->second;
 }
 
 }  // namespace
 
-ShardId shardWithLargestGap(const ShardGaps& gaps, const std::string& type) {
-  auto needier = [&](const auto& a, const auto& b) {
-    long ofA = machinesOfType(a.second, type);
-    long ofB = machinesOfType(b.second, type);
-    return ofA != ofB ? ofA < ofB : a.second.cores > b.second.cores;
+ShardId selectShardForType(const ShardDeficits& deficits, const std::string& type) {
+  auto needsMore = [&](const auto& a, const auto& b) {
+    long countA = machineCount(a.second, type);
+    long countB = machineCount(b.second, type);
+    return countA != countB ? countA < countB : a.second.missingCores > b.second.missingCores;
   };
-  return std::min_element(gaps.begin(), gaps.end(), needier)->first;
+  return std::min_element(deficits.begin(), deficits.end(), needsMore)->first;
 }
 
 MachineAdoption::MachineAdoption(const AutoscalerContext& context, const CloudCatalog& catalog,
-                                 MachineRecords& records, const ScaleIn& returns, FindGaps findGaps)
+                                 MachineRecords& records, const ScaleIn& scaleIn,
+                                 ComputeDeficits computeDeficits)
     : context_(context),
       catalog_(catalog),
       records_(records),
-      scaleIn_(returns),
-      findGaps_(std::move(findGaps)) {}
+      scaleIn_(scaleIn),
+      computeDeficits_(std::move(computeDeficits)) {}
 
-void MachineAdoption::restart() {
-  asking_.clear();
-  waiting_.clear();
+void MachineAdoption::reset() {
+  probing_.clear();
+  unassigned_.clear();
 }
 
 void MachineAdoption::adopt(const MachineId& id, wire::MachineRecord record) {
   if (records_.pending(id)) return;
-  if (waiting_.empty()) dealAt_ = context_.runtime.now() + kDealTogether;
-  waiting_.emplace(id, std::move(record));
+  if (unassigned_.empty()) assignAt_ = context_.runtime.now() + kBatchDelay;
+  unassigned_.emplace(id, std::move(record));
 }
 
-bool MachineAdoption::unknown(const MachineId& id) const {
+bool MachineAdoption::isUnrecorded(const MachineId& id) const {
   return context_.clusterView.machines.count(id) == 0 && !scaleIn_.returned(id);
 }
 
-// Its report may be a late copy, and the machine gone: it is asked.
-void MachineAdoption::reported(const wire::WorkerHeartbeat& report) {
-  if (!context_.leadership.active || !unknown(report.machine) || report.address.empty()) return;
-  if (records_.pending(report.machine) || asking_.size() >= kMostAsking) return;
-  if (!asking_.insert(report.machine).second) return;
+// The heartbeat may be a delayed copy from a machine that no longer exists, so the machine is probed first.
+void MachineAdoption::handleHeartbeat(const wire::WorkerHeartbeat& heartbeat) {
+  if (!context_.leadership.active || !isUnrecorded(heartbeat.machine) || heartbeat.address.empty()) return;
+  if (records_.pending(heartbeat.machine) || probing_.size() >= kMaxConcurrentProbes) return;
+  if (!probing_.insert(heartbeat.machine).second) return;
   Address address;
   try {
-    address = parseAddress(report.address);
+    address = parseAddress(heartbeat.address);
   } catch (const SettingsError&) {
     return;
   }
-  context_.runtime.call(address, {"GET", "/show", "", false}, kAskDeadline,
-                        [this, id = report.machine](const HttpResult& result) { asked(id, result); });
+  context_.runtime.call(
+      address, {"GET", "/show", "", false}, kProbeTimeout,
+      [this, id = heartbeat.machine](const HttpResult& result) { handleProbeResult(id, result); });
 }
 
-void MachineAdoption::asked(const MachineId& id, const HttpResult& result) {
-  auto report = result.answered(200) ? wire::parseHeartbeat(result.response.body) : std::nullopt;
-  context_.runtime.after(kAskAgain, [this, id] { asking_.erase(id); });
-  if (!context_.leadership.active || !report || report->machine != id || !unknown(id)) return;
-  adopt(id, {ShardId{}, Epoch{}, wire::MachinePhase::InUse, report->type, report->zone, report->spot,
-             report->address, context_.runtime.wall()});
+void MachineAdoption::handleProbeResult(const MachineId& id, const HttpResult& result) {
+  auto heartbeat = result.answered(200) ? wire::parseHeartbeat(result.response.body) : std::nullopt;
+  context_.runtime.after(kProbeInterval, [this, id] { probing_.erase(id); });
+  if (!context_.leadership.active || !heartbeat || heartbeat->machine != id || !isUnrecorded(id)) return;
+  adopt(id, {ShardId{}, Epoch{}, wire::MachinePhase::InUse, heartbeat->type, heartbeat->zone, heartbeat->spot,
+             heartbeat->address, context_.runtime.wall()});
 }
 
-// The small ones first, so that each shard has some of each size: services settle on the smallest.
+// Assigning small machines first gives each shard some of every size; services are placed on the smallest
+// ones.
 std::vector<MachineId> MachineAdoption::smallestFirst() const {
   std::vector<std::pair<double, MachineId>> bySize;
-  for (const auto& [id, record] : waiting_) {
-    const auto* type = findType(catalog_.prices(), record.type);
+  for (const auto& [id, record] : unassigned_) {
+    const auto* type = findType(catalog_.machineTypes(), record.type);
     bySize.emplace_back(type ? type->size.cores : 1, id);
   }
   std::sort(bySize.begin(), bySize.end());
@@ -89,18 +92,18 @@
 }
 
 void MachineAdoption::assignToShards() {
-  if (waiting_.empty() || context_.runtime.now() < dealAt_) return;
+  if (unassigned_.empty() || context_.runtime.now() < assignAt_) return;
   auto order = smallestFirst();
-  auto waiting = std::exchange(waiting_, {});
-  auto gaps = findGaps_();
+  auto unassigned = std::exchange(unassigned_, {});
+  auto deficits = computeDeficits_();
   std::map<std::tuple<ShardId, std::string, Zone, bool>, wire::GroupRecord> groups;
   for (const auto& id : order) {
-    const auto& record = waiting.at(id);
-    auto shard = shardWithLargestGap(gaps, record.type);
-    auto& gap = gaps[shard];
-    const auto* type = findType(catalog_.prices(), record.type);
-    gap.cores -= type ? type->size.cores : 1;
-    ++gap.machinesOfType[record.type];
+    const auto& record = unassigned.at(id);
+    auto shard = selectShardForType(deficits, record.type);
+    auto& deficit = deficits[shard];
+    const auto* type = findType(catalog_.machineTypes(), record.type);
+    deficit.missingCores -= type ? type->size.cores : 1;
+    ++deficit.machineCountByType[record.type];
     records_.markPending(id);
     wire::GroupRecord fresh{shard, Epoch{}, record.type, record.zone, record.spot, context_.runtime.wall(),
                             {}};
--- a/src/autoscaler/machine_adoption.h
+++ b/src/autoscaler/machine_adoption.h
@@ -1,5 +1,5 @@
-// MachineAdoption: deals machines without a record out to shards. They were provisioned by a leader that did
-// not live to record them, or were there from the start.
+// MachineAdoption: assigns machines without a record to shards. Such machines were provisioned by a leader
+// that failed before recording them, or existed before the cluster started.
 #pragma once
 
 #include <functional>
@@ -14,45 +14,46 @@
 
 namespace cherryloft {
 
-// How much a shard lacks.
-struct ShardGap {
-  double cores = 0;                            // that it is short of
-  std::map<std::string, long> machinesOfType;  // that it has
+// The capacity that a shard lacks, and the machines that it has.
+struct ShardDeficit {
+  double missingCores = 0;  // negative: spare cores
+  std::map<std::string, long> machineCountByType;
 };
-using ShardGaps = std::map<ShardId, ShardGap>;
+using ShardDeficits = std::map<ShardId, ShardDeficit>;
 
 class MachineAdoption {
  public:
-  // Tells what each shard lacks now.
-  using FindGaps = std::function<ShardGaps()>;
+  // Computes the current deficit of every shard.
+  using ComputeDeficits = std::function<ShardDeficits()>;
 
   MachineAdoption(const AutoscalerContext& context, const CloudCatalog& catalog, MachineRecords& records,
-                  const ScaleIn& returns, FindGaps findGaps);
-  // A new leadership begins.
-  void restart();
-  // A machine without a record is surely there. Those that turn up together are dealt out together.
+                  const ScaleIn& scaleIn, ComputeDeficits computeDeficits);
+  // Called when a new leadership term begins.
+  void reset();
+  // Queues a machine without a record that is known to exist. Machines found within a short time are assigned
+  // together.
   void adopt(const MachineId& id, wire::MachineRecord record);
-  // A machine without a record has reported.
-  void reported(const wire::WorkerHeartbeat& report);
-  // Deals out the machines that have waited for others.
+  // Handles the heartbeat of a machine without a record.
+  void handleHeartbeat(const wire::WorkerHeartbeat& heartbeat);
+  // Assigns the queued machines once their batching delay has passed.
   void assignToShards();
 
  private:
-  bool unknown(const MachineId& id) const;
-  void asked(const MachineId& id, const HttpResult& result);
+  bool isUnrecorded(const MachineId& id) const;
+  void handleProbeResult(const MachineId& id, const HttpResult& result);
   std::vector<MachineId> smallestFirst() const;
 
   const AutoscalerContext& context_;
   const CloudCatalog& catalog_;
   MachineRecords& records_;
   const ScaleIn& scaleIn_;
-  FindGaps findGaps_;
-  std::map<MachineId, wire::MachineRecord> waiting_;
-  Time dealAt_{};
-  std::set<MachineId> asking_;
+  ComputeDeficits computeDeficits_;
+  std::map<MachineId, wire::MachineRecord> unassigned_;
+  Time assignAt_{};
+  std::set<MachineId> probing_;
 };
 
-// The shard with the fewest machines of that type, and among those the one that lacks most.
-ShardId shardWithLargestGap(const ShardGaps& gaps, const std::string& type);
+// The shard with the fewest machines of that type; ties go to the one with the most missing cores.
+ShardId selectShardForType(const ShardDeficits& deficits, const std::string& type);
 
 }  // namespace cherryloft
--- a/src/autoscaler/machine_inventory.cpp
+++ b/src/autoscaler/machine_inventory.cpp
@@ -6,22 +6,22 @@
 namespace cherryloft {
 namespace {
 
-constexpr Duration kRefreshEvery{2'500};
-constexpr double kNeverUp = 3.0;  // boot times after which a starting machine is given up
-constexpr double kNeverUpPlusS = 20;
-constexpr double kNeverListedPlusS = 10;
+constexpr Duration kRefreshInterval{2'500};
+constexpr double kStartTimeoutBootTimes = 3.0;  // a machine that starts for longer than this is returned
+constexpr double kStartTimeoutMarginS = 20;
+constexpr double kNeverListedMarginS = 10;
 constexpr double kMsPerSecond = 1000;
 
 }  // namespace
 
-void MachineInventory::refresh(CallBudget& calls) {
-  bool due = askedAt_ == Time{} || context_.runtime.now() - askedAt_ >= kRefreshEvery;
-  if (!fetching_ && due && calls.tryTake()) fetchFrom("", std::make_shared<Machines>());
+void MachineInventory::refresh(CloudCallBudget& budget) {
+  bool due = requestedAt_ == Time{} || context_.runtime.now() - requestedAt_ >= kRefreshInterval;
+  if (!fetching_ && due && budget.tryConsume()) fetchPage("", std::make_shared<Machines>());
 }
 
-void MachineInventory::fetchFrom(const std::string& since, const std::shared_ptr<Machines>& machines) {
+void MachineInventory::fetchPage(const std::string& since, const std::shared_ptr<Machines>& machines) {
   fetching_ = true;
-  askedAt_ = context_.runtime.now();
+  requestedAt_ = context_.runtime.now();
   std::string path = "/hosts?limit=500";
   if (!since.empty()) path += "&since=" + since;
   context_.callCloud({"GET", path, "", false}, [this, machines](const HttpResult& result) {
@@ -32,77 +32,80 @@
     }
     bool more = page->truncated && !page->machines.empty();
     std::move(page->machines.begin(), page->machines.end(), std::back_inserter(*machines));
-    if (more) return fetchFrom(machines->back().id.value, machines);
+    if (more) return fetchPage(machines->back().id.value, machines);
     fetching_ = false;
-    if (context_.leadership.active) fetched(*machines);
+    if (context_.leadership.active) handleList(*machines);
   });
 }
 
-void MachineInventory::fetched(const Machines& machines) {
-  listedAt_ = askedAt_;
+void MachineInventory::handleList(const Machines& machines) {
+  latestListRequestedAt_ = requestedAt_;
   for (const auto& machine : machines) {
-    seen_.try_emplace(machine.id, Seen{askedAt_, askedAt_}).first->second.last = askedAt_;
+    listingTimes_.try_emplace(machine.id, ListingTimes{requestedAt_, requestedAt_}).first->second.last =
+        requestedAt_;
     if (context_.clusterView.machines.count(machine.id) == 0)
-      reviewUnrecorded(machine);
+      reconcileUnrecorded(machine);
     else
-      reviewRecorded(machine);
+      reconcileRecorded(machine);
   }
 }
 
-// Rented by a leader that did not live to note it, or there from the start.
-void MachineInventory::reviewUnrecorded(const wire::ListedMachine& machine) {
-  bool settled = context_.runtime.now() - context_.leadership.since >= kSettle;
+// The machine was provisioned by a leader that failed before recording it, or existed from the start.
+void MachineInventory::reconcileUnrecorded(const wire::ListedMachine& machine) {
+  bool settled = context_.runtime.now() - context_.leadership.since >= kNewLeaderSettleTime;
   if (machine.state == wire::ListedMachine::State::Failed || scaleIn_.returned(machine.id) || !settled)
     return;
   adoption_.adopt(machine.id, {ShardId{}, Epoch{}, wire::MachinePhase::InUse, machine.type, machine.zone,
                                machine.spot, machine.address, context_.runtime.wall()});
 }
 
-void MachineInventory::reviewRecorded(const wire::ListedMachine& machine) {
+void MachineInventory::reconcileRecorded(const wire::ListedMachine& machine) {
   const auto& record = context_.clusterView.machines.at(machine.id).record;
   if (record.phase == wire::MachinePhase::Returning) return;
-  if (machine.state == wire::ListedMachine::State::Failed) scaleIn_.request(machine.id, "failed");
-  const auto* type = findType(catalog_.prices(), machine.type);
+  if (machine.state == wire::ListedMachine::State::Failed) scaleIn_.requestReturn(machine.id, "failed");
+  const auto* type = findType(catalog_.machineTypes(), machine.type);
   bool starting = machine.state == wire::ListedMachine::State::Starting;
-  if (starting && type && machine.heldS > kNeverUp * type->bootS + kNeverUpPlusS)
-    scaleIn_.request(machine.id, "never came up");
+  if (starting && type && machine.heldS > kStartTimeoutBootTimes * type->bootS + kStartTimeoutMarginS)
+    scaleIn_.requestReturn(machine.id, "never came up");
 }
 
-void MachineInventory::reviewRecords() {
-  reviewNoLongerListed();
-  if (listedAt_ >= context_.leadership.since) reviewNeverListed();
+void MachineInventory::reconcileRecords() {
+  reconcileNoLongerListed();
+  if (latestListRequestedAt_ >= context_.leadership.since) reconcileNeverListed();
 }
 
-// Records of machines that the list once named and now lacks. A list is at most twice the lag old, and a
-// machine once listed stays listed until it is gone: one that was listed for longer than that is gone for
-// sure, and of the others one waits until no list can be older than the first that named it.
-void MachineInventory::reviewNoLongerListed() {
+// Handles recorded machines that an earlier list contained and the latest one does not. A list is at most
+// twice list_lag_s old, and a listed machine stays listed until it is gone. So a machine is gone for certain
+// if it was listed for longer than that; otherwise we wait until no list can be older than the first that
+// contained it.
+void MachineInventory::reconcileNoLongerListed() {
   auto now = context_.runtime.now();
   double lagS = context_.settings.listLagS;
   const auto& machines = context_.clusterView.machines;
-  for (auto it = seen_.begin(); it != seen_.end();) {
-    const auto& [id, seen] = *it;
-    auto known = machines.find(id);
-    if (known == machines.end() && now - seen.last > seconds(4 * lagS)) {
-      it = seen_.erase(it);
+  for (auto it = listingTimes_.begin(); it != listingTimes_.end();) {
+    const auto& [id, listed] = *it;
+    auto recorded = machines.find(id);
+    if (recorded == machines.end() && now - listed.last > seconds(4 * lagS)) {
+      it = listingTimes_.erase(it);
       continue;
     }
-    bool gone = seen.last < listedAt_ && listedAt_ - seen.first > seconds(2 * lagS + 2);
-    if (known != machines.end() && gone && known->second.record.phase != wire::MachinePhase::Returning)
-      scaleIn_.request(id, "not listed any more");
+    bool gone =
+        listed.last < latestListRequestedAt_ && latestListRequestedAt_ - listed.first > seconds(2 * lagS + 2);
+    if (recorded != machines.end() && gone && recorded->second.record.phase != wire::MachinePhase::Returning)
+      scaleIn_.requestReturn(id, "not listed any more");
     ++it;
   }
 }
 
-// Records of machines that were gone before any list named them.
-void MachineInventory::reviewNeverListed() {
-  auto listAgeS = inSeconds(context_.runtime.now() - listedAt_);
+// Handles recorded machines that were gone before any list contained them.
+void MachineInventory::reconcileNeverListed() {
+  auto listAgeS = inSeconds(context_.runtime.now() - latestListRequestedAt_);
   for (const auto& [id, machine] : context_.clusterView.machines) {
-    if (machine.record.phase != wire::MachinePhase::InUse || seen_.count(id) > 0) continue;
+    if (machine.record.phase != wire::MachinePhase::InUse || listingTimes_.count(id) > 0) continue;
     auto ageMs = context_.runtime.wall().value - machine.record.since.value;
     double ageAtListS = static_cast<double>(ageMs) / kMsPerSecond - listAgeS;
-    if (ageAtListS > 4 * context_.settings.listLagS + kNeverListedPlusS)
-      scaleIn_.request(id, "was never listed");
+    if (ageAtListS > 4 * context_.settings.listLagS + kNeverListedMarginS)
+      scaleIn_.requestReturn(id, "was never listed");
   }
 }
 
--- a/src/autoscaler/machine_records.h
+++ b/src/autoscaler/machine_records.h
@@ -9,38 +9,39 @@
 
 namespace cherryloft {
 
-// Groups are created one transaction after the other, each once the one before is in view.
+// Groups are created by one transaction at a time; the next is sent once the result of the previous one is
+// visible in the cluster view.
 class MachineRecords {
  public:
-  // Whether a machine was returned already, and must not be recorded again.
+  // Whether a machine was already returned to the cloud and must not be recorded again.
   using WasReturned = std::function<bool(const MachineId&)>;
 
   MachineRecords(const AutoscalerContext& context, WasReturned wasReturned)
       : context_(context), wasReturned_(std::move(wasReturned)) {}
-  // A new leadership begins: forgets what was on its way and looks at what there is.
-  void restart();
-  // Whether all that former leaders recorded, and we did, is in view.
-  bool current() const { return current_; }
-  // Whether a record of the machine is on its way.
+  // Called when a new leadership term begins: discards requests in flight and waits for the view to catch up.
+  void reset();
+  // Whether the view contains everything that former leaders and this controller recorded.
+  bool viewIsCurrent() const { return viewCurrent_; }
+  // Whether the creation of the machine's record is queued or in flight.
   bool pending(const MachineId& id) const { return pending_.count(id) > 0; }
   void markPending(const MachineId& id) { pending_.insert(id); }
-  // Creates records of all members, in as many groups as they need.
+  // Creates the records of all members, split into as many groups as needed.
   void create(const wire::GroupRecord& machines);
 
  private:
   void waitUntilCurrent();
-  void caughtUp(CatchUp result);
+  void handleCatchUp(CatchUp result);
   void sendNext();
-  void dropKnown(wire::GroupRecord& group);
+  void removeRecorded(wire::GroupRecord& group);
   void send(const wire::Transaction& transaction);
-  void sent(const wire::Transaction& transaction, const TransactionResult& result);
+  void handleResult(const wire::Transaction& transaction, const TransactionResult& result);
 
   const AutoscalerContext& context_;
   WasReturned wasReturned_;
-  bool current_ = false;
-  std::deque<wire::GroupRecord> waiting_;
-  std::set<MachineId> sent_;     // machines of groups on their way, until what became of them is in view
-  std::set<MachineId> pending_;  // these, and those that wait for their turn
+  bool viewCurrent_ = false;
+  std::deque<wire::GroupRecord> queue_;
+  std::set<MachineId> inFlight_;  // machines of the groups sent, until the outcome is visible in the view
+  std::set<MachineId> pending_;   // those in flight and those still queued
 };
 
 }  // namespace cherryloft
--- a/src/autoscaler/planning.cpp
+++ b/src/autoscaler/planning.cpp
@@ -1,4 +1,4 @@
-// The leader's plan of the fleet: which shards scale out, which machines move between shards, which are
+// The leader's capacity planning: which shards scale out, and which machines are moved between shards,
 // drained or returned.
 #include <algorithm>
 
@@ -7,15 +7,15 @@
 namespace cherryloft {
 namespace {
 
-constexpr Duration kLoadStale{5'000};
-constexpr Duration kAskAgain{5'000};
-constexpr Duration kMoveAfterDrainAgain{20'000};
-constexpr Duration kMoveTakes{20'000};  // after which a machine asked to move is taken to stay
+constexpr Duration kMaxLoadAge{5'000};
+constexpr Duration kDirectiveRetryInterval{5'000};
+constexpr Duration kMoveAfterDrainInterval{20'000};
+constexpr Duration kMoveTimeout{20'000};  // a move not recorded by then is assumed to have failed
 constexpr double kMinIdleS = 10;
-constexpr double kMinAgeS = 60;                   // what the cloud charges at least
-constexpr unsigned kMaxReleased = 20;             // idle machines of a shard in a turn
-constexpr std::size_t kMaxDrained = 8;            // busy ones
-constexpr std::size_t kLeastMachinesToShare = 2;  // of a shard that gives one to a shard without any
+constexpr double kMinAgeS = 60;                   // minimum billing period of the cloud
+constexpr unsigned kMaxReleasedPerRun = 20;       // idle machines of a shard per planning run
+constexpr std::size_t kMaxDrainedPerRun = 8;      // busy machines of a shard per planning run
+constexpr std::size_t kMinMachinesToGiveOne = 2;  // of a shard that gives one to a shard without machines
 
 }  // namespace
 
@@ -26,15 +26,15 @@
   for (std::uint32_t number = 0; number < settings_.size(); ++number) {
     ShardId shard{number};
     auto reported = loads_.find(shard);
-    if (reported == loads_.end() || now - reported->second.at > kLoadStale) continue;
+    if (reported == loads_.end() || now - reported->second.at > kMaxLoadAge) continue;
     fleets[shard] = fleetOf(shard);
     targets[shard] =
-        policy::targets(fleets[shard], prices_, settings_.tuning.spareFraction, settings_.patienceS());
+        policy::targets(fleets[shard], machineTypes_, settings_.tuning.spareFraction, settings_.patienceS());
   }
   bool rebalancingDue = now - lastRebalance_ >= settings_.tuning.moveEvery;
   if (rebalancingDue) lastRebalance_ = now;
   moveIdleMachines(fleets, targets, rebalancingDue ? MoveScope::AllSpare : MoveScope::OnePerShard);
-  // Spare capacity is common to all shards, as idle machines are moved on request.
+  // Spare capacity is pooled over all shards, as idle machines are moved on demand.
   double spareCores = 0;
   double largestArrival = 0;
   for (const auto& [shard, fleet] : fleets) {
@@ -47,64 +47,65 @@
     planShard(shard, fleet, targets[shard], spareCores - largestArrival);
 }
 
-// A shard with work and no machine at all, while the cloud has none to give: the largest shard lets one go
-// once it is drained, so that none of the teams starves.
+// Handles shards that have work but no machine when the cloud has no capacity: the largest shard drains a
+// machine and hands it over, so that no team starves.
 void Autoscaler::moveToEmptyShards(const std::map<ShardId, policy::ShardFleet>& fleets) {
   auto now = runtime_.now();
-  for (const auto& [needyShard, needy] : fleets) {
-    bool hasMachines = std::any_of(needy.machines.begin(), needy.machines.end(),
+  for (const auto& [recipientShard, recipient] : fleets) {
+    bool hasMachines = std::any_of(recipient.machines.begin(), recipient.machines.end(),
                                    [](const auto& machine) { return machine.cores > 0; });
-    double waitingCores = needy.onDemandOnly.waiting + needy.spotAllowed.waiting;
-    if (hasMachines || waitingCores <= 0 || now - moveAfterDrainAt_[needyShard] < kMoveAfterDrainAgain)
+    double waitingCores = recipient.onDemandOnly.waiting + recipient.spotAllowed.waiting;
+    if (hasMachines || waitingCores <= 0 ||
+        now - lastMoveAfterDrainAt_[recipientShard] < kMoveAfterDrainInterval)
       continue;
     auto largest = std::max_element(fleets.begin(), fleets.end(), [](const auto& a, const auto& b) {
       return a.second.machines.size() < b.second.machines.size();
     });
-    if (largest->second.machines.size() < kLeastMachinesToShare) continue;
+    if (largest->second.machines.size() < kMinMachinesToGiveOne) continue;
     for (const auto& machine : loads_[largest->first].load.machines) {
-      if (!machine.usable || (machine.spot && needy.spotAllowed.waiting <= 0)) continue;
-      moveAfterDrainAt_[needyShard] = now;
+      if (!machine.usable || (machine.spot && recipient.spotAllowed.waiting <= 0)) continue;
+      lastMoveAfterDrainAt_[recipientShard] = now;
       log_->info("machine moves once drained: machine={} from_shard={} to_shard={}", machine.machine,
-                 largest->first.value, needyShard.value);
-      callbacks_.sendDirective(
-          {largest->first.value, machine.machine, mesh::MachineDirective::MoveAfterDrain, needyShard.value});
+                 largest->first.value, recipientShard.value);
+      callbacks_.sendDirective({largest->first.value, machine.machine, mesh::MachineDirective::MoveAfterDrain,
+                                recipientShard.value});
       break;
     }
   }
 }
 
-// One request for each shard in turn, the most pressed first, so that the first in line does not take all
-// there is.
+// Round-robin: one request per shard and round, the shard furthest below its targets first, so that no shard
+// takes all available machines.
 void Autoscaler::scaleOutInTurn(const std::map<ShardId, policy::ShardFleet>& fleets,
                                 const std::map<ShardId, policy::CapacityTargets>& targets) {
   auto planned = fleets;
-  auto refused = unavailable();
+  auto unavailable = unavailableOfferings();
   bool requested = true;
-  while (requested && calls_ >= 1) {
+  while (requested && cloudCallBudget_ >= 1) {
     requested = false;
-    for (auto shard : byPressure(planned, targets)) {
+    for (auto shard : shardsByPressure(planned, targets)) {
       auto& fleet = planned[shard];
-      bool drains = std::any_of(fleet.machines.begin(), fleet.machines.end(),
-                                [](const auto& machine) { return machine.draining; });
-      // planShard takes a draining machine back into use first.
-      if (calls_ < 1 || (drains && policy::isShort(fleet, targets.at(shard)))) continue;
-      auto request = policy::nextScaleOut(fleet, targets.at(shard), prices_, refused);
+      bool hasDrainingMachine = std::any_of(fleet.machines.begin(), fleet.machines.end(),
+                                            [](const auto& machine) { return machine.draining; });
+      // planShard first cancels the drain of a machine.
+      if (cloudCallBudget_ < 1 || (hasDrainingMachine && policy::isShort(fleet, targets.at(shard)))) continue;
+      auto request = policy::nextScaleOut(fleet, targets.at(shard), machineTypes_, unavailable);
       if (!request) continue;
       startScaleOut(shard, *request);
-      policy::FleetMachine ordered;
-      ordered.type = request->offer.type;
-      ordered.zone = request->offer.zone;
-      ordered.spot = request->offer.spot;
-      ordered.cores = request->cores;
-      ordered.counts = true;
-      fleet.machines.push_back(ordered);
+      policy::FleetMachine pending;
+      pending.type = request->offer.type;
+      pending.zone = request->offer.zone;
+      pending.spot = request->offer.spot;
+      pending.cores = request->cores;
+      pending.counts = true;
+      fleet.machines.push_back(pending);
       requested = true;
     }
   }
 }
 
-std::vector<ShardId> Autoscaler::byPressure(const std::map<ShardId, policy::ShardFleet>& fleets,
-                                            const std::map<ShardId, policy::CapacityTargets>& targets) {
+std::vector<ShardId> Autoscaler::shardsByPressure(const std::map<ShardId, policy::ShardFleet>& fleets,
+                                                  const std::map<ShardId, policy::CapacityTargets>& targets) {
   std::vector<ShardId> shards;
   shards.reserve(fleets.size());
   for (const auto& [shard, _] : fleets) shards.push_back(shard);
@@ -116,17 +117,18 @@
 
 void Autoscaler::planShard(ShardId shard, const policy::ShardFleet& fleet,
                            const policy::CapacityTargets& target, double spareSpotCores) {
-  logShard(shard, fleet, target);
-  returnDrained(shard);
+  logShardCapacity(shard, fleet, target);
+  returnDrainedMachines(shard);
   if (policy::isShort(fleet, target)) return cancelOneDrain(shard);
-  if (auto small = policy::replacement(fleet, target, prices_, unavailable(), kMinAgeS); small && calls_ >= 1)
-    return startScaleOut(shard, *small);
-  releaseIdle(shard, fleet, target, spareSpotCores);
-  drainSome(shard, fleet, target);
+  if (auto smaller = policy::replacement(fleet, target, machineTypes_, unavailableOfferings(), kMinAgeS);
+      smaller && cloudCallBudget_ >= 1)
+    return startScaleOut(shard, *smaller);
+  releaseIdleMachines(shard, fleet, target, spareSpotCores);
+  drainMachines(shard, fleet, target);
 }
 
-void Autoscaler::logShard(ShardId shard, const policy::ShardFleet& fleet,
-                          const policy::CapacityTargets& target) const {
+void Autoscaler::logShardCapacity(ShardId shard, const policy::ShardFleet& fleet,
+                                  const policy::CapacityTargets& target) const {
   if (!log_->should_log(spdlog::level::debug)) return;
   double onDemandCores = 0;
   double spotCores = 0;
@@ -139,52 +141,52 @@
       fleet.spotAllowed.waiting, target.onDemand, target.total, onDemandCores, spotCores);
 }
 
-// Whether the owner of a machine may be told again to give it up; counts as told.
-bool Autoscaler::mayAskAgain(const MachineId& machine) {
-  auto& asked = asked_[machine];
-  if (asked != Time{} && runtime_.now() - asked < kAskAgain) return false;
-  asked = runtime_.now();
+// Rate-limits the directives to give up a machine; true counts as one sent.
+bool Autoscaler::shouldSendDirective(const MachineId& machine) {
+  auto& lastSentAt = lastDirectiveAt_[machine];
+  if (lastSentAt != Time{} && runtime_.now() - lastSentAt < kDirectiveRetryInterval) return false;
+  lastSentAt = runtime_.now();
   return true;
 }
 
-void Autoscaler::returnDrained(ShardId shard) {
+void Autoscaler::returnDrainedMachines(ShardId shard) {
   for (const auto& machine : loads_[shard].load.machines) {
     if (!machine.draining || machine.idleS <= 0) continue;
-    if (!mayAskAgain(MachineId{machine.machine})) continue;
+    if (!shouldSendDirective(MachineId{machine.machine})) continue;
     callbacks_.sendDirective({shard.value, machine.machine, mesh::MachineDirective::Return, 0});
   }
 }
 
-// A machine that was to be drained is back in use at once, and paid for already.
+// Cancelling a drain adds capacity at once, on a machine that is already paid for.
 void Autoscaler::cancelOneDrain(ShardId shard) {
   auto& machines = loads_[shard].load.machines;
-  auto kept = std::find_if(machines.begin(), machines.end(),
-                           [](const auto& machine) { return machine.draining && machine.idleS <= 0; });
-  if (kept == machines.end()) return;
-  kept->draining = false;
-  callbacks_.sendDirective({shard.value, kept->machine, mesh::MachineDirective::Keep, 0});
+  auto drained = std::find_if(machines.begin(), machines.end(),
+                              [](const auto& machine) { return machine.draining && machine.idleS <= 0; });
+  if (drained == machines.end()) return;
+  drained->draining = false;
+  callbacks_.sendDirective({shard.value, drained->machine, mesh::MachineDirective::Keep, 0});
 }
 
-void Autoscaler::releaseIdle(ShardId shard, const policy::ShardFleet& fleet,
-                             const policy::CapacityTargets& target, double spareSpotCores) {
+void Autoscaler::releaseIdleMachines(ShardId shard, const policy::ShardFleet& fleet,
+                                     const policy::CapacityTargets& target, double spareSpotCores) {
   auto remaining = fleet;
-  for (unsigned released = 0; released < kMaxReleased; ++released) {
-    auto index = policy::machineToRelease(remaining, target, prices_, kMinIdleS, spareSpotCores);
+  for (unsigned released = 0; released < kMaxReleasedPerRun; ++released) {
+    auto index = policy::machineToRelease(remaining, target, machineTypes_, kMinIdleS, spareSpotCores);
     if (!index) break;
     auto& machine = remaining.machines[*index];
     machine.counts = false;
     if (machine.spot) spareSpotCores -= machine.cores;
-    if (!mayAskAgain(machine.id)) continue;
+    if (!shouldSendDirective(machine.id)) continue;
     log_->info("idle machine released: machine={} shard={}", machine.id.value, shard.value);
     callbacks_.sendDirective({shard.value, machine.id.value, mesh::MachineDirective::Return, 0});
   }
 }
 
-// Consolidates: machines that the others can do without take no more work.
-void Autoscaler::drainSome(ShardId shard, const policy::ShardFleet& fleet,
-                           const policy::CapacityTargets& target) {
+// Consolidates work: drains machines whose load fits onto the others.
+void Autoscaler::drainMachines(ShardId shard, const policy::ShardFleet& fleet,
+                               const policy::CapacityTargets& target) {
   std::set<std::string> chosen;
-  for (auto index : policy::machinesToDrain(fleet, target, prices_, kMinAgeS, kMaxDrained))
+  for (auto index : policy::machinesToDrain(fleet, target, machineTypes_, kMinAgeS, kMaxDrainedPerRun))
     chosen.insert(fleet.machines[index].id.value);
   for (auto& machine : loads_[shard].load.machines) {
     if (chosen.count(machine.machine) == 0) continue;
@@ -194,33 +196,34 @@
   }
 }
 
-// Cores of machines that were asked to move to a shard and are not recorded there yet: a record may take its
-// time, and a shard that waits for it must not be sent ever more machines.
+// Cores of machines whose move to the shard was requested but is not yet recorded. Recording may take a
+// while, and meanwhile the shard must not be sent more and more machines.
 double Autoscaler::coresMovingTo(ShardId to) {
-  std::erase_if(moving_, [&](const auto& entry) {
-    const auto& [id, moving] = entry;
+  std::erase_if(pendingMoves_, [&](const auto& entry) {
+    const auto& [id, move] = entry;
     auto machine = view_.machines.find(id);
-    return machine == view_.machines.end() || machine->second.record.shard == moving.to ||
-           runtime_.now() - moving.at > kMoveTakes;
+    return machine == view_.machines.end() || machine->second.record.shard == move.to ||
+           runtime_.now() - move.at > kMoveTimeout;
   });
   double cores = 0;
-  for (const auto& [_, moving] : moving_)
-    if (moving.to == to) cores += moving.cores;
+  for (const auto& [_, move] : pendingMoves_)
+    if (move.to == to) cores += move.cores;
   return cores;
 }
 
-// The design's rebalancing: idle machines of shards that can spare them go to waiting work. Between two beats
-// the same is done for one machine a shard and turn, on request (DESIGN.md, exceptions).
+// Rebalancing: moves idle machines from shards with spare capacity to shards with waiting work. Between two
+// rebalancing intervals at most one machine per shard and planning run is moved, on demand (DESIGN.md,
+// exceptions).
 void Autoscaler::moveIdleMachines(const std::map<ShardId, policy::ShardFleet>& fleets,
                                   const std::map<ShardId, policy::CapacityTargets>& targets,
                                   MoveScope scope) {
-  for (auto to : byPressure(fleets, targets)) {
-    const auto& needy = fleets.at(to);
-    double missingCores = needy.onDemandOnly.waiting + needy.spotAllowed.waiting - coresMovingTo(to);
+  for (auto to : shardsByPressure(fleets, targets)) {
+    const auto& recipient = fleets.at(to);
+    double missingCores = recipient.onDemandOnly.waiting + recipient.spotAllowed.waiting - coresMovingTo(to);
     for (const auto& [from, fleet] : fleets) {
       if (from == to) continue;
       double spareCores = policy::coresOf(fleet) - targets.at(from).total;
-      moveFrom(from, {to, needy.spotAllowed.waiting > 0}, spareCores, missingCores, scope);
+      moveFrom(from, {to, recipient.spotAllowed.waiting > 0}, spareCores, missingCores, scope);
     }
   }
 }
@@ -228,15 +231,15 @@
 void Autoscaler::moveFrom(ShardId from, const MoveDestination& destination, double spareCores,
                           double& missingCores, MoveScope scope) {
   for (auto& machine : loads_[from].load.machines) {
-    const auto* type = findType(prices_, machine.type);
-    bool canBeSpared = machine.draining || (machine.usable && type && type->size.cores <= spareCores);
-    if (missingCores <= 0 || !type || machine.idleS <= 0 || !canBeSpared) continue;
-    if (machine.spot && !destination.takesSpot) continue;
-    if (!mayAskAgain(MachineId{machine.machine})) continue;
+    const auto* type = findType(machineTypes_, machine.type);
+    bool canBeMoved = machine.draining || (machine.usable && type && type->size.cores <= spareCores);
+    if (missingCores <= 0 || !type || machine.idleS <= 0 || !canBeMoved) continue;
+    if (machine.spot && !destination.acceptsSpot) continue;
+    if (!shouldSendDirective(MachineId{machine.machine})) continue;
     if (!machine.draining) spareCores -= type->size.cores;
     missingCores -= type->size.cores;
     machine.idleS = 0;
-    moving_[MachineId{machine.machine}] = {destination.shard, runtime_.now(), type->size.cores};
+    pendingMoves_[MachineId{machine.machine}] = {destination.shard, runtime_.now(), type->size.cores};
     log_->info("idle machine moves: machine={} from_shard={} to_shard={}", machine.machine, from.value,
                destination.shard.value);
     callbacks_.sendDirective(
--- a/src/autoscaler/scale_in.h
+++ b/src/autoscaler/scale_in.h
@@ -1,5 +1,5 @@
-// ScaleIn: marks machines that are to go in their records, returns them to the cloud and then drops
-// the records.
+// ScaleIn: marks machines to be returned in their records, returns them to the cloud and then deletes the
+// records.
 #pragma once
 
 #include <functional>
@@ -14,36 +14,37 @@
 
 class ScaleIn {
  public:
-  // There is a machine of that offer to be had again.
-  using Freed = std::function<void(const policy::InstanceOffering&)>;
-
-  ScaleIn(const AutoscalerContext& context, Freed freed) : context_(context), freed_(std::move(freed)) {}
-  // A new leadership begins.
-  void restart() { toMark_.clear(); }
-  // The machine is to be returned, for that reason.
-  void request(const MachineId& id, const char* why);
-  // Whether this controller gave the machine back to the cloud.
+  // Called when a returned machine makes its offering available again.
+  using CapacityFreed = std::function<void(const policy::InstanceOffering&)>;
+
+  ScaleIn(const AutoscalerContext& context, CapacityFreed capacityFreed)
+      : context_(context), capacityFreed_(std::move(capacityFreed)) {}
+  // Called when a new leadership term begins.
+  void reset() { pendingMarks_.clear(); }
+  // Requests that the machine is returned; the reason is logged.
+  void requestReturn(const MachineId& id, const char* reason);
+  // Whether this controller returned the machine to the cloud.
   bool returned(const MachineId& id) const { return returned_.count(id) > 0; }
-  // Writes down what was requested.
+  // Marks the requested machines as returning in their records.
   void markRequested();
-  // Gives marked machines back to the cloud if the budget has a call left.
-  void returnMarked(CallBudget& calls);
+  // Returns marked machines to the cloud if the budget has a call left.
+  void returnMarked(CloudCallBudget& budget);
 
  private:
-  enum class Change : std::uint8_t { Mark, Drop };
+  enum class Change : std::uint8_t { MarkReturning, DeleteRecord };
   std::vector<MachineId> markedMachines() const;
-  void answered(const std::vector<MachineId>& machines, const HttpResult& result);
-  void noteReturned(const MachineId& id);
+  void handleReturnResult(const std::vector<MachineId>& machines, const HttpResult& result);
+  void recordReturned(const MachineId& id);
   std::vector<MachineId> rewrite(const std::set<MachineId>& ids, Change change,
                                  std::function<void(const TransactionResult&)> done);
   static void applyChange(wire::GroupRecord& group, const std::set<MachineId>& changed, Change change);
 
   const AutoscalerContext& context_;
-  Freed freed_;
-  std::set<MachineId> toMark_;
-  bool marking_ = false;
+  CapacityFreed capacityFreed_;
+  std::set<MachineId> pendingMarks_;
+  bool markInFlight_ = false;
   std::set<MachineId> returned_;
-  bool returning_ = false;
+  bool returnInFlight_ = false;
   MachineGroupSplits splits_;
 };
 
--- a/src/autoscaler/scale_out.cpp
+++ b/src/autoscaler/scale_out.cpp
@@ -5,17 +5,17 @@
 namespace cherryloft {
 namespace {
 
-constexpr Duration kFirstRefusal{8'000};
-constexpr Duration kMostRefusal{30'000};
-constexpr std::uint64_t kRefusalJitterMs = 1'000;
-constexpr std::uint64_t kSendAgainMs = 500;
-constexpr std::uint64_t kSendAgainJitterMs = 500;
+constexpr Duration kInitialBackoff{8'000};
+constexpr Duration kMaxBackoff{30'000};
+constexpr std::uint64_t kBackoffJitterMs = 1'000;
+constexpr std::uint64_t kRetryDelayMs = 500;
+constexpr std::uint64_t kRetryJitterMs = 500;
 
 policy::InstanceOffering offeringOf(const wire::ProvisionRequest& request) {
   return {request.type, request.zone, request.spot};
 }
 
-bool noCapacity(const HttpResult& result) {
+bool isOutOfCapacity(const HttpResult& result) {
   return result.answered(503) && result.response.body.find("no capacity") != std::string::npos;
 }
 
@@ -24,85 +24,87 @@
 std::string ScaleOut::nextClaim() {
   auto epoch = context_.clusterView.leader->record.epoch;
   return "cl-" + context_.settings.controller.value + "-" + std::to_string(epoch.value) + "-" +
-         std::to_string(++claims_);
+         std::to_string(++claimsIssued_);
 }
 
-void ScaleOut::start(ShardId shard, const policy::ScaleOutRequest& request) {
-  const auto& offer = request.offer;
-  auto rental = std::make_shared<ProvisionRequest>();
-  rental->request = {nextClaim(), offer.type, offer.zone, offer.spot, request.count};
-  rental->shard = shard;
-  rental->cores = request.cores;
-  open_.push_back(rental);
+void ScaleOut::requestMachines(ShardId shard, const policy::ScaleOutRequest& request) {
+  const auto& offering = request.offer;
+  auto openRequest = std::make_shared<OpenRequest>();
+  openRequest->request = {nextClaim(), offering.type, offering.zone, offering.spot, request.count};
+  openRequest->shard = shard;
+  openRequest->cores = request.cores;
+  openRequests_.push_back(openRequest);
   context_.log->info("scale out requested: count={} type={} zone={} shard={} spot={}", request.count,
-                     offer.type, offer.zone.value, shard.value, offer.spot);
-  send(rental);
+                     offering.type, offering.zone.value, shard.value, offering.spot);
+  send(openRequest);
 }
 
-void ScaleOut::addOrdered(ShardId shard, policy::ShardFleet& fleet) const {
-  for (const auto& rental : open_) {
-    if (rental->shard != shard) continue;
-    const auto& request = rental->request;
-    fleet.machines.push_back({request.type, request.zone, request.spot, rental->cores, true, -1});
+void ScaleOut::addPendingMachines(ShardId shard, policy::ShardFleet& fleet) const {
+  for (const auto& openRequest : openRequests_) {
+    if (openRequest->shard != shard) continue;
+    const auto& request = openRequest->request;
+    fleet.machines.push_back({request.type, request.zone, request.spot, openRequest->cores, true, -1});
   }
 }
 
-std::set<policy::InstanceOffering> ScaleOut::refused() const {
-  std::set<policy::InstanceOffering> offers;
-  for (const auto& [offer, until] : refusedUntil_)
-    if (until > context_.runtime.now()) offers.insert(offer);
-  return offers;
+std::set<policy::InstanceOffering> ScaleOut::unavailableOfferings() const {
+  std::set<policy::InstanceOffering> offerings;
+  for (const auto& [offering, until] : unavailableUntil_)
+    if (until > context_.runtime.now()) offerings.insert(offering);
+  return offerings;
 }
 
-void ScaleOut::send(const OpenRequestPtr& rental) {
-  context_.callCloud({"POST", "/hosts", wire::encodeProvisionRequest(rental->request), false},
-                     [this, rental](const HttpResult& result) { answered(rental, result); });
+void ScaleOut::send(const OpenRequestPtr& openRequest) {
+  context_.callCloud({"POST", "/hosts", wire::encodeProvisionRequest(openRequest->request), false},
+                     [this, openRequest](const HttpResult& result) { handleResult(openRequest, result); });
 }
 
-void ScaleOut::answered(const OpenRequestPtr& rental, const HttpResult& result) {
+void ScaleOut::handleResult(const OpenRequestPtr& openRequest, const HttpResult& result) {
   auto machines = result.answered(200) ? wire::parseProvisioned(result.response.body) : std::nullopt;
   if (machines) {
-    provisioned(*rental, *machines);
-    close(rental);
-  } else if (noCapacity(result)) {
-    backOff(offeringOf(rental->request));
-    close(rental);
+    handleProvisioned(*openRequest, *machines);
+    removeRequest(openRequest);
+  } else if (isOutOfCapacity(result)) {
+    markUnavailable(offeringOf(openRequest->request));
+    removeRequest(openRequest);
   } else if (result.answered(400) || !context_.leadership.active) {
-    close(rental);
+    removeRequest(openRequest);
   } else {
-    sendAgain(rental);
+    scheduleRetry(openRequest);
   }
 }
 
-void ScaleOut::provisioned(const ProvisionRequest& rental, const std::vector<MachineId>& machines) {
-  const auto& request = rental.request;
-  wire::GroupRecord group{
-      rental.shard, Epoch{}, request.type, request.zone, request.spot, context_.runtime.wall(), {}};
+void ScaleOut::handleProvisioned(const OpenRequest& openRequest, const std::vector<MachineId>& machines) {
+  const auto& request = openRequest.request;
+  wire::GroupRecord group{openRequest.shard,       Epoch{}, request.type, request.zone, request.spot,
+                          context_.runtime.wall(), {}};
   for (const auto& id : machines) group.members.push_back({id, wire::MachinePhase::InUse, ""});
   records_.create(group);
-  auto offer = offeringOf(request);
+  auto offering = offeringOf(request);
   if (machines.size() < request.count)
-    refusedUntil_[offer] = context_.runtime.now() + kFirstRefusal;
+    unavailableUntil_[offering] = context_.runtime.now() + kInitialBackoff;
   else
-    refusedFor_.erase(offer);
+    backoffs_.erase(offering);
 }
 
-void ScaleOut::backOff(const policy::InstanceOffering& offer) {
-  auto& refusedFor = refusedFor_[offer];
-  refusedFor = std::clamp(refusedFor * 2, kFirstRefusal, kMostRefusal);
-  refusedUntil_[offer] = context_.runtime.now() + refusedFor + Duration{rng_() % kRefusalJitterMs};
+void ScaleOut::markUnavailable(const policy::InstanceOffering& offering) {
+  auto& backoff = backoffs_[offering];
+  backoff = std::clamp(backoff * 2, kInitialBackoff, kMaxBackoff);
+  unavailableUntil_[offering] = context_.runtime.now() + backoff + Duration{rng_() % kBackoffJitterMs};
 }
 
-// Executed or not: the same claim again tells, and never provisions twice.
-void ScaleOut::sendAgain(const OpenRequestPtr& rental) {
-  context_.runtime.after(Duration{kSendAgainMs + rng_() % kSendAgainJitterMs}, [this, rental] {
-    bool open = std::count(open_.begin(), open_.end(), rental) > 0;
-    if (context_.leadership.active && open) send(rental);
+// Whether or not the request was executed, repeating its claim returns the outcome and never provisions
+// twice.
+void ScaleOut::scheduleRetry(const OpenRequestPtr& openRequest) {
+  context_.runtime.after(Duration{kRetryDelayMs + rng_() % kRetryJitterMs}, [this, openRequest] {
+    bool open = std::count(openRequests_.begin(), openRequests_.end(), openRequest) > 0;
+    if (context_.leadership.active && open) send(openRequest);
   });
 }
 
-void ScaleOut::close(const OpenRequestPtr& rental) {
-  open_.erase(std::remove(open_.begin(), open_.end(), rental), open_.end());
+void ScaleOut::removeRequest(const OpenRequestPtr& openRequest) {
+  openRequests_.erase(std::remove(openRequests_.begin(), openRequests_.end(), openRequest),
+                      openRequests_.end());
 }
 
 }  // namespace cherryloft
--- a/src/autoscaler/scale_out.h
+++ b/src/autoscaler/scale_out.h
@@ -1,5 +1,5 @@
-// ScaleOut: requests machines from the cloud. Each request carries a claim, an idempotency key of its own, so
-// that it is never carried out twice.
+// ScaleOut: requests machines from the cloud. Each request carries a unique idempotency key, its claim, so
+// that retries never provision machines twice.
 #pragma once
 
 #include <cstdint>
@@ -19,40 +19,40 @@
  public:
   ScaleOut(const AutoscalerContext& context, MachineRecords& records, std::uint64_t seed)
       : context_(context), records_(records), rng_(seed) {}
-  // A new leadership begins.
-  void restart() { open_.clear(); }
-  // Orders machines for a shard.
-  void start(ShardId shard, const policy::ScaleOutRequest& request);
-  // Adds the machines that are on order for the shard to its fleet.
-  void addOrdered(ShardId shard, policy::ShardFleet& fleet) const;
-  // Offers that the cloud refused of late.
-  std::set<policy::InstanceOffering> refused() const;
-  // There is a machine of that offer to be had again.
-  void offeringAvailable(const policy::InstanceOffering& offer) { refusedUntil_.erase(offer); }
+  // Called when a new leadership term begins.
+  void reset() { openRequests_.clear(); }
+  // Requests machines for a shard.
+  void requestMachines(ShardId shard, const policy::ScaleOutRequest& request);
+  // Adds the machines of the shard's open requests to its fleet.
+  void addPendingMachines(ShardId shard, policy::ShardFleet& fleet) const;
+  // Offerings in backoff because the cloud recently had no capacity for them.
+  std::set<policy::InstanceOffering> unavailableOfferings() const;
+  // Ends the offering's backoff: a machine of it was returned.
+  void offeringAvailable(const policy::InstanceOffering& offering) { unavailableUntil_.erase(offering); }
 
  private:
-  struct ProvisionRequest {
+  struct OpenRequest {
     wire::ProvisionRequest request;
     ShardId shard;
     double cores = 0;
   };
-  using OpenRequestPtr = std::shared_ptr<ProvisionRequest>;
+  using OpenRequestPtr = std::shared_ptr<OpenRequest>;
 
   std::string nextClaim();
-  void send(const OpenRequestPtr& rental);
-  void answered(const OpenRequestPtr& rental, const HttpResult& result);
-  void provisioned(const ProvisionRequest& rental, const std::vector<MachineId>& machines);
-  void backOff(const policy::InstanceOffering& offer);
-  void sendAgain(const OpenRequestPtr& rental);
-  void close(const OpenRequestPtr& rental);
+  void send(const OpenRequestPtr& openRequest);
+  void handleResult(const OpenRequestPtr& openRequest, const HttpResult& result);
+  void handleProvisioned(const OpenRequest& openRequest, const std::vector<MachineId>& machines);
+  void markUnavailable(const policy::InstanceOffering& offering);
+  void scheduleRetry(const OpenRequestPtr& openRequest);
+  void removeRequest(const OpenRequestPtr& openRequest);
 
   const AutoscalerContext& context_;
   MachineRecords& records_;
   std::mt19937_64 rng_;
-  std::uint64_t claims_ = 0;          // of this process: it may lead twice under one epoch
-  std::vector<OpenRequestPtr> open_;  // not yet answered
-  std::map<policy::InstanceOffering, Time> refusedUntil_;
-  std::map<policy::InstanceOffering, Duration> refusedFor_;
+  std::uint64_t claimsIssued_ = 0;            // per process, as a process may be leader twice under one epoch
+  std::vector<OpenRequestPtr> openRequests_;  // without a final answer
+  std::map<policy::InstanceOffering, Time> unavailableUntil_;
+  std::map<policy::InstanceOffering, Duration> backoffs_;
 };
 
 }  // namespace cherryloft
--- a/src/autoscaler/shard_fleet.cpp
+++ b/src/autoscaler/shard_fleet.cpp
@@ -6,55 +6,55 @@
 namespace cherryloft {
 namespace {
 
-constexpr double kLateBoot = 2.0;  // boot times after which a machine is no longer counted on
-constexpr double kLateBootPlusS = 5;
-constexpr double kNotYetTold = 3;  // a record so young may not be in its owner's load yet
+constexpr double kBootTimeoutBootTimes = 2.0;  // a machine not usable by then no longer counts as capacity
+constexpr double kBootTimeoutMarginS = 5;
+constexpr double kReportDelayS = 3;  // a younger record may be missing from its owner's load report
 constexpr double kMsPerSecond = 1000;
 
-policy::Workload workOf(const mesh::Demand& demand) {
-  policy::Workload work{
+policy::Workload toWorkload(const mesh::Demand& demand) {
+  policy::Workload workload{
       demand.used,        demand.waiting,    demand.arriving,   demand.departing, demand.runS,
       demand.largestTask, demand.largestJob, demand.ramPerCore, demand.types,     {}};
-  for (const auto& zone : demand.stuckZones) work.stuckZones.push_back(Zone{zone});
-  return work;
+  for (const auto& zone : demand.stuckZones) workload.stuckZones.push_back(Zone{zone});
+  return workload;
 }
 
-// What the owner says of a machine.
-void applyLoad(const mesh::MachineLoad& load, bool boots, policy::FleetMachine& machine) {
+// Applies the owner's report on a machine.
+void applyLoad(const mesh::MachineLoad& load, bool booting, policy::FleetMachine& machine) {
   machine.draining = load.draining;
   machine.pinned = load.pinned;
   machine.ageS = load.ageS;
   machine.usedCores = machine.cores - load.freeCores;
   if (load.usable) machine.idleS = load.idleS > 0 ? load.idleS : -1;
-  machine.counts = !machine.draining && !load.decommissioning && (load.usable || boots);
+  machine.counts = !machine.draining && !load.decommissioning && (load.usable || booting);
 }
 
 }  // namespace
 
 policy::ShardFleet describeShardFleet(ShardId shard, const mesh::ShardLoad* load,
-                                      const ClusterView& clusterView, const Catalog& prices, WallTime now) {
+                                      const ClusterView& clusterView, const Catalog& catalog, WallTime now) {
   policy::ShardFleet fleet;
   std::map<std::string, const mesh::MachineLoad*> reported;
   if (load) {
-    fleet.onDemandOnly = workOf(load->onDemandOnly);
-    fleet.spotAllowed = workOf(load->spotAllowed);
+    fleet.onDemandOnly = toWorkload(load->onDemandOnly);
+    fleet.spotAllowed = toWorkload(load->spotAllowed);
     for (const auto& machine : load->machines) reported[machine.machine] = &machine;
   }
-  for (const auto& [id, known] : clusterView.machines) {
-    const auto& record = known.record;
+  for (const auto& [id, entry] : clusterView.machines) {
+    const auto& record = entry.record;
     if (record.shard != shard || record.phase != wire::MachinePhase::InUse) continue;
-    const auto* type = findType(prices, record.type);
+    const auto* type = findType(catalog, record.type);
     policy::FleetMachine machine{record.type, record.zone, record.spot, type ? type->size.cores : 0,
                                  true,        -1};
     double ageS = static_cast<double>(now.value - record.since.value) / kMsPerSecond;
-    bool boots = type && ageS < kLateBoot * type->bootS + kLateBootPlusS;
+    bool booting = type && ageS < kBootTimeoutBootTimes * type->bootS + kBootTimeoutMarginS;
     auto it = reported.find(id.value);
     if (it != reported.end()) {
-      applyLoad(*it->second, boots, machine);
+      applyLoad(*it->second, booting, machine);
     } else {
-      // In plain use, as the owner does not name it; or not yet seen by it.
-      machine.counts = load || boots;
-      machine.usedCores = ageS < kNotYetTold ? 0 : machine.cores;
+      // The owner does not report the machine: it is fully in use, or the owner does not know it yet.
+      machine.counts = load || booting;
+      machine.usedCores = ageS < kReportDelayS ? 0 : machine.cores;
       machine.pinned = true;
     }
     machine.id = id;
--- a/src/autoscaler/shard_fleet.h
+++ b/src/autoscaler/shard_fleet.h
@@ -1,5 +1,5 @@
-// The machines of one shard and its work as the leader knows them, from records and from the owner's load
-// reports.
+// The machines and the workload of one shard as known to the leader, from machine records and from the load
+// reports of the shard's owner.
 #pragma once
 
 #include "cluster/cluster_view.h"
@@ -8,8 +8,8 @@
 
 namespace cherryloft {
 
-// Without a load the shard's owner has not reported yet.
+// load: null if the shard's owner has not reported yet.
 policy::ShardFleet describeShardFleet(ShardId shard, const mesh::ShardLoad* load,
-                                      const ClusterView& clusterView, const Catalog& prices, WallTime now);
+                                      const ClusterView& clusterView, const Catalog& catalog, WallTime now);
 
 }  // namespace cherryloft
--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -81,7 +81,7 @@
   };
   callbacks.takenOver = [this](const ShardTakeover& takeover) { handleTakeover(takeover); };
   callbacks.lost = [this](ShardId shard) { schedulers_.remove(shard); };
-  callbacks.leadershipChanged = [this](bool leads) { autoscaler_.leading(leads); };
+  callbacks.leadershipChanged = [this](bool leads) { autoscaler_.handleLeadershipChange(leads); };
   callbacks.returnToPreferredOwner = [this](ShardId shard, const ControllerId& to) {
     if (auto* scheduler = schedulers_.find(shard)) scheduler->returnToPreferredOwner(to);
   };
@@ -93,7 +93,7 @@
   callbacks.sendDirective = [this](const mesh::MachineDirective& directive) {
     sendToShard(ShardId{directive.shard}, directive, &ShardScheduler::handleDirective);
   };
-  callbacks.mayAct = [this] { return holdsLease(); };
+  callbacks.holdsLease = [this] { return holdsLease(); };
   return callbacks;
 }
 
@@ -224,7 +224,7 @@
 void Controller::sendLoad(const mesh::ShardLoad& load) {
   if (!view_.leader) return;
   if (isLeader(settings_.controller))
-    autoscaler_.load(load);
+    autoscaler_.handleShardLoad(load);
   else
     peers_.send(view_.leader->record.owner, load);
 }
@@ -232,7 +232,7 @@
 void Controller::reportUnrecordedMachine(const wire::WorkerHeartbeat& heartbeat, const std::string& body) {
   if (!view_.leader) return;
   if (isLeader(settings_.controller))
-    autoscaler_.unrecordedMachineSeen(heartbeat);
+    autoscaler_.handleUnrecordedMachine(heartbeat);
   else
     peers_.send(view_.leader->record.owner, mesh::UnrecordedMachineSeen{body});
 }
--- a/src/controller/peer_messages.cpp
+++ b/src/controller/peer_messages.cpp
@@ -26,11 +26,11 @@
 
 void PeerMessageDispatcher::handle(PeerNumber, const mesh::UnrecordedMachineSeen& seen) {
   if (auto heartbeat = wire::parseHeartbeat(seen.body))
-    receivers_.autoscaler.unrecordedMachineSeen(*heartbeat);
+    receivers_.autoscaler.handleUnrecordedMachine(*heartbeat);
 }
 
 void PeerMessageDispatcher::handle(PeerNumber, const mesh::ShardLoad& load) {
-  receivers_.autoscaler.load(load);
+  receivers_.autoscaler.handleShardLoad(load);
 }
 
 void PeerMessageDispatcher::handle(PeerNumber, const mesh::MachineDirective& directive) {
--- a/tests/unit/scale_out_test.cpp
+++ b/tests/unit/scale_out_test.cpp
@@ -1,4 +1,4 @@
-// How machines are ordered from the cloud, and what becomes of the orders.
+// Tests requests for machines to the cloud and the handling of their results.
 #include "autoscaler/scale_out.h"
 
 #include <gtest/gtest.h>
@@ -12,16 +12,16 @@
 
 namespace {
 
-struct CloudIo : HeldCallsRuntime {
+struct CloudCallsRuntime : HeldCallsRuntime {
   void call(const Address& to, HttpRequest request, Duration deadline, HttpDone done) override {
     if (request.target == "/hosts") HeldCallsRuntime::call(to, std::move(request), deadline, std::move(done));
   }
   std::string claim(std::size_t n) const { return nlohmann::json::parse(requests.at(n).body)["claim"]; }
 };
 
-struct RentalsTest : testing::Test {
+struct ScaleOutTest : testing::Test {
   Settings settings = parseSettings(world::Deployment{}.settingsOf(0), {});
-  CloudIo runtime;
+  CloudCallsRuntime runtime;
   KeyValueStore store{settings, runtime, silentLog(), 1};
   ClusterView clusterView;
   Leadership leadership{true, runtime.now()};
@@ -30,10 +30,10 @@
   ScaleOut scaleOut{context, records, 1};
   policy::ScaleOutRequest request{{"m", settings.zones[0], false}, 2, 16};
 
-  RentalsTest() { clusterView.leader = OwnerEntry{{settings.controller, Epoch{7}}, Version{70}}; }
-  std::size_t ordered(ShardId shard) const {
+  ScaleOutTest() { clusterView.leader = OwnerEntry{{settings.controller, Epoch{7}}, Version{70}}; }
+  std::size_t pendingMachines(ShardId shard) const {
     policy::ShardFleet fleet;
-    scaleOut.addOrdered(shard, fleet);
+    scaleOut.addPendingMachines(shard, fleet);
     return fleet.machines.size();
   }
 };
@@ -42,16 +42,16 @@
 
 }  // namespace
 
-TEST_F(RentalsTest, AnOrderCountsForItsShareUntilItIsAnswered) {
-  scaleOut.start(ShardId{1}, request);
-  EXPECT_EQ(ordered(ShardId{1}), 1U);
-  EXPECT_EQ(ordered(ShardId{0}), 0U);
+TEST_F(ScaleOutTest, AnOpenRequestCountsForItsShardUntilItIsAnswered) {
+  scaleOut.requestMachines(ShardId{1}, request);
+  EXPECT_EQ(pendingMachines(ShardId{1}), 1U);
+  EXPECT_EQ(pendingMachines(ShardId{0}), 0U);
   runtime.answer(0, 400, "{}");
-  EXPECT_EQ(ordered(ShardId{1}), 0U);
+  EXPECT_EQ(pendingMachines(ShardId{1}), 0U);
 }
 
-TEST_F(RentalsTest, WithoutAnAnswerTheSameClaimIsSentAgain) {
-  scaleOut.start(ShardId{1}, request);
+TEST_F(ScaleOutTest, ARequestWithoutAnAnswerIsRetriedWithTheSameClaim) {
+  scaleOut.requestMachines(ShardId{1}, request);
   auto done = runtime.open.at(0);
   done({HttpResult::Outcome::Unknown, {}});
   runtime.clock.run(runtime.clock.now() + 2'000);
@@ -59,17 +59,17 @@
   EXPECT_EQ(runtime.claim(0), runtime.claim(1));
 }
 
-TEST_F(RentalsTest, AnOfferWithoutCapacityIsRefusedForEverLonger) {
-  scaleOut.start(ShardId{1}, request);
+TEST_F(ScaleOutTest, AnOfferingWithoutCapacityIsUnavailableForIncreasingTimes) {
+  scaleOut.requestMachines(ShardId{1}, request);
   runtime.answer(0, 503, kNoCapacity);
-  EXPECT_EQ(scaleOut.refused().count(request.offer), 1U);
+  EXPECT_EQ(scaleOut.unavailableOfferings().count(request.offer), 1U);
   runtime.clock.run(runtime.clock.now() + 9'100);
-  EXPECT_TRUE(scaleOut.refused().empty());
-  scaleOut.start(ShardId{1}, request);
+  EXPECT_TRUE(scaleOut.unavailableOfferings().empty());
+  scaleOut.requestMachines(ShardId{1}, request);
   EXPECT_NE(runtime.claim(0), runtime.claim(1));
   runtime.answer(1, 503, kNoCapacity);
   runtime.clock.run(runtime.clock.now() + 15'000);
-  EXPECT_EQ(scaleOut.refused().count(request.offer), 1U);
+  EXPECT_EQ(scaleOut.unavailableOfferings().count(request.offer), 1U);
   scaleOut.offeringAvailable(request.offer);
-  EXPECT_TRUE(scaleOut.refused().empty());
+  EXPECT_TRUE(scaleOut.unavailableOfferings().empty());
 }
