--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -257,7 +257,7 @@
 
 // --- HTTP ---
 
-bool Controller::isWorkerRequest(const HttpRequest& request) { return request.target == kHeartbeatPath; }
+bool Controller::isHeartbeatRequest(const HttpRequest& request) { return request.target == kHeartbeatPath; }
 
 void Controller::handleRequest(HttpRequest request, Responder done) {
   auto path = request.target.substr(0, request.target.find('?'));
--- a/src/controller/controller.h
+++ b/src/controller/controller.h
@@ -33,7 +33,7 @@
   // Sums over the shards that are owned now, since each was taken over.
   [[nodiscard]] ShardCounters counts() const;
   // Whether the request is a worker's heartbeat, as the server treats their connections in a way of its own.
-  [[nodiscard]] static bool isWorkerRequest(const HttpRequest& request);
+  [[nodiscard]] static bool isHeartbeatRequest(const HttpRequest& request);
 
  private:
   // Wiring: what each part calls back.
--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -64,7 +64,7 @@
       [&controller](HttpRequest r, Responder done) {
         controller.handleRequest(std::move(r), std::move(done));
       },
-      &Controller::isWorkerRequest);
+      &Controller::isHeartbeatRequest);
   controller.start();
   log->info("serving: address={}", settings.front.text());
   loop.run();
