--- a/src/controller/user_answer.cpp
+++ b/src/controller/user_answer.cpp
@@ -1,4 +1,4 @@
-#include "controller/user_answer.h"
+#include "controller/user_response.h"
 
 namespace cherryloft {
 namespace {
--- a/src/controller/user_api.h
+++ b/src/controller/user_api.h
@@ -8,7 +8,7 @@
 
 #include "cluster/cluster_view.h"
 #include "cluster/peers.h"
-#include "controller/user_answer.h"
+#include "controller/user_response.h"
 #include "kvstore/key_value_store.h"
 #include "scheduler/shard_scheduler.h"
 
--- a/tests/unit/user_answer_test.cpp
+++ b/tests/unit/user_answer_test.cpp
@@ -1,7 +1,7 @@
 // The translation of the user API's answers into HTTP.
 #include <gtest/gtest.h>
 
-#include "controller/user_answer.h"
+#include "controller/user_response.h"
 
 using namespace cherryloft;
 
