--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -16,17 +16,17 @@
 const std::string kJobPrefix = "/v1/jobs/";
 const std::string kCancelSuffix = "/withdraw";
 
-UserResponder asHttp(Responder done) {
-  return [done = std::move(done)](const UserAnswer& answer) { done(toHttp(answer)); };
+UserResponder toHttpResponder(Responder done) {
+  return [done = std::move(done)](const UserResponse& answer) { done(toHttpResponse(answer)); };
 }
 
 void rejectMethod(const Responder& done) { done(wire::userError(405, "method not allowed")); }
 
-// " what.name=count" for each, to end a log line.
-std::string countsByName(const std::string& what, const std::map<std::string, std::uint64_t>& counts) {
+// Formats each count as " category.name=count", to be appended to a log line.
+std::string countsByName(const std::string& category, const std::map<std::string, std::uint64_t>& counts) {
   std::string text;
   for (const auto& [name, count] : counts) {
-    text.append(" ").append(what).append(".").append(name);
+    text.append(" ").append(category).append(".").append(name);
     text.append("=").append(std::to_string(count));
   }
   return text;
@@ -51,7 +51,7 @@
 void Controller::start() {
   for (const auto& prefix : {keys::kJobs, keys::kMachines, keys::kShards, keys::kControllers})
     store_.watch(prefix, [this](const wire::KeyChange& change) { handleKeyChange(change); });
-  // Work ends where the state service is away for longer than lease_s.
+  // Then running tasks end when the state service is unavailable for longer than lease_s.
   if (settings_.grace() == Duration{0})
     log_->error(
         "no heartbeats are answered without a lease, cancel_s is too close to lease_s cancel_s={} "
@@ -60,7 +60,7 @@
   membership_.start();
   peers_.start();
   autoscaler_.start();
-  logLastMinute();
+  logMinuteSummary();
 }
 
 // --- wiring ---
@@ -101,7 +101,7 @@
   UserApi::Callbacks callbacks;
   callbacks.scheduler = [this](ShardId shard) { return schedulers_.find(shard); };
   callbacks.holdsLease = [this] { return holdsLease(); };
-  callbacks.recordSeen = [this](const wire::KeyChange& change) { handleKeyChange(change); };
+  callbacks.recordObserved = [this](const wire::KeyChange& change) { handleKeyChange(change); };
   callbacks.jobEnded = [this](const JobId& id, JobStatus status) { view_.jobEnded(id, status); };
   return callbacks;
 }
@@ -113,7 +113,7 @@
     reportUnrecordedMachine(heartbeat, body);
   };
   callbacks.leaseValidity = [this] { return membership_.leaseValidity(); };
-  callbacks.jobsKnownUpTo = [this] { return store_.revisionOf(keys::kJobs); };
+  callbacks.jobsRevision = [this] { return store_.revisionOf(keys::kJobs); };
   return callbacks;
 }
 
@@ -123,7 +123,7 @@
     handleJobEnded(id, status, version);
   };
   callbacks.load = [this](const mesh::ShardLoad& load) { sendLoad(load); };
-  // From a timer of its own, as the scheduler asks for its own end.
+  // Deferred to a timer, as this destroys the scheduler that is calling.
   callbacks.dropOwnership = [this, shard] {
     runtime_.after(Duration{0}, [this, shard] { dropOwnership(shard); });
   };
@@ -176,34 +176,35 @@
     for (const auto& machine : machines) schedulers_.machineChanged(machine);
   } else if (store_.cachesLoaded()) {
     membership_.changed();
-    store_.setFractionOfLimits(fractionOfLimits());
+    store_.setFractionOfLimits(storeLimitFraction());
   }
 }
 
 void Controller::handleJobEnded(const JobId& id, JobStatus status, Version version) {
   view_.jobEnded(id, status, version);
   schedulers_.jobChanged(id);
-  // Whoever answers workers or users should know before the user does; no bound depends on it.
+  // Controllers that answer workers or users should learn of the end before the user does; no guarantee
+  // depends on it.
   peers_.sendAll(mesh::JobEnded{id.value, status == JobStatus::Done, version.value});
 }
 
-// Most of what is asked of the state service is asked for a shard, by its owner, and for machines, by the
-// leader; the rest by every living controller. So each gets a part of the limits by its duties.
-double Controller::fractionOfLimits() const {
+// Most requests to the state service are made by owners for their shards and by the leader for machines; the
+// rest by every live controller. So the rate limits are divided according to these duties.
+double Controller::storeLimitFraction() const {
   constexpr double kControllerWeight = 0.5;
   constexpr double kLeaderWeight = 0.75;
-  double ours = 0;
-  double total = 0;
+  double ownWeight = 0;
+  double totalWeight = 0;
   for (const auto& controller : settings_.controllers) {
     bool counts = view_.alive(controller) || controller == settings_.controller;
     double weight = counts ? kControllerWeight : 0;
     for (const auto& [_, owner] : view_.shards)
       if (owner.record.owner == controller) weight += 1;
     if (isLeader(controller)) weight += kLeaderWeight;
-    total += weight;
-    if (controller == settings_.controller) ours = weight;
+    totalWeight += weight;
+    if (controller == settings_.controller) ownWeight = weight;
   }
-  return ours / total;
+  return ownWeight / totalWeight;
 }
 
 // --- messages ---
@@ -211,8 +212,8 @@
 mesh::PeerHeartbeat Controller::composeHeartbeat() const {
   mesh::PeerHeartbeat heartbeat;
   heartbeat.serving = serving();
-  auto ownsFor = membership_.leaseValidity().ownsUntil - runtime_.now();
-  heartbeat.ownsForMs = std::max(ownsFor.count(), std::int64_t{0});
+  auto ownershipLeft = membership_.leaseValidity().ownsUntil - runtime_.now();
+  heartbeat.ownsForMs = std::max(ownershipLeft.count(), std::int64_t{0});
   for (const auto& [shard, epoch] : membership_.owned()) {
     const ShardScheduler* scheduler = schedulers_.find(shard);
     if (scheduler && scheduler->knowsCancellations())
@@ -237,7 +238,7 @@
     peers_.send(view_.leader->record.owner, mesh::UnrecordedMachineSeen{body});
 }
 
-// To the scheduler of a shard, here or at the controller that owns it.
+// Sends a message to the scheduler of a shard, in this process or at the controller that owns the shard.
 template <class Message>
 void Controller::sendToShard(ShardId shard, const Message& message,
                              ShardSchedulers::Handler<Message> handler) {
@@ -247,12 +248,13 @@
     peers_.send(*owner, message);
 }
 
-// To the schedulers of all shards but the one that asks, here and at the other controllers.
+// Sends a message to the schedulers of all shards except the requester, in this process and at other
+// controllers.
 template <class Message>
-void Controller::sendToOtherShards(ShardId asking, const Message& message,
+void Controller::sendToOtherShards(ShardId requester, const Message& message,
                                    ShardSchedulers::Handler<Message> handler) {
   peers_.sendAll(message);
-  schedulers_.deliverToOthers(asking, message, handler);
+  schedulers_.deliverToOthers(requester, message, handler);
 }
 
 // --- HTTP ---
@@ -271,34 +273,34 @@
   }
   if (path == kJobsPath) {
     if (request.method != "POST") return rejectMethod(done);
-    if (!store_.cachesLoaded()) return done(toHttp(Unavailable{"starting"}));
-    return userApi_.submit(request.body, asHttp(std::move(done)));
+    if (!store_.cachesLoaded()) return done(toHttpResponse(Unavailable{"starting"}));
+    return userApi_.submit(request.body, toHttpResponder(std::move(done)));
   }
   if (path.starts_with(kJobPrefix)) return handleJobRequest(request, path.substr(kJobPrefix.size()), done);
   done(wire::userError(404, "no such path"));
 }
 
-// jobPath: the job's id, with the cancel suffix if it is to be cancelled.
+// jobPath: the job's id, followed by kCancelSuffix for a cancellation.
 void Controller::handleJobRequest(const HttpRequest& request, const std::string& jobPath,
                                   const Responder& done) {
   bool cancel = jobPath.size() > kCancelSuffix.size() && jobPath.ends_with(kCancelSuffix);
   JobId id{cancel ? jobPath.substr(0, jobPath.size() - kCancelSuffix.size()) : jobPath};
   if (request.method != (cancel ? "POST" : "GET")) return rejectMethod(done);
-  if (!wire::isJobId(id.value)) return done(toHttp(NoSuchJob{}));
-  if (!store_.cachesLoaded()) return done(toHttp(Unavailable{"starting"}));
+  if (!wire::isJobId(id.value)) return done(toHttpResponse(JobNotFound{}));
+  if (!store_.cachesLoaded()) return done(toHttpResponse(Unavailable{"starting"}));
   if (cancel)
-    userApi_.cancel(id, asHttp(done));
+    userApi_.cancel(id, toHttpResponder(done));
   else
-    userApi_.poll(id, asHttp(done));
+    userApi_.poll(id, toHttpResponder(done));
 }
 
 void Controller::answerHealthCheck(const Responder& done) const {
-  // Out of service only if the state service is lost to us alone: were it lost to all, taking all out would
-  // help nobody. One that hears no peer either can't know, and can't take requests whichever it is (invariant
-  // 13).
-  bool cutOff = !settings_.siblings.empty() && !peers_.hearsAny();
-  bool storeLostToUsAlone = !holdsLease() && (cutOff || peers_.anyPeerHoldsLease());
-  if (serving() && !storeLostToUsAlone) return done({200, "{}", false, 0});
+  // Unhealthy only if we alone lost the state service: if all controllers lost it, removing all of them from
+  // the load balancer would help nobody. A controller that hears no peer either can't tell the two cases
+  // apart, but can't serve requests in either (invariant 13).
+  bool isolated = !settings_.siblings.empty() && !peers_.hearsAny();
+  bool onlyWeLostStore = !holdsLease() && (isolated || peers_.anyPeerHoldsLease());
+  if (serving() && !onlyWeLostStore) return done({200, "{}", false, 0});
   done({503, R"({"error":"not serving"})", false, 0});
 }
 
@@ -321,9 +323,9 @@
   return sum;
 }
 
-// What the controller did in the last minute, for operators (OPERATING.md).
-void Controller::logLastMinute() {
-  runtime_.after(kSummaryInterval, [this] { logLastMinute(); });
+// Logs a summary of the last minute for operators (OPERATING.md).
+void Controller::logMinuteSummary() {
+  runtime_.after(kSummaryInterval, [this] { logMinuteSummary(); });
   auto tally = store_.takeTally();
   schedulers_.forEach(
       [this](ShardScheduler& scheduler) { log_->info("last minute: {}", scheduler.summarizeLastMinute()); });
--- a/src/controller/controller.h
+++ b/src/controller/controller.h
@@ -1,4 +1,4 @@
-// One controller: the composition of its parts, who is told of what, and the paths of its HTTP interface.
+// Controller: creates and wires the components of one controller process, and routes its HTTP requests.
 #pragma once
 
 #include <memory>
@@ -16,27 +16,27 @@
 
 namespace cherryloft {
 
-// Single-threaded: all calls come on the thread of the runtime. Settings and runtime must outlive it. Once it
-// is destroyed the runtime must make none of its callbacks any more.
+// Single-threaded: every call must come on the runtime's thread. Settings and runtime must outlive it. After
+// its destruction the runtime must not run any of its callbacks.
 class Controller {
  public:
-  // seed: of all random draws; the same seed and the same inputs give the same decisions.
+  // seed: for all random numbers; the same seed and inputs give the same decisions.
   Controller(const Settings& settings, Runtime& runtime, Log log, std::uint64_t seed);
   Controller(const Controller&) = delete;
   Controller& operator=(const Controller&) = delete;
 
   void start();
-  // A request of a user, a worker or the load balancer; done is called once.
+  // Handles a request of a user, a worker or the load balancer; done is called once.
   void handleRequest(HttpRequest request, Responder done);
-  // A frame from another controller.
+  // Handles a frame from another controller.
   void handleFrame(const mesh::Frame& frame) { peers_.handleFrame(frame); }
-  // Sums over the shards that are owned now, since each was taken over.
+  // Totals over the shards owned now, each counted since its takeover.
   [[nodiscard]] ShardCounters counts() const;
-  // Whether the request is a worker's heartbeat, as the server treats their connections in a way of its own.
+  // Whether the request is a worker's heartbeat: the server applies different rules to their connections.
   [[nodiscard]] static bool isHeartbeatRequest(const HttpRequest& request);
 
  private:
-  // Wiring: what each part calls back.
+  // Wiring: the callbacks of each component.
   Peers::Callbacks peersCallbacks();
   Membership::Callbacks membershipCallbacks();
   Autoscaler::Callbacks autoscalerCallbacks();
@@ -51,16 +51,17 @@
   // Shared records and jobs.
   void handleKeyChange(const wire::KeyChange& change);
   void handleJobEnded(const JobId& id, JobStatus status, Version version);
-  [[nodiscard]] double fractionOfLimits() const;
+  [[nodiscard]] double storeLimitFraction() const;
 
-  // Messages to other controllers, or to ourselves.
+  // Messages to other controllers or to local components.
   [[nodiscard]] mesh::PeerHeartbeat composeHeartbeat() const;
   void sendLoad(const mesh::ShardLoad& load);
   void reportUnrecordedMachine(const wire::WorkerHeartbeat& heartbeat, const std::string& body);
   template <class Message>
   void sendToShard(ShardId shard, const Message& message, ShardSchedulers::Handler<Message> handler);
   template <class Message>
-  void sendToOtherShards(ShardId asking, const Message& message, ShardSchedulers::Handler<Message> handler);
+  void sendToOtherShards(ShardId requester, const Message& message,
+                         ShardSchedulers::Handler<Message> handler);
 
   // HTTP.
   void answerHealthCheck(const Responder& done) const;
@@ -69,7 +70,7 @@
   [[nodiscard]] bool holdsLease() const { return membership_.leaseValidity().owns(runtime_.now()); }
   [[nodiscard]] bool isLeader(const ControllerId& controller) const;
   [[nodiscard]] bool serving() const;
-  void logLastMinute();
+  void logMinuteSummary();
 
   const Settings& settings_;
   Runtime& runtime_;
--- a/src/controller/machine_probes.cpp
+++ b/src/controller/machine_probes.cpp
@@ -3,7 +3,7 @@
 namespace cherryloft {
 namespace {
 constexpr Duration kProbeTimeout{2'000};
-constexpr Duration kRelayMargin{500};  // the peer's own timeout comes first
+constexpr Duration kRelayMargin{500};  // lets the peer's own timeout expire first
 }  // namespace
 
 void MachineProbes::probeDirectly(const std::string& address, HttpDone done) const {
--- a/src/controller/machine_probes.h
+++ b/src/controller/machine_probes.h
@@ -1,4 +1,4 @@
-// Asking a machine for its state: directly, or through peers when it can't be reached from here (invariant
+// Probes the state of a machine: directly, or through peers when it can't be reached from here (invariant
 // 11).
 #pragma once
 
@@ -15,11 +15,11 @@
   MachineProbes(const Settings& settings, Runtime& runtime, Peers& peers)
       : settings_(settings), runtime_(runtime), peers_(peers) {}
 
-  // Asks the machine at that address for its heartbeat. done is called once, with a failed result if the
-  // address is none.
+  // Requests the heartbeat of the machine at that address. done is called once, with a failed result if the
+  // address is invalid.
   void probeDirectly(const std::string& address, HttpDone done) const;
-  // Asks every peer that is heard to probe the machine. done is told the body for each one that reached it:
-  // it may be called never, or more than once.
+  // Asks every peer whose heartbeats we receive to probe the machine. done is called with the body for each
+  // peer that reached the machine, so possibly never or several times.
   void probeThroughPeers(const std::string& address,
                          const std::function<void(const std::string& body)>& done) const;
 
--- a/src/controller/peer_messages.cpp
+++ b/src/controller/peer_messages.cpp
@@ -7,10 +7,10 @@
 }
 
 void PeerMessageDispatcher::handle(PeerNumber from, const mesh::JobAsk& request) {
-  auto answer = [&peers = receivers_.peers, from, id = request.id](const UserAnswer& result) {
+  auto answer = [&peers = receivers_.peers, from, id = request.id](const UserResponse& result) {
     peers.send(from, toPeerAnswer(id, result));
   };
-  receivers_.userApi.answerPeer(request, answer);
+  receivers_.userApi.handlePeerRequest(request, answer);
 }
 
 void PeerMessageDispatcher::handle(PeerNumber from, const mesh::RelayedHeartbeat& relayed) {
--- a/src/controller/peer_messages.h
+++ b/src/controller/peer_messages.h
@@ -1,4 +1,4 @@
-// What messages from other controllers bring about here: one overload for each kind of message.
+// Dispatches messages from other controllers to local components: one overload per message type.
 #pragma once
 
 #include "autoscaler/autoscaler.h"
@@ -11,8 +11,8 @@
 
 namespace cherryloft {
 
-// Stateless; all references must outlive it. Messages may come late, twice or never: no bound depends on
-// them.
+// Stateless; all references must outlive it. Messages may be delayed, duplicated or lost: no guarantee may
+// depend on their delivery.
 class PeerMessageDispatcher {
  public:
   struct Receivers {
@@ -26,11 +26,11 @@
   };
   explicit PeerMessageDispatcher(Receivers receivers) : receivers_(receivers) {}
 
-  // Requests are answered to the controller that they came from.
+  // Answers to requests go to the controller that sent them.
   void dispatch(PeerNumber from, const mesh::Payload& payload);
 
  private:
-  // Heartbeats and answers end in Peers.
+  // Heartbeats and answers are handled by Peers.
   void handle(PeerNumber, const mesh::PeerHeartbeat&) {}
   void handle(PeerNumber, const mesh::Answer&) {}
   void handle(PeerNumber from, const mesh::JobAsk& request);
--- a/src/controller/shard_schedulers.h
+++ b/src/controller/shard_schedulers.h
@@ -8,20 +8,20 @@
 
 namespace cherryloft {
 
-// Owns them. Pointers that it lends are good until the next replace() or remove() of that shard, so they are
-// used at once and never kept.
+// Owns the schedulers. A pointer it returns is valid until the next replace() or remove() of that shard, so
+// use it immediately and do not store it.
 class ShardSchedulers {
  public:
   template <class Message>
   using Handler = void (ShardScheduler::*)(const Message&);
 
-  // Null if the shard is not ours.
+  // Null if this controller does not own the shard.
   [[nodiscard]] ShardScheduler* find(ShardId shard) const {
     auto entry = schedulers_.find(shard);
     return entry == schedulers_.end() ? nullptr : entry->second.get();
   }
 
-  // Takes the scheduler in, in place of a former one of the same shard.
+  // Adds the scheduler, replacing any previous one of the same shard.
   ShardScheduler& replace(ShardId shard, std::unique_ptr<ShardScheduler> scheduler) {
     auto& entry = schedulers_[shard];
     entry = std::move(scheduler);
@@ -29,7 +29,7 @@
   }
   void remove(ShardId shard) { schedulers_.erase(shard); }
 
-  // Calls visit(ShardScheduler&) for each, in order of shards. visit must neither add nor remove one.
+  // Calls visit(ShardScheduler&) for each, in shard order. visit must not add or remove schedulers.
   template <class Visit>
   void forEach(Visit visit) const {
     for (const auto& [_, scheduler] : schedulers_) visit(*scheduler);
@@ -42,16 +42,17 @@
     forEach([&id](ShardScheduler& scheduler) { scheduler.machineChanged(id); });
   }
 
-  // Hands a message to the scheduler of the shard; drops it if the shard is not ours.
+  // Delivers a message to the scheduler of the shard; drops it if this controller does not own the shard.
   template <class Message>
   void deliver(ShardId shard, const Message& message, Handler<Message> handler) const {
     if (ShardScheduler* scheduler = find(shard)) (scheduler->*handler)(message);
   }
-  // To the schedulers of all shards but the one that asks: another shard's owner may be this controller.
+  // Delivers a message to the schedulers of all shards except the requester, as this controller may own
+  // several.
   template <class Message>
-  void deliverToOthers(ShardId asking, const Message& message, Handler<Message> handler) const {
+  void deliverToOthers(ShardId requester, const Message& message, Handler<Message> handler) const {
     for (const auto& [shard, scheduler] : schedulers_)
-      if (shard != asking) (scheduler.get()->*handler)(message);
+      if (shard != requester) (scheduler.get()->*handler)(message);
   }
 
  private:
--- a/src/controller/user_api.cpp
+++ b/src/controller/user_api.cpp
@@ -10,35 +10,35 @@
 
 constexpr Duration kCreateTimeout{2'500};
 constexpr Duration kStrongReadTimeout{1'000};  // users wait 2 s for a poll
-constexpr Duration kAskOwnerTimeout{600};      // leaves time for a strong read after it
+constexpr Duration kOwnerRequestTimeout{600};  // leaves time for a strong read after it
 constexpr Duration kCancelTimeout{2'500};
-constexpr Duration kRelayMargin{300};  // the owner's own timeout comes first
+constexpr Duration kRelayMargin{300};  // lets the owner's own timeout expire first
 constexpr int kMaxRetryAfterSeconds = 20;
 
 const char* const kNoStateService = "no connection to the state service";
-const char* const kStateServiceSilent = "the state service does not answer";
+const char* const kStateServiceUnresponsive = "the state service does not answer";
 const char* const kRecordUnreadable = "the job's record is unreadable";
 const char* const kShardBeingTakenOver = "the job's share is being taken over";
 
-bool isOver(const JobEntry& job) { return job.status != JobStatus::Open; }
+bool isFinished(const JobEntry& job) { return job.status != JobStatus::Open; }
 
 JobState finalState(const JobId& id, const JobEntry& job) {
   auto done = job.status == JobStatus::Done ? job.tasks : 0;
   return {id, {job.status, job.tasks, done, 0}};
 }
 
-// Answers once, whoever comes first: the result or the timeout. Copies share that one answer.
-class FirstAnswer {
+// Responds once, with whichever comes first: the result or the timeout. Copies share the responder.
+class OnceResponder {
  public:
-  explicit FirstAnswer(UserResponder done) : done_(std::make_shared<UserResponder>(std::move(done))) {}
-  void answer(const UserAnswer& answer) const {
+  explicit OnceResponder(UserResponder done) : done_(std::make_shared<UserResponder>(std::move(done))) {}
+  void respond(const UserResponse& response) const {
     if (!*done_) return;
     auto done = std::exchange(*done_, nullptr);
-    done(answer);
+    done(response);
   }
 
  private:
-  std::shared_ptr<UserResponder> done_;  // empty once answered
+  std::shared_ptr<UserResponder> done_;  // empty after the response
 };
 
 }  // namespace
@@ -67,23 +67,23 @@
     return done(std::move(rejected));
   }
   auto& spec = std::get<JobSpec>(parsed);
-  // A job accepted before is answered with its state, whatever its retry looks like.
+  // For a job accepted earlier the response is its state, even if the repeated submission differs.
   if (find(spec.id)) return poll(spec.id, std::move(done));
-  // What can't be taken is answered at once.
+  // Submissions that can't be accepted now are answered immediately.
   if (!callbacks_.holdsLease()) return done(Unavailable{kNoStateService});
   if (view_.catalog.empty()) return done(Unavailable{"the machine types are not known yet"});
-  if (auto why = policy::neverRuns(spec, settings_, view_.catalog))
-    return reject(spec.id, {Rejection::NeverRuns, *why}, std::move(done));
+  if (auto reason = policy::neverRuns(spec, settings_, view_.catalog))
+    return reject(spec.id, {Rejection::Infeasible, *reason}, std::move(done));
   if (auto wait = store_.creationBacklogDelay())
     return done(Overloaded{std::min(static_cast<int>(wait->count()), kMaxRetryAfterSeconds)});
   create(std::move(spec), std::move(done));
 }
 
-// A rejection is given only once the store says that the job was never accepted.
+// Rejects a job only after the store confirmed that it was never accepted.
 void UserApi::reject(const JobId& id, JobRejected rejected, UserResponder done) {
   if (find(id)) return poll(id, std::move(done));
-  strongRead(id, [rejected = std::move(rejected), done = std::move(done)](const UserAnswer& read) {
-    if (std::holds_alternative<NoSuchJob>(read)) return done(rejected);
+  strongRead(id, [rejected = std::move(rejected), done = std::move(done)](const UserResponse& read) {
+    if (std::holds_alternative<JobNotFound>(read)) return done(rejected);
     done(read);
   });
 }
@@ -93,7 +93,7 @@
   wire::JobRecord record{JobStatus::Open, settings_.shardOfTeam(spec.team), spec.tasks, runtime_.wall(), {}};
   record.spec = std::move(spec);
   auto value = wire::encodeJobRecord(record);
-  // It may have been accepted under a former, larger limit.
+  // The job may have been accepted earlier, under a larger limit.
   if (value.size() > settings_.valueBytes)
     return reject(id, {Rejection::Malformed, "the job's description is too long"}, std::move(done));
   store_.create({keys::job(id), value, {}}, kCreateTimeout,
@@ -106,13 +106,13 @@
                                  const TransactionResult& result, const UserResponder& done) {
   switch (result.outcome) {
     case TransactionResult::Outcome::Committed:
-      callbacks_.recordSeen(created);
+      callbacks_.recordObserved(created);
       return done(JobAccepted{id});
     case TransactionResult::Outcome::Conflict:
       return strongRead(id, done);
     default:
-      // Whether it was taken or not, the retry with the same id finds out.
-      return done(Unavailable{kStateServiceSilent});
+      // The outcome is unknown; a retry with the same id resolves it.
+      return done(Unavailable{kStateServiceUnresponsive});
   }
 }
 
@@ -121,53 +121,53 @@
 void UserApi::poll(const JobId& id, UserResponder done) {
   const JobEntry* job = find(id);
   if (!job) return strongRead(id, std::move(done));
-  if (isOver(*job)) return done(finalState(id, *job));
+  if (isFinished(*job)) return done(finalState(id, *job));
   if (ShardScheduler* scheduler = callbacks_.scheduler(job->shard)) {
     if (auto view = scheduler->poll(id)) return done(JobState{id, *view});
     return strongRead(id, std::move(done));
   }
   const ControllerId* owner = view_.ownerOf(job->shard);
-  // An owner that can't be asked is not waited for.
+  // Don't wait for an owner that can't be reached.
   if (!owner || *owner == settings_.controller || !peers_.reaches(*owner))
     return strongRead(id, std::move(done));
-  peers_.ask(*owner, mesh::JobAsk{0, false, id.value}, kAskOwnerTimeout,
+  peers_.ask(*owner, mesh::JobAsk{0, false, id.value}, kOwnerRequestTimeout,
              [this, id, done = std::move(done)](const mesh::Answer* answer) {
-               if (answer && answer->status > 0) return done(relayedAnswer(id, *answer));
+               if (answer && answer->status > 0) return done(applyOwnerAnswer(id, *answer));
                strongRead(id, done);
              });
 }
 
-// The owner's answer may have been given before an end that we have told, or heard of, since. An end that it
-// tells is taken in before the user hears it: the owner may have seen it in its watch cache, before the
-// answer to its own commit, and so before it told its peers.
-UserAnswer UserApi::relayedAnswer(const JobId& id, const mesh::Answer& answer) {
+// The owner's answer may predate an end of the job that we have reported or learned of since; the end takes
+// precedence. An end in the answer is applied to our view before the user is told: the owner may have seen it
+// in its watch cache before its own commit was acknowledged, and so before it notified its peers.
+UserResponse UserApi::applyOwnerAnswer(const JobId& id, const mesh::Answer& answer) {
   const JobEntry* job = find(id);
-  if (job && isOver(*job)) return finalState(id, *job);
+  if (job && isFinished(*job)) return finalState(id, *job);
   if (auto end = answer.status == 200 ? wire::parseEnd(answer.body) : std::nullopt)
     callbacks_.jobEnded(id, *end);
-  return OwnersAnswer{answer.status, answer.body};
+  return OwnerResponse{answer.status, answer.body};
 }
 
 void UserApi::strongRead(const JobId& id, UserResponder done) {
   if (!callbacks_.holdsLease()) return done(Unavailable{kNoStateService});
   store_.get(
       RequestPriority::User, keys::job(id), kStrongReadTimeout,
-      [this, id, done = std::move(done)](const GetResult& result) { done(answerOfStrongRead(id, result)); });
+      [this, id, done = std::move(done)](const GetResult& result) { done(strongReadResponse(id, result)); });
 }
 
-UserAnswer UserApi::answerOfStrongRead(const JobId& id, const GetResult& result) {
+UserResponse UserApi::strongReadResponse(const JobId& id, const GetResult& result) {
   switch (result.outcome) {
     case GetResult::Outcome::Absent:
-      return NoSuchJob{};
+      return JobNotFound{};
     case GetResult::Outcome::Failed:
-      return Unavailable{kStateServiceSilent};
+      return Unavailable{kStateServiceUnresponsive};
     case GetResult::Outcome::Found:
       break;
   }
-  callbacks_.recordSeen(result.entry);
+  callbacks_.recordObserved(result.entry);
   const JobEntry* job = find(id);
   if (!job) return Unavailable{kRecordUnreadable};
-  if (isOver(*job)) return finalState(id, *job);
+  if (isFinished(*job)) return finalState(id, *job);
   return JobState{id, {JobStatus::Open, job->tasks, 0, 0}};
 }
 
@@ -175,33 +175,33 @@
 
 void UserApi::cancel(const JobId& id, UserResponder done) {
   if (const JobEntry* job = find(id)) return cancelKnown(id, job->shard, std::move(done));
-  strongRead(id, [this, id, done = std::move(done)](const UserAnswer& read) {
+  strongRead(id, [this, id, done = std::move(done)](const UserResponse& read) {
     const JobEntry* job = find(id);
     if (!std::holds_alternative<JobState>(read) || !job) return done(read);
     cancelKnown(id, job->shard, done);
   });
 }
 
-// The view must show the job.
+// Precondition: the view contains the job.
 void UserApi::cancelKnown(const JobId& id, ShardId shard, UserResponder done) {
   const JobEntry* job = find(id);
-  if (isOver(*job)) return done(finalState(id, *job));
+  if (isFinished(*job)) return done(finalState(id, *job));
   if (ShardScheduler* scheduler = callbacks_.scheduler(shard))
-    return cancelHere(id, *scheduler, std::move(done));
+    return cancelLocally(id, *scheduler, std::move(done));
   cancelAtOwner(id, shard, std::move(done));
 }
 
-void UserApi::cancelHere(const JobId& id, ShardScheduler& scheduler, UserResponder done) {
-  FirstAnswer first(done);
-  bool taken = scheduler.cancel(id, [this, id, first](JobStatus) {
+void UserApi::cancelLocally(const JobId& id, ShardScheduler& scheduler, UserResponder done) {
+  OnceResponder responder(done);
+  bool accepted = scheduler.cancel(id, [this, id, responder](JobStatus) {
     const JobEntry* job = find(id);
-    if (job && isOver(*job))
-      first.answer(finalState(id, *job));
+    if (job && isFinished(*job))
+      responder.respond(finalState(id, *job));
     else
-      first.answer(Unavailable{kRecordUnreadable});
+      responder.respond(Unavailable{kRecordUnreadable});
   });
-  if (!taken) return done(Unavailable{kShardBeingTakenOver});
-  runtime_.after(kCancelTimeout, [first] { first.answer(Unavailable{kStateServiceSilent}); });
+  if (!accepted) return done(Unavailable{kShardBeingTakenOver});
+  runtime_.after(kCancelTimeout, [responder] { responder.respond(Unavailable{kStateServiceUnresponsive}); });
 }
 
 void UserApi::cancelAtOwner(const JobId& id, ShardId shard, UserResponder done) {
@@ -211,22 +211,22 @@
   if (!peers_.reaches(*owner)) return done(Unavailable{"the owner of the job's share is out of reach"});
   peers_.ask(*owner, mesh::JobAsk{0, true, id.value}, kCancelTimeout + kRelayMargin,
              [this, id, done = std::move(done)](const mesh::Answer* answer) {
-               if (answer && answer->status > 0) return done(relayedAnswer(id, *answer));
+               if (answer && answer->status > 0) return done(applyOwnerAnswer(id, *answer));
                done(Unavailable{"the owner of the job's share does not answer"});
              });
 }
 
 // --- peers ---
 
-void UserApi::answerPeer(const mesh::JobAsk& request, UserResponder done) {
+void UserApi::handlePeerRequest(const mesh::JobAsk& request, UserResponder done) {
   JobId id{request.job};
   const JobEntry* job = find(id);
-  if (job && isOver(*job)) return done(finalState(id, *job));
+  if (job && isFinished(*job)) return done(finalState(id, *job));
   ShardScheduler* scheduler = job ? callbacks_.scheduler(job->shard) : nullptr;
-  if (!scheduler) return done(NotTheOwner{});
+  if (!scheduler) return done(NotOwner{});
   if (request.cancel) return cancelKnown(id, job->shard, std::move(done));
   if (auto view = scheduler->poll(id)) return done(JobState{id, *view});
-  done(NotTheOwner{});
+  done(NotOwner{});
 }
 
 }  // namespace cherryloft
--- a/src/controller/user_api.h
+++ b/src/controller/user_api.h
@@ -1,5 +1,5 @@
-// The user API: submissions, polls and cancellations. Any controller answers any user for any job
-// (invariant 9): from its view once the job is over, else through the owner of the job's shard, else by a
+// The user API: submissions, polls and cancellations. Every controller answers requests for every job
+// (invariant 9): from its view if the job has ended, else through the owner of the job's shard, else by a
 // strong read of the job's record.
 #pragma once
 
@@ -14,30 +14,32 @@
 
 namespace cherryloft {
 
-// Holds no state of its own but what the requests under way carry along. All references must outlive it;
-// every responder is called once.
+// Stateless apart from the requests in progress. All references must outlive it; every responder is called
+// once.
 class UserApi {
  public:
   struct Callbacks {
-    // The scheduler of that shard if we own it, or null. Used at once, never kept.
+    // The scheduler of that shard, or null if we don't own it. The pointer is used immediately and not
+    // stored.
     std::function<ShardScheduler*(ShardId)> scheduler;
-    // Whether our lease is valid this very moment (invariant 6).
+    // Whether our lease is valid at this moment (invariant 6).
     std::function<bool()> holdsLease;
-    // A record was read or written here.
-    std::function<void(const wire::KeyChange&)> recordSeen;
-    // The owner answered that a job is over.
+    // Called with each record that was read or written here.
+    std::function<void(const wire::KeyChange&)> recordObserved;
+    // Called when the owner reported that a job has ended.
     std::function<void(const JobId&, JobStatus)> jobEnded;
   };
   UserApi(const Settings& settings, Runtime& runtime, KeyValueStore& store, const ClusterView& view,
           Peers& peers, Callbacks callbacks);
 
-  // body: the description of a job. A job that was accepted before is answered with its state.
+  // body: the description of a job. For a job that was accepted earlier the response is its state.
   void submit(const std::string& body, UserResponder done);
   void poll(const JobId& id, UserResponder done);
-  // Answered once the cancellation, or another end, is committed (invariant 8).
+  // Responds once the cancellation, or another end of the job, is committed (invariant 8).
   void cancel(const JobId& id, UserResponder done);
-  // A peer asks us as the owner of the job's shard; NotTheOwner says that we can't tell.
-  void answerPeer(const mesh::JobAsk& request, UserResponder done);
+  // Handles the request of a peer that takes us for the owner of the job's shard; NotOwner if we can't
+  // answer.
+  void handlePeerRequest(const mesh::JobAsk& request, UserResponder done);
 
  private:
   [[nodiscard]] const JobEntry* find(const JobId& id) const;
@@ -46,10 +48,10 @@
                           const UserResponder& done);
   void reject(const JobId& id, JobRejected rejected, UserResponder done);
   void strongRead(const JobId& id, UserResponder done);
-  [[nodiscard]] UserAnswer answerOfStrongRead(const JobId& id, const GetResult& result);
-  [[nodiscard]] UserAnswer relayedAnswer(const JobId& id, const mesh::Answer& answer);
+  [[nodiscard]] UserResponse strongReadResponse(const JobId& id, const GetResult& result);
+  [[nodiscard]] UserResponse applyOwnerAnswer(const JobId& id, const mesh::Answer& answer);
   void cancelKnown(const JobId& id, ShardId shard, UserResponder done);
-  void cancelHere(const JobId& id, ShardScheduler& scheduler, UserResponder done);
+  void cancelLocally(const JobId& id, ShardScheduler& scheduler, UserResponder done);
   void cancelAtOwner(const JobId& id, ShardId shard, UserResponder done);
 
   const Settings& settings_;
--- a/src/controller/user_response.cpp
+++ b/src/controller/user_response.cpp
@@ -6,7 +6,7 @@
 constexpr int kNoRetryAfter = 0;
 constexpr int kRetrySoonSeconds = 1;
 
-// One overload for each kind of answer.
+// One overload per response type.
 struct HttpEncoder {
   HttpResponse operator()(const JobAccepted& accepted) const {
     return {201, wire::encodeJob(accepted.id, {}), false, kNoRetryAfter};
@@ -14,29 +14,30 @@
   HttpResponse operator()(const JobState& state) const {
     return {200, wire::encodeJob(state.id, state.view), false, kNoRetryAfter};
   }
-  HttpResponse operator()(const NoSuchJob&) const { return wire::userError(404, "no such job"); }
+  HttpResponse operator()(const JobNotFound&) const { return wire::userError(404, "no such job"); }
   HttpResponse operator()(const JobRejected& rejected) const {
-    return wire::userError(rejected.reason == Rejection::NeverRuns ? 422 : 400, rejected.why);
+    return wire::userError(rejected.reason == Rejection::Infeasible ? 422 : 400, rejected.message);
   }
   HttpResponse operator()(const Overloaded& overloaded) const {
     return wire::userError(503, "more jobs come than can be kept", overloaded.retryAfterSeconds);
   }
   HttpResponse operator()(const Unavailable& unavailable) const {
-    return wire::userUnavailable(unavailable.why);
+    return wire::userUnavailable(unavailable.message);
   }
-  HttpResponse operator()(const OwnersAnswer& answer) const {
-    return {answer.status, answer.body, false, answer.status == 503 ? kRetrySoonSeconds : kNoRetryAfter};
+  HttpResponse operator()(const OwnerResponse& forwarded) const {
+    return {forwarded.status, forwarded.body, false,
+            forwarded.status == 503 ? kRetrySoonSeconds : kNoRetryAfter};
   }
-  HttpResponse operator()(const NotTheOwner&) const { return {}; }
+  HttpResponse operator()(const NotOwner&) const { return {}; }
 };
 
 }  // namespace
 
-HttpResponse toHttp(const UserAnswer& answer) { return std::visit(HttpEncoder{}, answer); }
+HttpResponse toHttpResponse(const UserResponse& response) { return std::visit(HttpEncoder{}, response); }
 
-mesh::Answer toPeerAnswer(std::uint64_t requestId, const UserAnswer& answer) {
-  auto response = toHttp(answer);
-  return {requestId, response.status, std::move(response.body)};
+mesh::Answer toPeerAnswer(std::uint64_t requestId, const UserResponse& response) {
+  auto httpResponse = toHttpResponse(response);
+  return {requestId, httpResponse.status, std::move(httpResponse.body)};
 }
 
 }  // namespace cherryloft
--- a/src/controller/user_response.h
+++ b/src/controller/user_response.h
@@ -1,4 +1,4 @@
-// What the user API answers, as typed values, and their one translation into HTTP.
+// The responses of the user API as typed values, and their encoding as HTTP.
 #pragma once
 
 #include <cstdint>
@@ -12,7 +12,7 @@
 
 namespace cherryloft {
 
-// 201: the submission created the job.
+// 201: the job was created.
 struct JobAccepted {
   JobId id;
 };
@@ -23,17 +23,17 @@
   wire::JobView view;
 };
 
-// 404: given only after a strong read (invariant 9).
-struct NoSuchJob {};
+// 404: returned only after a strong read (invariant 9).
+struct JobNotFound {};
 
 enum class Rejection : std::uint8_t {
-  Malformed,  // 400: the body can't be read, or the job is too long to keep
-  NeverRuns,  // 422: no machine type or quota could ever take the job
+  Malformed,   // 400: the body is malformed, or the job is too large to store
+  Infeasible,  // 422: no machine type or quota can ever fit the job
 };
-// The job was never accepted, and won't be.
+// The job was never accepted and never will be.
 struct JobRejected {
   Rejection reason = Rejection::Malformed;
-  std::string why;
+  std::string message;
 };
 
 // 503: more jobs are submitted than can be stored.
@@ -41,28 +41,28 @@
   int retryAfterSeconds = 0;
 };
 
-// 503, to be retried soon: this controller can't tell, or can't act.
+// 503, to be retried soon: this controller can't determine the answer or can't act.
 struct Unavailable {
-  std::string why;
+  std::string message;
 };
 
-// What the job's owner answered through the mesh, passed on as it is.
-struct OwnersAnswer {
+// The response of the job's owner, received through the mesh and forwarded unchanged.
+struct OwnerResponse {
   int status = 0;
   std::string body;
 };
 
-// Only to a peer that asked us as the owner: we can't tell, it has to find out by itself.
-struct NotTheOwner {};
+// Sent only to a peer that took us for the owner: we can't answer, and the peer must find out in another way.
+struct NotOwner {};
 
-using UserAnswer = std::variant<JobAccepted, JobState, NoSuchJob, JobRejected, Overloaded, Unavailable,
-                                OwnersAnswer, NotTheOwner>;
-// Takes the one answer to a request.
-using UserResponder = std::function<void(const UserAnswer&)>;
+using UserResponse = std::variant<JobAccepted, JobState, JobNotFound, JobRejected, Overloaded, Unavailable,
+                                  OwnerResponse, NotOwner>;
+// Called once with the response to a request.
+using UserResponder = std::function<void(const UserResponse&)>;
 
-// Status, body and Retry-After as users see them. NotTheOwner has status 0 and must not reach a user.
-[[nodiscard]] HttpResponse toHttp(const UserAnswer& answer);
-// The same as the answer to a peer's request with that id.
-[[nodiscard]] mesh::Answer toPeerAnswer(std::uint64_t requestId, const UserAnswer& answer);
+// Status, body and Retry-After as sent to users. NotOwner has status 0 and must not be sent to a user.
+[[nodiscard]] HttpResponse toHttpResponse(const UserResponse& response);
+// The same, as the answer to a peer's request with that id.
+[[nodiscard]] mesh::Answer toPeerAnswer(std::uint64_t requestId, const UserResponse& response);
 
 }  // namespace cherryloft
--- a/src/controller/worker_endpoint.cpp
+++ b/src/controller/worker_endpoint.cpp
@@ -8,15 +8,15 @@
 namespace {
 
 constexpr Duration kRelayTimeout{2'500};  // workers wait 4 s
-// A worker that comes here may have found its owner out of reach: it is relayed for so long before it is sent
-// on.
+// A worker that contacts this controller may have been unable to reach its owner: its heartbeats are relayed
+// for this long before it is redirected.
 constexpr Duration kRelayBeforeRedirect{8'000};
-// A worker not seen for so long begins anew.
-constexpr Duration kForgetAfter = 2 * kRelayBeforeRedirect;
-// One sent on to its owner that comes back sooner than this has not reached it.
+// A worker not seen for this long is treated as new.
+constexpr Duration kWorkerExpiry = 2 * kRelayBeforeRedirect;
+// A redirected worker that comes back within this time could not reach its owner.
 constexpr Duration kRedirectInterval{60'000};
 
-void refuse(const Responder& done, const char* why) { done(wire::userError(503, why)); }
+void respondUnavailable(const Responder& done, const char* reason) { done(wire::userError(503, reason)); }
 
 }  // namespace
 
@@ -35,7 +35,7 @@
   const MachineEntry* machine = find(heartbeat->machine);
   if (!machine) {
     callbacks_.unrecordedMachineSeen(*heartbeat, body);
-    return refuse(done, "unknown machine");
+    return respondUnavailable(done, "unknown machine");
   }
   auto shard = machine->record.shard;
   if (ShardScheduler* scheduler = callbacks_.scheduler(shard)) {
@@ -44,7 +44,7 @@
   }
   const ControllerId* owner = view_.ownerOf(shard);
   if (!owner || *owner == settings_.controller || !view_.alive(*owner))
-    return refuse(done, "share is being taken over");
+    return respondUnavailable(done, "share is being taken over");
   forwardToOwner(*owner, body, std::move(*heartbeat), std::move(done));
 }
 
@@ -59,31 +59,31 @@
 
 // --- workers of other controllers' shards ---
 
-// The worker's lease and its commands come first: the heartbeat is relayed at once. Only a worker that stays
-// is sent on to its owner, and one that comes back from there is relayed for long.
+// The worker's lease and its commands have priority, so the heartbeat is relayed immediately. Only a worker
+// that keeps sending here is redirected to its owner; if it comes back, it is relayed for kRedirectInterval.
 void WorkerEndpoint::forwardToOwner(const ControllerId& owner, const std::string& body,
                                     wire::WorkerHeartbeat heartbeat, Responder done) {
   auto now = runtime_.now();
   auto ownerNumber = peers_.numberOf(owner);
-  auto& worker = noteForeignWorker(heartbeat.machine, owner, now);
+  auto& worker = trackRemoteWorker(heartbeat.machine, owner, now);
   if (shouldRedirect(worker, ownerNumber, now)) {
     worker.redirectedAt = now;
     return done({421, wire::encodeOwner(owner), true, 0});
   }
-  if (!peers_.reaches(ownerNumber)) return done(answerInNameOf(owner, heartbeat));
+  if (!peers_.reaches(ownerNumber)) return done(answerOnBehalfOf(owner, heartbeat));
   peers_.ask(
       owner, mesh::RelayedHeartbeat{0, body}, kRelayTimeout,
       [this, owner, heartbeat = std::move(heartbeat), done = std::move(done)](const mesh::Answer* answer) {
         if (answer && answer->status == 200) return done({200, answer->body, false, 0});
-        done(answerInNameOf(owner, heartbeat));
+        done(answerOnBehalfOf(owner, heartbeat));
       });
 }
 
-WorkerEndpoint::ForeignWorker& WorkerEndpoint::noteForeignWorker(const MachineId& machine,
-                                                                 const ControllerId& owner, Time now) {
-  auto& worker = foreignWorkers_[machine];
+WorkerEndpoint::RemoteWorker& WorkerEndpoint::trackRemoteWorker(const MachineId& machine,
+                                                                const ControllerId& owner, Time now) {
+  auto& worker = remoteWorkers_[machine];
   bool sameOwner = worker.owner == owner;
-  if (!sameOwner || now - worker.lastSeenAt > kForgetAfter) {
+  if (!sameOwner || now - worker.lastSeenAt > kWorkerExpiry) {
     bool returned = sameOwner && now - worker.redirectedAt < kRedirectInterval;
     worker = {owner, now, now, returned ? worker.redirectedAt : Time{}};
   }
@@ -91,34 +91,34 @@
   return worker;
 }
 
-bool WorkerEndpoint::shouldRedirect(const ForeignWorker& worker, PeerNumber owner, Time now) const {
+bool WorkerEndpoint::shouldRedirect(const RemoteWorker& worker, PeerNumber owner, Time now) const {
   if (worker.redirectedAt != Time{} && now - worker.redirectedAt <= kRedirectInterval) return false;
   if (peers_.reaches(owner)) return now - worker.firstSeenAt > kRelayBeforeRedirect && peers_.hears(owner);
-  // One that has been here since before we lost sight of its owner may well find it by itself.
+  // A worker that was already here when we last heard its owner may still be able to reach the owner.
   return worker.firstSeenAt <= peers_.lastHeardAt(owner);
 }
 
-// The worker's token must be that owner's own: whoever came after it has not allowed us to answer.
-bool WorkerEndpoint::mayAnswerInNameOf(const ControllerId& owner,
-                                       const wire::WorkerHeartbeat& heartbeat) const {
+// The worker's token must be from that owner's epoch: a later owner has not allowed us to answer for it.
+bool WorkerEndpoint::mayAnswerOnBehalfOf(const ControllerId& owner,
+                                         const wire::WorkerHeartbeat& heartbeat) const {
   const MachineEntry* machine = find(heartbeat.machine);
   if (!machine || !callbacks_.leaseValidity().answers(runtime_.now())) return false;
   auto shard = view_.shards.find(machine->record.shard);
   if (shard == view_.shards.end() || shard->second.record.owner != owner) return false;
   auto epoch = shard->second.record.epoch;
   if (epochOf(heartbeat.token) != std::max(machine->record.token, epoch)) return false;
-  return peers_.mayAnswerFor(peers_.numberOf(owner), shard->first, epoch, callbacks_.jobsKnownUpTo());
+  return peers_.mayAnswerFor(peers_.numberOf(owner), shard->first, epoch, callbacks_.jobsRevision());
 }
 
-// The owner of the worker's shard is out of reach. Cut off together with the worker we keep its lease alive
-// for a while (invariant 15): what it runs goes on. It gets no commands but to stop what is cancelled, which
-// is final (invariant 16).
-HttpResponse WorkerEndpoint::answerInNameOf(const ControllerId& owner,
-                                            const wire::WorkerHeartbeat& heartbeat) {
-  if (!mayAnswerInNameOf(owner, heartbeat)) return wire::userError(503, "the owner does not answer");
+// The owner of the worker's shard is unreachable. We may be partitioned from it together with the worker, so
+// we keep the worker's lease alive for a limited time (invariant 15) and its tasks go on running. The answer
+// contains no commands except to stop cancelled tasks, as a cancellation is final (invariant 16).
+HttpResponse WorkerEndpoint::answerOnBehalfOf(const ControllerId& owner,
+                                              const wire::WorkerHeartbeat& heartbeat) {
+  if (!mayAnswerOnBehalfOf(owner, heartbeat)) return wire::userError(503, "the owner does not answer");
   peers_.recordAnswerInNameOf(peers_.numberOf(owner));
-  auto stops = view_.stopCommandsForCancelled(heartbeat);
-  return {200, wire::encodeHeartbeatAnswer(heartbeat.token, stops), false, 0};
+  auto stopCommands = view_.stopCommandsForCancelled(heartbeat);
+  return {200, wire::encodeHeartbeatAnswer(heartbeat.token, stopCommands), false, 0};
 }
 
 }  // namespace cherryloft
--- a/tests/unit/worker_endpoint_test.cpp
+++ b/tests/unit/worker_endpoint_test.cpp
@@ -1,4 +1,4 @@
-// What a controller answers to the workers of another controller's shard.
+// Tests how a controller answers workers of a shard that another controller owns.
 #include <gtest/gtest.h>
 
 #include "controller/worker_endpoint.h"
@@ -21,7 +21,7 @@
   void call(const Address&, HttpRequest, Duration, HttpDone) override {}
 };
 
-// Controller 0, with one machine in a shard that controller 1 owns.
+// Controller 0, and one machine in a shard that controller 1 owns.
 struct WorkerEndpointTest : testing::Test {
   Settings settings = parseSettings(world::Deployment{}.settingsOf(kSelf), {});
   RecordingRuntime runtime;
@@ -49,11 +49,11 @@
       ++unrecordedMachines;
     };
     callbacks.leaseValidity = [this] { return LeaseValidity{runtime.now(), runtime.now() + Duration{1}}; };
-    callbacks.jobsKnownUpTo = [] { return Version{40}; };
+    callbacks.jobsRevision = [] { return Version{40}; };
     return callbacks;
   }
 
-  void hearOwner() {
+  void receiveOwnerHeartbeat() {
     mesh::PeerHeartbeat heartbeat;
     heartbeat.life = 1;
     heartbeat.at = runtime.now().time_since_epoch().count();
@@ -69,15 +69,15 @@
   void receive(const std::string& body) {
     endpoint.handleHeartbeat(body, [this](HttpResponse response) { answers.push_back(std::move(response)); });
   }
-  // The request that was last sent to the owner, if it is a relayed heartbeat.
+  // The message last sent to the owner, if it is a relayed heartbeat.
   std::optional<mesh::RelayedHeartbeat> lastRelayed() const {
     const auto* relayed = std::get_if<mesh::RelayedHeartbeat>(&runtime.sent.back().payload);
     return relayed ? std::optional(*relayed) : std::nullopt;
   }
-  // A heartbeat of the worker every second, until then, while the owner is heard and answers.
+  // Sends a heartbeat of the worker every second until `end`, with the owner reachable and answering.
   void heartbeatEverySecondUntil(world::Ms end) {
     while (runtime.clock.now() < end) {
-      hearOwner();
+      receiveOwnerHeartbeat();
       receive(heartbeatOf("m1"));
       if (auto relayed = lastRelayed())
         peers.handleFrame({kOwner, kSelf, mesh::Answer{relayed->id, 200, "{}"}});
@@ -101,7 +101,7 @@
   EXPECT_EQ(unrecordedMachines, 1);
 }
 
-TEST_F(WorkerEndpointTest, AHeartbeatIsRefusedWhileTheShardHasNoLivingOwner) {
+TEST_F(WorkerEndpointTest, AHeartbeatIsRefusedWhileTheShardHasNoLiveOwner) {
   view.controllers.clear();
   receive(heartbeatOf("m1"));
   ASSERT_EQ(answers.size(), 1U);
@@ -109,7 +109,7 @@
 }
 
 TEST_F(WorkerEndpointTest, AHeartbeatIsRelayedToTheOwnerAndItsAnswerPassedOn) {
-  hearOwner();
+  receiveOwnerHeartbeat();
   receive(heartbeatOf("m1"));
   auto relayed = lastRelayed();
   ASSERT_TRUE(relayed);
@@ -121,18 +121,18 @@
   EXPECT_EQ(answers[0].body, "commands");
 }
 
-TEST_F(WorkerEndpointTest, AWorkerThatStaysIsRedirectedOnceAndThenRelayedAgain) {
+TEST_F(WorkerEndpointTest, AWorkerThatKeepsSendingIsRedirectedOnceAndThenRelayedAgain) {
   heartbeatEverySecondUntil(12 * kSecond);
   ASSERT_EQ(answers.size(), 12U);
   std::vector<std::size_t> redirects;
   for (std::size_t i = 0; i < answers.size(); ++i)
     if (answers[i].status == 421) redirects.push_back(i);
-  EXPECT_EQ(redirects, std::vector<std::size_t>{9});  // the first that is later than 8 s
+  EXPECT_EQ(redirects, std::vector<std::size_t>{9});  // the first after 8 s
   EXPECT_TRUE(answers[9].close);
 }
 
-TEST_F(WorkerEndpointTest, AWorkerOfAnOwnerOutOfReachIsAnsweredInItsName) {
-  hearOwner();
+TEST_F(WorkerEndpointTest, AWorkerOfAnUnreachableOwnerIsAnsweredOnItsBehalf) {
+  receiveOwnerHeartbeat();
   runtime.clock.run(10 * kSecond);
   receive(heartbeatOf("m1"));
   ASSERT_EQ(answers.size(), 1U);
@@ -140,8 +140,8 @@
   EXPECT_EQ(answers[0].body, wire::encodeHeartbeatAnswer(tokenOf(kEpoch), {}));
 }
 
-TEST_F(WorkerEndpointTest, AWorkerWithATokenOfAFormerEpochIsNotAnsweredInTheOwnersName) {
-  hearOwner();
+TEST_F(WorkerEndpointTest, AWorkerWithATokenOfAFormerEpochIsNotAnsweredOnTheOwnersBehalf) {
+  receiveOwnerHeartbeat();
   view.shards[kShard].record.epoch = Epoch{8};
   runtime.clock.run(10 * kSecond);
   receive(heartbeatOf("m1"));
