--- a/src/autoscaler/autoscaler.cpp
+++ b/src/autoscaler/autoscaler.cpp
@@ -22,9 +22,9 @@
       cloudCallBudget_(settings.cloudRps, runtime.now()),
       catalog_(context_),
       machineTypes_(catalog_.machineTypes()),
-      records_(context_, [this](const MachineId& id) { return scaleIn_.returned(id); }),
+      records_(context_, [this](const MachineId& id) { return scaleIn_.wasReturned(id); }),
       scaleIn_(context_,
-               [this](const policy::InstanceOffering& offering) { scaleOut_.offeringAvailable(offering); }),
+               [this](const policy::InstanceOffering& offering) { scaleOut_.markAvailable(offering); }),
       scaleOut_(context_, records_, seed),
       adoption_(context_, catalog_, records_, scaleIn_, [this] { return shardDeficits(); }),
       inventory_(context_, catalog_, adoption_, scaleIn_) {}
--- a/src/autoscaler/autoscaler_context.h
+++ b/src/autoscaler/autoscaler_context.h
@@ -19,8 +19,9 @@
   bool active = false;
   Time since{};
 
-  // Whether an operation begun in the term that started at `start` is still valid.
-  bool continues(Time start) const { return active && since == start; }
+  // Whether the term that started at `start` is still the current one, so that an operation begun in it is
+  // valid.
+  bool isCurrentTerm(Time start) const { return active && since == start; }
 };
 
 // Token bucket that limits calls to the cloud API. Only the leader calls the cloud, so it uses most of the
--- a/src/autoscaler/machine_adoption.cpp
+++ b/src/autoscaler/machine_adoption.cpp
@@ -43,19 +43,19 @@
 }
 
 void MachineAdoption::adopt(const MachineId& id, wire::MachineRecord record) {
-  if (records_.pending(id)) return;
+  if (records_.isPending(id)) return;
   if (unassigned_.empty()) assignAt_ = context_.runtime.now() + kBatchDelay;
   unassigned_.emplace(id, std::move(record));
 }
 
 bool MachineAdoption::isUnrecorded(const MachineId& id) const {
-  return context_.clusterView.machines.count(id) == 0 && !scaleIn_.returned(id);
+  return context_.clusterView.machines.count(id) == 0 && !scaleIn_.wasReturned(id);
 }
 
 // The heartbeat may be a delayed copy from a machine that no longer exists, so the machine is probed first.
 void MachineAdoption::handleHeartbeat(const wire::WorkerHeartbeat& heartbeat) {
   if (!context_.leadership.active || !isUnrecorded(heartbeat.machine) || heartbeat.address.empty()) return;
-  if (records_.pending(heartbeat.machine) || probing_.size() >= kMaxConcurrentProbes) return;
+  if (records_.isPending(heartbeat.machine) || probing_.size() >= kMaxConcurrentProbes) return;
   if (!probing_.insert(heartbeat.machine).second) return;
   Address address;
   try {
--- a/src/autoscaler/machine_inventory.cpp
+++ b/src/autoscaler/machine_inventory.cpp
@@ -53,7 +53,7 @@
 // The machine was provisioned by a leader that failed before recording it, or existed from the start.
 void MachineInventory::reconcileUnrecorded(const wire::ListedMachine& machine) {
   bool settled = context_.runtime.now() - context_.leadership.since >= kNewLeaderSettleTime;
-  if (machine.state == wire::ListedMachine::State::Failed || scaleIn_.returned(machine.id) || !settled)
+  if (machine.state == wire::ListedMachine::State::Failed || scaleIn_.wasReturned(machine.id) || !settled)
     return;
   adoption_.adopt(machine.id, {ShardId{}, Epoch{}, wire::MachinePhase::InUse, machine.type, machine.zone,
                                machine.spot, machine.address, context_.runtime.wall()});
--- a/src/autoscaler/machine_records.cpp
+++ b/src/autoscaler/machine_records.cpp
@@ -23,7 +23,7 @@
 // our epoch is in effect, so a read after that sees all of them. The same applies to our own earlier records.
 void MachineRecords::waitUntilCurrent() {
   auto onCaughtUp = [this, since = context_.leadership.since](CatchUp result) {
-    if (context_.leadership.continues(since)) handleCatchUp(result);
+    if (context_.leadership.isCurrentTerm(since)) handleCatchUp(result);
   };
   context_.store.waitUntilCurrent(keys::kShards, [this, onCaughtUp](CatchUp result) {
     if (result != CatchUp::Current) return onCaughtUp(result);
@@ -98,7 +98,7 @@
 
 void MachineRecords::send(const wire::Transaction& transaction) {
   auto done = [this, transaction, since = context_.leadership.since](const TransactionResult& result) {
-    if (context_.leadership.continues(since)) handleResult(transaction, result);
+    if (context_.leadership.isCurrentTerm(since)) handleResult(transaction, result);
   };
   context_.store.transact(RequestPriority::Control, transaction, kSendTimeout, std::move(done));
 }
@@ -109,7 +109,7 @@
   using Outcome = TransactionResult::Outcome;
   if (result.outcome == Outcome::Unknown || result.outcome == Outcome::Refused) {
     context_.runtime.after(kSendRetryDelay, [this, transaction, since = context_.leadership.since] {
-      if (context_.leadership.continues(since)) send(transaction);
+      if (context_.leadership.isCurrentTerm(since)) send(transaction);
     });
     return;
   }
--- a/src/autoscaler/machine_records.h
+++ b/src/autoscaler/machine_records.h
@@ -23,7 +23,7 @@
   // Whether the view contains everything that former leaders and this controller recorded.
   bool viewIsCurrent() const { return viewCurrent_; }
   // Whether the creation of the machine's record is queued or in flight.
-  bool pending(const MachineId& id) const { return pending_.count(id) > 0; }
+  bool isPending(const MachineId& id) const { return pending_.count(id) > 0; }
   void markPending(const MachineId& id) { pending_.insert(id); }
   // Creates the records of all members, split into as many groups as needed.
   void create(const wire::GroupRecord& machines);
--- a/src/autoscaler/scale_in.h
+++ b/src/autoscaler/scale_in.h
@@ -24,7 +24,7 @@
   // Requests that the machine is returned; the reason is logged.
   void requestReturn(const MachineId& id, const char* reason);
   // Whether this controller returned the machine to the cloud.
-  bool returned(const MachineId& id) const { return returned_.count(id) > 0; }
+  bool wasReturned(const MachineId& id) const { return returned_.count(id) > 0; }
   // Marks the requested machines as returning in their records.
   void markRequested();
   // Returns marked machines to the cloud if the budget has a call left.
--- a/src/autoscaler/scale_out.h
+++ b/src/autoscaler/scale_out.h
@@ -28,7 +28,7 @@
   // Offerings in backoff because the cloud recently had no capacity for them.
   std::set<policy::InstanceOffering> unavailableOfferings() const;
   // Ends the offering's backoff: a machine of it was returned.
-  void offeringAvailable(const policy::InstanceOffering& offering) { unavailableUntil_.erase(offering); }
+  void markAvailable(const policy::InstanceOffering& offering) { unavailableUntil_.erase(offering); }
 
  private:
   struct OpenRequest {
--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -54,7 +54,7 @@
   // Then running tasks end when the state service is unavailable for longer than lease_s.
   if (settings_.grace() == Duration{0})
     log_->error(
-        "no heartbeats are answered without a lease, cancel_s is too close to lease_s cancel_s={} "
+        "no heartbeats are answered without a lease, as cancel_s is too close to lease_s: cancel_s={} "
         "lease_s={}",
         settings_.cancelS, settings_.leaseS);
   membership_.start();
--- a/src/controller/user_api.cpp
+++ b/src/controller/user_api.cpp
@@ -52,7 +52,7 @@
       peers_(peers),
       callbacks_(std::move(callbacks)) {}
 
-const JobEntry* UserApi::find(const JobId& id) const {
+const JobEntry* UserApi::findJob(const JobId& id) const {
   auto entry = view_.jobs.find(id);
   return entry == view_.jobs.end() ? nullptr : &entry->second;
 }
@@ -68,7 +68,7 @@
   }
   auto& spec = std::get<JobSpec>(parsed);
   // For a job accepted earlier the response is its state, even if the repeated submission differs.
-  if (find(spec.id)) return poll(spec.id, std::move(done));
+  if (findJob(spec.id)) return poll(spec.id, std::move(done));
   // Submissions that can't be accepted now are answered immediately.
   if (!callbacks_.holdsLease()) return done(Unavailable{kNoStateService});
   if (view_.catalog.empty()) return done(Unavailable{"the machine types are not known yet"});
@@ -81,7 +81,7 @@
 
 // Rejects a job only after the store confirmed that it was never accepted.
 void UserApi::reject(const JobId& id, JobRejected rejected, UserResponder done) {
-  if (find(id)) return poll(id, std::move(done));
+  if (findJob(id)) return poll(id, std::move(done));
   strongRead(id, [rejected = std::move(rejected), done = std::move(done)](const UserResponse& read) {
     if (std::holds_alternative<JobNotFound>(read)) return done(rejected);
     done(read);
@@ -119,7 +119,7 @@
 // --- polls ---
 
 void UserApi::poll(const JobId& id, UserResponder done) {
-  const JobEntry* job = find(id);
+  const JobEntry* job = findJob(id);
   if (!job) return strongRead(id, std::move(done));
   if (isFinished(*job)) return done(finalState(id, *job));
   if (ShardScheduler* scheduler = callbacks_.scheduler(job->shard)) {
@@ -141,7 +141,7 @@
 // precedence. An end in the answer is applied to our view before the user is told: the owner may have seen it
 // in its watch cache before its own commit was acknowledged, and so before it notified its peers.
 UserResponse UserApi::applyOwnerAnswer(const JobId& id, const mesh::Answer& answer) {
-  const JobEntry* job = find(id);
+  const JobEntry* job = findJob(id);
   if (job && isFinished(*job)) return finalState(id, *job);
   if (auto end = answer.status == 200 ? wire::parseEnd(answer.body) : std::nullopt)
     callbacks_.jobEnded(id, *end);
@@ -165,7 +165,7 @@
       break;
   }
   callbacks_.recordObserved(result.entry);
-  const JobEntry* job = find(id);
+  const JobEntry* job = findJob(id);
   if (!job) return Unavailable{kRecordUnreadable};
   if (isFinished(*job)) return finalState(id, *job);
   return JobState{id, {JobStatus::Open, job->tasks, 0, 0}};
@@ -174,9 +174,9 @@
 // --- cancellations ---
 
 void UserApi::cancel(const JobId& id, UserResponder done) {
-  if (const JobEntry* job = find(id)) return cancelKnown(id, job->shard, std::move(done));
+  if (const JobEntry* job = findJob(id)) return cancelKnown(id, job->shard, std::move(done));
   strongRead(id, [this, id, done = std::move(done)](const UserResponse& read) {
-    const JobEntry* job = find(id);
+    const JobEntry* job = findJob(id);
     if (!std::holds_alternative<JobState>(read) || !job) return done(read);
     cancelKnown(id, job->shard, done);
   });
@@ -184,7 +184,7 @@
 
 // Precondition: the view contains the job.
 void UserApi::cancelKnown(const JobId& id, ShardId shard, UserResponder done) {
-  const JobEntry* job = find(id);
+  const JobEntry* job = findJob(id);
   if (isFinished(*job)) return done(finalState(id, *job));
   if (ShardScheduler* scheduler = callbacks_.scheduler(shard))
     return cancelLocally(id, *scheduler, std::move(done));
@@ -194,7 +194,7 @@
 void UserApi::cancelLocally(const JobId& id, ShardScheduler& scheduler, UserResponder done) {
   OnceResponder responder(done);
   bool accepted = scheduler.cancel(id, [this, id, responder](JobStatus) {
-    const JobEntry* job = find(id);
+    const JobEntry* job = findJob(id);
     if (job && isFinished(*job))
       responder.respond(finalState(id, *job));
     else
@@ -220,7 +220,7 @@
 
 void UserApi::handlePeerRequest(const mesh::JobAsk& request, UserResponder done) {
   JobId id{request.job};
-  const JobEntry* job = find(id);
+  const JobEntry* job = findJob(id);
   if (job && isFinished(*job)) return done(finalState(id, *job));
   ShardScheduler* scheduler = job ? callbacks_.scheduler(job->shard) : nullptr;
   if (!scheduler) return done(NotOwner{});
--- a/src/controller/user_api.h
+++ b/src/controller/user_api.h
@@ -42,7 +42,7 @@
   void handlePeerRequest(const mesh::JobAsk& request, UserResponder done);
 
  private:
-  [[nodiscard]] const JobEntry* find(const JobId& id) const;
+  [[nodiscard]] const JobEntry* findJob(const JobId& id) const;
   void create(JobSpec spec, UserResponder done);
   void handleCreateResult(const wire::KeyChange& created, const JobId& id, const TransactionResult& result,
                           const UserResponder& done);
--- a/src/controller/worker_endpoint.cpp
+++ b/src/controller/worker_endpoint.cpp
@@ -24,7 +24,7 @@
                                Peers& peers, Callbacks callbacks)
     : settings_(settings), runtime_(runtime), view_(view), peers_(peers), callbacks_(std::move(callbacks)) {}
 
-const MachineEntry* WorkerEndpoint::find(const MachineId& machine) const {
+const MachineEntry* WorkerEndpoint::findMachine(const MachineId& machine) const {
   auto entry = view_.machines.find(machine);
   return entry == view_.machines.end() ? nullptr : &entry->second;
 }
@@ -32,7 +32,7 @@
 void WorkerEndpoint::handleHeartbeat(const std::string& body, Responder done) {
   auto heartbeat = wire::parseHeartbeat(body);
   if (!heartbeat) return done(wire::userError(400, "malformed report"));
-  const MachineEntry* machine = find(heartbeat->machine);
+  const MachineEntry* machine = findMachine(heartbeat->machine);
   if (!machine) {
     callbacks_.unrecordedMachineSeen(*heartbeat, body);
     return respondUnavailable(done, "unknown machine");
@@ -50,7 +50,7 @@
 
 mesh::Answer WorkerEndpoint::handleRelayed(const mesh::RelayedHeartbeat& relayed) {
   auto heartbeat = wire::parseHeartbeat(relayed.body);
-  const MachineEntry* machine = heartbeat ? find(heartbeat->machine) : nullptr;
+  const MachineEntry* machine = heartbeat ? findMachine(heartbeat->machine) : nullptr;
   ShardScheduler* scheduler = machine ? callbacks_.scheduler(machine->record.shard) : nullptr;
   if (!scheduler) return {relayed.id, 503, ""};
   auto answer = scheduler->handleHeartbeat(*heartbeat);
@@ -101,7 +101,7 @@
 // The worker's token must be from that owner's epoch: a later owner has not allowed us to answer for it.
 bool WorkerEndpoint::mayAnswerOnBehalfOf(const ControllerId& owner,
                                          const wire::WorkerHeartbeat& heartbeat) const {
-  const MachineEntry* machine = find(heartbeat.machine);
+  const MachineEntry* machine = findMachine(heartbeat.machine);
   if (!machine || !callbacks_.leaseValidity().answers(runtime_.now())) return false;
   auto shard = view_.shards.find(machine->record.shard);
   if (shard == view_.shards.end() || shard->second.record.owner != owner) return false;
--- a/src/controller/worker_endpoint.h
+++ b/src/controller/worker_endpoint.h
@@ -44,7 +44,7 @@
     Time lastSeenAt{};
     Time redirectedAt{};  // Time{}: never
   };
-  [[nodiscard]] const MachineEntry* find(const MachineId& machine) const;
+  [[nodiscard]] const MachineEntry* findMachine(const MachineId& machine) const;
   void forwardToOwner(const ControllerId& owner, const std::string& body, wire::WorkerHeartbeat heartbeat,
                       Responder done);
   RemoteWorker& trackRemoteWorker(const MachineId& machine, const ControllerId& owner, Time now);
--- a/tests/unit/scale_out_test.cpp
+++ b/tests/unit/scale_out_test.cpp
@@ -70,6 +70,6 @@
   runtime.answer(1, 503, kNoCapacity);
   runtime.clock.run(runtime.clock.now() + 15'000);
   EXPECT_EQ(scaleOut.unavailableOfferings().count(request.offer), 1U);
-  scaleOut.offeringAvailable(request.offer);
+  scaleOut.markAvailable(request.offer);
   EXPECT_TRUE(scaleOut.unavailableOfferings().empty());
 }
