--- a/apps/cherryloft/main.cpp
+++ b/apps/cherryloft/main.cpp
@@ -28,8 +28,8 @@
   bool check = false;
   Tuning tuning;
   std::int64_t leaseTtlMs = tuning.leaseTtl.count();
-  double returnOwnershipAfterS = inSeconds(tuning.returnOwnershipAfter);
-  double moveS = inSeconds(tuning.moveEvery);
+  double returnOwnershipAfterS = inSeconds(tuning.ownershipReturnDelay);
+  double moveS = inSeconds(tuning.idleMachineMoveInterval);
   app.set_version_flag("--version", std::string("cherryloft ") + CHERRYLOFT_VERSION);
   app.add_option("--config", config, "settings file that the platform hands over (JSON)")->required();
   app.add_flag("--check", check, "check command line and settings, then exit");
@@ -68,8 +68,8 @@
     return kBadCommandLineOrSettings;
   }
   tuning.leaseTtl = Duration{leaseTtlMs};
-  tuning.returnOwnershipAfter = seconds(returnOwnershipAfterS);
-  tuning.moveEvery = seconds(moveS);
+  tuning.ownershipReturnDelay = seconds(returnOwnershipAfterS);
+  tuning.idleMachineMoveInterval = seconds(moveS);
   try {
     auto settings = readSettings(config, tuning);
     if (check) {
--- a/src/autoscaler/autoscaler_context.h
+++ b/src/autoscaler/autoscaler_context.h
@@ -65,7 +65,7 @@
   const ClusterView& clusterView;
   const Leadership& leadership;
 
-  void callCloud(HttpRequest request, HttpDone done) const {
+  void callCloud(HttpRequest request, HttpCallback done) const {
     runtime.call(settings.cloud, std::move(request), kCloudDeadline, std::move(done));
   }
 };
--- a/src/autoscaler/planning.cpp
+++ b/src/autoscaler/planning.cpp
@@ -29,9 +29,9 @@
     if (reported == loads_.end() || now - reported->second.at > kLoadStale) continue;
     fleets[shard] = fleetOf(shard);
     targets[shard] =
-        policy::targets(fleets[shard], prices_, settings_.tuning.spareFraction, settings_.patienceS());
+        policy::targets(fleets[shard], prices_, settings_.tuning.spareFraction, settings_.maxSpotWaitS());
   }
-  bool rebalancingDue = now - lastRebalance_ >= settings_.tuning.moveEvery;
+  bool rebalancingDue = now - lastRebalance_ >= settings_.tuning.idleMachineMoveInterval;
   if (rebalancingDue) lastRebalance_ = now;
   moveIdleMachines(fleets, targets, rebalancingDue ? MoveScope::AllSpare : MoveScope::OnePerShard);
   // Spare capacity is common to all shards, as idle machines are moved on request.
--- a/src/autoscaler/scale_in.cpp
+++ b/src/autoscaler/scale_in.cpp
@@ -35,7 +35,7 @@
   auto machines = markedMachines();
   if (machines.empty() || !context_.clusterView.leader) return calls.giveBack();
   returning_ = true;
-  context_.callCloud({"POST", "/hosts/return", wire::encodeReturn(machines), false},
+  context_.callCloud({"POST", "/hosts/return", wire::encodeReturnRequest(machines), false},
                      [this, machines](const HttpResult& result) { answered(machines, result); });
 }
 
--- a/src/autoscaler/shard_fleet.cpp
+++ b/src/autoscaler/shard_fleet.cpp
@@ -13,7 +13,7 @@
 
 policy::Workload workOf(const mesh::Demand& demand) {
   policy::Workload work{
-      demand.used,        demand.waiting,    demand.arriving,   demand.departing, demand.runS,
+      demand.used,        demand.waiting,    demand.arriving,   demand.departing, demand.expectedRunS,
       demand.largestTask, demand.largestJob, demand.ramPerCore, demand.types,     {}};
   for (const auto& zone : demand.stuckZones) work.stuckZones.push_back(Zone{zone});
   return work;
--- a/src/cluster/keep_alive_proxy.cpp
+++ b/src/cluster/keep_alive_proxy.cpp
@@ -18,32 +18,33 @@
 
 void KeepAliveProxyLink::fillHeartbeat(mesh::PeerHeartbeat& heartbeat, PeerContact contact, Time now) {
   heartbeat.at = toMs(now);
-  heartbeat.echo = peerSentAtMs_;
+  heartbeat.echoedAt = peerSentAtMs_;
   heartbeat.proxy = contact == PeerContact::NotHeard;
-  heartbeat.answeredAgoMs = lastAnswerAt_ ? (now - *lastAnswerAt_).count() : -1;
+  heartbeat.lastProxyAnswerAgoMs = lastAnswerAt_ ? (now - *lastAnswerAt_).count() : -1;
   if (contact == PeerContact::Heard) lastDisclaimedAt_ = now;
 }
 
 bool KeepAliveProxyLink::acceptHeartbeat(const mesh::PeerHeartbeat& heartbeat, Time now) {
-  bool outdated =
-      heartbeat.life < peerLife_ || (heartbeat.life == peerLife_ && heartbeat.at <= peerSentAtMs_);
+  bool outdated = heartbeat.processIncarnation < peerLife_ ||
+                  (heartbeat.processIncarnation == peerLife_ && heartbeat.at <= peerSentAtMs_);
   if (outdated) return false;
   // A process that ended did not tell of its last answers.
-  if (heartbeat.life > peerLife_ && peerLife_ > 0)
+  if (heartbeat.processIncarnation > peerLife_ && peerLife_ > 0)
     answeredUntil_ = std::max(answeredUntil_, std::min(now, mayAnswerUntil_));
-  peerLife_ = heartbeat.life;
+  peerLife_ = heartbeat.processIncarnation;
   peerSentAtMs_ = heartbeat.at;
   // It echoes a heartbeat of ours, and is younger than that one, however late it comes. One from before our
   // start may be by another clock.
-  bool echoesOurs = heartbeat.echo >= toMs(started_) && heartbeat.echo <= toMs(now);
-  if (echoesOurs && !heartbeat.proxy) disclaimedAt_ = std::max(disclaimedAt_, fromMs(heartbeat.echo));
-  if (heartbeat.answeredAgoMs >= 0)
-    answeredUntil_ = std::max(answeredUntil_, now - Duration{heartbeat.answeredAgoMs});
+  bool echoesOurs = heartbeat.echoedAt >= toMs(started_) && heartbeat.echoedAt <= toMs(now);
+  if (echoesOurs && !heartbeat.proxy) disclaimedAt_ = std::max(disclaimedAt_, fromMs(heartbeat.echoedAt));
+  if (heartbeat.lastProxyAnswerAgoMs >= 0)
+    answeredUntil_ = std::max(answeredUntil_, now - Duration{heartbeat.lastProxyAnswerAgoMs});
   mayAnswerUntil_ = now + maxProxyTime_;
   peerShards_.clear();
   allowedUntil_ = Time{};
-  if (echoesOurs && heartbeat.ownsForMs > 0) {
-    allowedUntil_ = fromMs(heartbeat.echo) + std::min(Duration{heartbeat.ownsForMs} + grace_, maxProxyTime_);
+  if (echoesOurs && heartbeat.leaseRemainingMs > 0) {
+    allowedUntil_ =
+        fromMs(heartbeat.echoedAt) + std::min(Duration{heartbeat.leaseRemainingMs} + grace_, maxProxyTime_);
     for (const auto& owned : heartbeat.owns)
       peerShards_[ShardId{owned.shard}] = {Epoch{owned.epoch}, Version{owned.cancelled}};
   }
--- a/src/cluster/keep_alive_proxy.h
+++ b/src/cluster/keep_alive_proxy.h
@@ -23,7 +23,8 @@
 class KeepAliveProxyLink {
  public:
   // grace: how long an owner goes on answering after its lease ended (Settings::grace).
-  // maxProxyTime: how long a proxy may answer after a heartbeat of the owner (Settings::blindFor).
+  // maxProxyTime: how long a proxy may answer after a heartbeat of the owner
+  // (Settings::maxCancellationStaleness).
   KeepAliveProxyLink(Time started, Duration grace, Duration maxProxyTime)
       : started_(started), grace_(grace), maxProxyTime_(maxProxyTime), lastDisclaimedAt_(started) {}
 
--- a/src/cluster/peers.cpp
+++ b/src/cluster/peers.cpp
@@ -23,7 +23,7 @@
       self_(settings.preferredShard(settings.controller).value),
       life_(static_cast<std::uint64_t>(runtime.wall().value)),
       lastRequestId_(life_ << kRequestCountBits) {
-  KeepAliveProxyLink link(runtime.now(), settings.grace(), settings.blindFor());
+  KeepAliveProxyLink link(runtime.now(), settings.grace(), settings.maxCancellationStaleness());
   peers_.assign(settings.size(), Peer{{}, {}, {}, link});
 }
 
@@ -44,7 +44,7 @@
 
 bool Peers::anyPeerHoldsLease() const {
   for (PeerNumber peer = 0; peer < peers_.size(); ++peer)
-    if (peer != self_ && hears(peer) && peers_[peer].heartbeat.ownsForMs > 0) return true;
+    if (peer != self_ && hears(peer) && peers_[peer].heartbeat.leaseRemainingMs > 0) return true;
   return false;
 }
 
@@ -81,7 +81,7 @@
   runtime_.after(kHeartbeatInterval, [this] { sendHeartbeats(); });
   auto now = runtime_.now();
   auto heartbeat = callbacks_.heartbeat();
-  heartbeat.life = life_;
+  heartbeat.processIncarnation = life_;
   heartbeat.hears = 0;
   for (PeerNumber peer = 0; peer < peers_.size(); ++peer)
     if (peer != self_ && hears(peer)) heartbeat.hears |= 1U << peer;
--- a/src/cluster/shard_ownership.cpp
+++ b/src/cluster/shard_ownership.cpp
@@ -93,7 +93,7 @@
   const auto& preferredOwner = settings_.controllers[shard.value];
   auto alive = aliveSince_.find(preferredOwner);
   if (preferredOwner == settings_.controller || alive == aliveSince_.end()) return;
-  if (now - alive->second < settings_.tuning.returnOwnershipAfter) return;
+  if (now - alive->second < settings_.tuning.ownershipReturnDelay) return;
   auto& requestedAt = returnRequestedAt_[shard];
   if (now - requestedAt < kReturnRequestInterval) return;
   requestedAt = now;
--- a/src/cluster/shard_ownership.h
+++ b/src/cluster/shard_ownership.h
@@ -40,7 +40,7 @@
 // A controller that comes back after a fraction of a second, with its name still in the record, writes itself
 // anew at once: an epoch is never used by two processes.
 //
-// Return to the preferred owner, once that one has had a lease for Tuning::returnOwnershipAfter:
+// Return to the preferred owner, once that one has had a lease for Tuning::ownershipReturnDelay:
 //   1. returnToPreferredOwner asks the shard's scheduler, which lets its commit in flight land.
 //   2. The scheduler calls transferOwnership: the preferred owner is written with a new epoch, on condition
 //      that its lease lives.
--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -97,16 +97,20 @@
 // answer did not know of (invariant 16). The margin covers drift, a request's way and the steps in which
 // silence is noticed; where there is little capacity it shrinks with it.
 Duration Settings::margin() const {
-  return seconds(std::min(3.0 + 0.005 * cancelS, 0.4 * (cancelS - leaseS)));
+  return seconds(std::min(3.0 + 0.005 * cancelDeadlineS, 0.4 * (cancelDeadlineS - workerLeaseS)));
 }
 
-Duration Settings::blindFor() const { return std::max(seconds(cancelS - leaseS) - margin(), Duration{0}); }
+Duration Settings::maxCancellationStaleness() const {
+  return std::max(seconds(cancelDeadlineS - workerLeaseS) - margin(), Duration{0});
+}
 
-// Nobody cancels in our stead before the lease is over, so that a lease longer than blindFor() breaks no
-// bound; there is just no grace after it then.
-Duration Settings::leaseTtl() const { return std::min(tuning.leaseTtl, std::max(blindFor(), kShortestHold)); }
+// Nobody cancels in our stead before the lease is over, so that a lease longer than
+// maxCancellationStaleness() breaks no bound; there is just no grace after it then.
+Duration Settings::leaseTtl() const {
+  return std::min(tuning.leaseTtl, std::max(maxCancellationStaleness(), kShortestHold));
+}
 
-Duration Settings::grace() const { return std::max(blindFor() - leaseTtl(), Duration{0}); }
+Duration Settings::grace() const { return std::max(maxCancellationStaleness() - leaseTtl(), Duration{0}); }
 
 namespace {
 std::optional<double> tightest(const std::vector<ServiceLevelObjective>& objectives,
@@ -126,8 +130,8 @@
   return tightest(startObjectives, jobClass);
 }
 
-double Settings::patienceS() const {
-  double s = guaranteeWithinS ? 0.75 * *guaranteeWithinS : 1e9;
+double Settings::maxSpotWaitS() const {
+  double s = guaranteeStartWithinS ? 0.75 * *guaranteeStartWithinS : 1e9;
   for (const auto& a : finishObjectives) s = std::min(s, 0.1 * a.withinS);
   return s < 1e9 ? s : 0;
 }
@@ -183,7 +187,7 @@
   if (d.contains("objectives") && d.at("objectives").is_array()) {
     for (const auto& o : d.at("objectives")) {
       if (!o.is_object() || !o.contains("within_s") || !o.at("within_s").is_number()) continue;
-      if (o.value("kind", json()) == "guarantee") s.guaranteeWithinS = o.at("within_s").get<double>();
+      if (o.value("kind", json()) == "guarantee") s.guaranteeStartWithinS = o.at("within_s").get<double>();
       if (!o.contains("class") || !o.at("class").is_string()) continue;
       ServiceLevelObjective objective{o.at("class").get<std::string>(), o.at("within_s").get<double>()};
       auto kind = o.value("kind", json());
@@ -192,16 +196,16 @@
     }
   }
   const auto& w = object(d, "workers");
-  s.reportS = number(w, "report_s", 0.001, 3600);
-  s.leaseS = number(w, "lease_s", 0.001, 86400);
-  s.cancelS = number(w, "cancel_s", s.leaseS, 86400);
-  if (w.contains("gang_wait_s")) s.gangWaitS = number(w, "gang_wait_s", 0, 86400);
-  if (w.contains("gang_peer_s")) s.gangPeerS = number(w, "gang_peer_s", 0, 86400);
+  s.heartbeatIntervalS = number(w, "report_s", 0.001, 3600);
+  s.workerLeaseS = number(w, "lease_s", 0.001, 86400);
+  s.cancelDeadlineS = number(w, "cancel_s", s.workerLeaseS, 86400);
+  if (w.contains("gang_wait_s")) s.gangStartTimeoutS = number(w, "gang_wait_s", 0, 86400);
+  if (w.contains("gang_peer_s")) s.gangPeerTimeoutS = number(w, "gang_peer_s", 0, 86400);
   const auto& st = object(d, "state");
   applyStateLimits(st, s);
   const auto& c = object(d, "cloud");
   s.cloudRps = number(c, "rps", 0.01, big);
-  s.listLagS = number(c, "list_lag_s", 0, 3600);
+  s.maxListLagS = number(c, "list_lag_s", 0, 3600);
   s.fdLimit = static_cast<unsigned>(number(object(d, "machine_limits"), "fd_limit", 32, 1e6));
   s.clockErrorMs = number(d, "clock_error_ms", 0, 1e6);
   return s;
--- a/src/config/settings.h
+++ b/src/config/settings.h
@@ -50,11 +50,12 @@
 // Values the operators may set; the defaults are what OPERATING.md lists.
 struct Tuning {
   Duration leaseTtl{3000};              // of this controller's lease in the state service
-  Duration returnOwnershipAfter{8000};  // how long a controller must be back before it gets its shard
-  Duration moveEvery{30000};            // between two times that idle machines move between shards in bulk
-  unsigned sampleSize = 64;             // machines sampled for a placement (K of the design note)
-  double spareFraction = 0.25;          // capacity kept free above what is asked for, as a fraction of it
-  std::uint64_t seed = 0;               // 0: from the controller's name and the time of day
+  Duration ownershipReturnDelay{8000};  // how long a controller must be back before it gets its shard
+  Duration idleMachineMoveInterval{
+      30000};                   // between two times that idle machines move between shards in bulk
+  unsigned sampleSize = 64;     // machines sampled for a placement (K of the design note)
+  double spareFraction = 0.25;  // capacity kept free above what is asked for, as a fraction of it
+  std::uint64_t seed = 0;       // 0: from the controller's name and the time of day
 };
 
 // One controller's settings, checked. Names ending in S are seconds.
@@ -69,19 +70,19 @@
   std::vector<Team> teams;  // sorted by name
   std::vector<ServiceLevelObjective> finishObjectives;
   std::vector<ServiceLevelObjective> startObjectives;
-  std::optional<double> guaranteeWithinS;  // work within a guarantee should have started so soon
-  double reportS = 3;                      // between two heartbeats of a worker
-  double leaseS = 45;                      // of a worker: it ends its tasks when unanswered for so long
-  double cancelS = 75;                     // after a confirmed cancellation nothing of the job may run
-  double gangWaitS = 45;                   // a gang that is not complete within it gives up
-  double gangPeerS = 4;                    // within which members of a gang notice a lost one
+  std::optional<double> guaranteeStartWithinS;  // work within a guarantee should have started so soon
+  double heartbeatIntervalS = 3;                // between two heartbeats of a worker
+  double workerLeaseS = 45;                     // of a worker: it ends its tasks when unanswered for so long
+  double cancelDeadlineS = 75;                  // after a confirmed cancellation nothing of the job may run
+  double gangStartTimeoutS = 45;                // a gang that is not complete within it gives up
+  double gangPeerTimeoutS = 4;                  // within which members of a gang notice a lost one
   // Of the state service: what holds now and what is announced for later, whichever is lower.
   double stateRps = 100;
   double stateWriteRps = 50;
   std::size_t valueBytes = 4096;
   unsigned txnOps = 12;
   double cloudRps = 5;
-  double listLagS = 5;  // by which the cloud's list of machines may be old
+  double maxListLagS = 5;  // by which the cloud's list of machines may be old
   unsigned fdLimit = 1024;
   double clockErrorMs = 250;
   Tuning tuning;
@@ -97,17 +98,17 @@
   [[nodiscard]] Duration grace() const;
   // How long after a moment whose cancellations are all known a worker may be answered, though those since
   // are not (invariant 16). Nothing where cancel_s is hardly above lease_s.
-  [[nodiscard]] Duration blindFor() const;
+  [[nodiscard]] Duration maxCancellationStaleness() const;
   [[nodiscard]] Duration margin() const;
   // Of the sockets allowed, those kept for siblings, the state service, the cloud and commands to workers.
-  [[nodiscard]] std::size_t keptSockets() const { return fdLimit / 4 + 16; }
+  [[nodiscard]] std::size_t reservedSockets() const { return fdLimit / 4 + 16; }
   [[nodiscard]] ShardId shardOfTeam(const TeamId& name) const;
   // The shortest time within which jobs of the class should be done, or started, if there is an objective for
   // it.
   [[nodiscard]] std::optional<double> finishWithin(const std::string& jobClass) const;
   [[nodiscard]] std::optional<double> startWithin(const std::string& jobClass) const;
   // How long work may wait for cheap capacity and still meet its objective, with a reserve.
-  [[nodiscard]] double patienceS() const;
+  [[nodiscard]] double maxSpotWaitS() const;
   [[nodiscard]] const Team* team(const TeamId& name) const;
   [[nodiscard]] ShardId preferredShard(const ControllerId& name) const;
 };
--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -56,7 +56,7 @@
     log_->error(
         "no heartbeats are answered without a lease, cancel_s is too close to lease_s cancel_s={} "
         "lease_s={}",
-        settings_.cancelS, settings_.leaseS);
+        settings_.cancelDeadlineS, settings_.workerLeaseS);
   membership_.start();
   peers_.start();
   autoscaler_.start();
@@ -212,7 +212,7 @@
   mesh::PeerHeartbeat heartbeat;
   heartbeat.serving = serving();
   auto ownsFor = membership_.leaseValidity().ownsUntil - runtime_.now();
-  heartbeat.ownsForMs = std::max(ownsFor.count(), std::int64_t{0});
+  heartbeat.leaseRemainingMs = std::max(ownsFor.count(), std::int64_t{0});
   for (const auto& [shard, epoch] : membership_.owned()) {
     const ShardScheduler* scheduler = schedulers_.find(shard);
     if (scheduler && scheduler->knowsCancellations())
--- a/src/controller/machine_probes.cpp
+++ b/src/controller/machine_probes.cpp
@@ -6,7 +6,7 @@
 constexpr Duration kRelayMargin{500};  // the peer's own timeout comes first
 }  // namespace
 
-void MachineProbes::probeDirectly(const std::string& address, HttpDone done) const {
+void MachineProbes::probeDirectly(const std::string& address, HttpCallback done) const {
   try {
     runtime_.call(parseAddress(address), {"GET", "/show", "", false}, kProbeTimeout, std::move(done));
   } catch (const SettingsError&) {
@@ -18,7 +18,7 @@
                                       const std::function<void(const std::string& body)>& done) const {
   for (const auto& sibling : settings_.siblings) {
     if (!peers_.hears(peers_.numberOf(sibling.controller))) continue;
-    peers_.ask(sibling.controller, mesh::ProbeAsk{0, address}, kProbeTimeout + kRelayMargin,
+    peers_.ask(sibling.controller, mesh::ProbeRequest{0, address}, kProbeTimeout + kRelayMargin,
                [done](const mesh::Answer* answer) {
                  if (answer && answer->status == 200) done(answer->body);
                });
--- a/src/controller/machine_probes.h
+++ b/src/controller/machine_probes.h
@@ -17,7 +17,7 @@
 
   // Asks the machine at that address for its heartbeat. done is called once, with a failed result if the
   // address is none.
-  void probeDirectly(const std::string& address, HttpDone done) const;
+  void probeDirectly(const std::string& address, HttpCallback done) const;
   // Asks every peer that is heard to probe the machine. done is told the body for each one that reached it:
   // it may be called never, or more than once.
   void probeThroughPeers(const std::string& address,
--- a/src/controller/peer_messages.cpp
+++ b/src/controller/peer_messages.cpp
@@ -6,7 +6,7 @@
   std::visit([this, from](const auto& message) { handle(from, message); }, payload);
 }
 
-void PeerMessageDispatcher::handle(PeerNumber from, const mesh::JobAsk& request) {
+void PeerMessageDispatcher::handle(PeerNumber from, const mesh::JobRequest& request) {
   auto answer = [&peers = receivers_.peers, from, id = request.id](const UserAnswer& result) {
     peers.send(from, toPeerAnswer(id, result));
   };
@@ -17,7 +17,7 @@
   receivers_.peers.send(from, receivers_.workerEndpoint.handleRelayed(relayed));
 }
 
-void PeerMessageDispatcher::handle(PeerNumber from, const mesh::ProbeAsk& request) {
+void PeerMessageDispatcher::handle(PeerNumber from, const mesh::ProbeRequest& request) {
   auto answer = [&peers = receivers_.peers, from, id = request.id](const HttpResult& result) {
     peers.send(from, mesh::Answer{id, result.response.status, result.response.body});
   };
--- a/src/controller/peer_messages.h
+++ b/src/controller/peer_messages.h
@@ -33,9 +33,9 @@
   // Heartbeats and answers end in Peers.
   void handle(PeerNumber, const mesh::PeerHeartbeat&) {}
   void handle(PeerNumber, const mesh::Answer&) {}
-  void handle(PeerNumber from, const mesh::JobAsk& request);
+  void handle(PeerNumber from, const mesh::JobRequest& request);
   void handle(PeerNumber from, const mesh::RelayedHeartbeat& relayed);
-  void handle(PeerNumber from, const mesh::ProbeAsk& request);
+  void handle(PeerNumber from, const mesh::ProbeRequest& request);
   void handle(PeerNumber from, const mesh::UnrecordedMachineSeen& seen);
   void handle(PeerNumber from, const mesh::ShardLoad& load);
   void handle(PeerNumber from, const mesh::MachineDirective& directive);
--- a/src/controller/user_answer.cpp
+++ b/src/controller/user_answer.cpp
@@ -9,10 +9,10 @@
 // One overload for each kind of answer.
 struct HttpEncoder {
   HttpResponse operator()(const JobAccepted& accepted) const {
-    return {201, wire::encodeJob(accepted.id, {}), false, kNoRetryAfter};
+    return {201, wire::encodeJobStatus(accepted.id, {}), false, kNoRetryAfter};
   }
   HttpResponse operator()(const JobState& state) const {
-    return {200, wire::encodeJob(state.id, state.view), false, kNoRetryAfter};
+    return {200, wire::encodeJobStatus(state.id, state.view), false, kNoRetryAfter};
   }
   HttpResponse operator()(const NoSuchJob&) const { return wire::userError(404, "no such job"); }
   HttpResponse operator()(const JobRejected& rejected) const {
--- a/src/controller/user_api.cpp
+++ b/src/controller/user_api.cpp
@@ -130,7 +130,7 @@
   // An owner that can't be asked is not waited for.
   if (!owner || *owner == settings_.controller || !peers_.reaches(*owner))
     return strongRead(id, std::move(done));
-  peers_.ask(*owner, mesh::JobAsk{0, false, id.value}, kAskOwnerTimeout,
+  peers_.ask(*owner, mesh::JobRequest{0, false, id.value}, kAskOwnerTimeout,
              [this, id, done = std::move(done)](const mesh::Answer* answer) {
                if (answer && answer->status > 0) return done(relayedAnswer(id, *answer));
                strongRead(id, done);
@@ -143,7 +143,7 @@
 UserAnswer UserApi::relayedAnswer(const JobId& id, const mesh::Answer& answer) {
   const JobEntry* job = find(id);
   if (job && isOver(*job)) return finalState(id, *job);
-  if (auto end = answer.status == 200 ? wire::parseEnd(answer.body) : std::nullopt)
+  if (auto end = answer.status == 200 ? wire::parseFinalStatus(answer.body) : std::nullopt)
     callbacks_.jobEnded(id, *end);
   return OwnersAnswer{answer.status, answer.body};
 }
@@ -209,7 +209,7 @@
   if (!owner || *owner == settings_.controller || !view_.alive(*owner))
     return done(Unavailable{kShardBeingTakenOver});
   if (!peers_.reaches(*owner)) return done(Unavailable{"the owner of the job's share is out of reach"});
-  peers_.ask(*owner, mesh::JobAsk{0, true, id.value}, kCancelTimeout + kRelayMargin,
+  peers_.ask(*owner, mesh::JobRequest{0, true, id.value}, kCancelTimeout + kRelayMargin,
              [this, id, done = std::move(done)](const mesh::Answer* answer) {
                if (answer && answer->status > 0) return done(relayedAnswer(id, *answer));
                done(Unavailable{"the owner of the job's share does not answer"});
@@ -218,7 +218,7 @@
 
 // --- peers ---
 
-void UserApi::answerPeer(const mesh::JobAsk& request, UserResponder done) {
+void UserApi::answerPeer(const mesh::JobRequest& request, UserResponder done) {
   JobId id{request.job};
   const JobEntry* job = find(id);
   if (job && isOver(*job)) return done(finalState(id, *job));
--- a/src/controller/user_api.h
+++ b/src/controller/user_api.h
@@ -37,7 +37,7 @@
   // Answered once the cancellation, or another end, is committed (invariant 8).
   void cancel(const JobId& id, UserResponder done);
   // A peer asks us as the owner of the job's shard; NotTheOwner says that we can't tell.
-  void answerPeer(const mesh::JobAsk& request, UserResponder done);
+  void answerPeer(const mesh::JobRequest& request, UserResponder done);
 
  private:
   [[nodiscard]] const JobEntry* find(const JobId& id) const;
--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -22,7 +22,7 @@
   Time now() const override { return loop_.now(); }
   WallTime wall() const override { return loop_.wall(); }
   void after(Duration d, std::function<void()> f) override { loop_.after(d, std::move(f)); }
-  void call(const Address& to, HttpRequest r, Duration deadline, HttpDone done) override {
+  void call(const Address& to, HttpRequest r, Duration deadline, HttpCallback done) override {
     client_.call(to, std::move(r), deadline, std::move(done));
   }
   void mesh(std::uint32_t to, const mesh::Frame& f) override { transport_->send(to, f); }
@@ -35,7 +35,7 @@
 };
 
 int listening(const Address& at) {
-  int fd = listenPatiently(at, kListenTries, [] { std::this_thread::sleep_for(kListenAgain); });
+  int fd = listenWithRetries(at, kListenTries, [] { std::this_thread::sleep_for(kListenAgain); });
   if (fd < 0) throw SettingsError("cannot listen on " + at.text() + ": " + std::strerror(errno));
   return fd;
 }
@@ -44,7 +44,7 @@
 
 int runDaemon(const Settings& settings, Log log) {
   Loop loop;
-  auto kept = settings.keptSockets();
+  auto kept = settings.reservedSockets();
   HttpClient client(loop, kIdlePerAddress, kept / 4, kept / 2, {settings.state, settings.cloud});
   LoopRuntime runtime(loop, client);
   std::vector<Address> addresses(settings.size());
--- a/src/kvstore/request_queue.cpp
+++ b/src/kvstore/request_queue.cpp
@@ -18,7 +18,8 @@
 
 }  // namespace
 
-void RequestQueue::push(RequestPriority priority, QueuedRequest request, Duration deadline, HttpDone done) {
+void RequestQueue::push(RequestPriority priority, QueuedRequest request, Duration deadline,
+                        HttpCallback done) {
   auto& queue = queueOf(priority);
   // Users may ask more than can be sent. Failing at once tells them sooner and bounds the memory used.
   if (priority == RequestPriority::User && wouldExpire(queue.size(), deadline))
@@ -75,7 +76,7 @@
 }
 
 // Called from the event loop, as the caller may not be ready for the result within push().
-void RequestQueue::failUnsent(HttpDone done) {
+void RequestQueue::failUnsent(HttpCallback done) {
   ++tally_.expired;
   runtime_.after(Duration{0}, [done = std::move(done)] { done({HttpResult::Outcome::NotSent, {}}); });
 }
--- a/src/kvstore/request_queue.h
+++ b/src/kvstore/request_queue.h
@@ -50,13 +50,13 @@
 
   /// Sends the request when its turn has come. Always ends in one call of `done`, at the latest when
   /// `deadline` is over; with NotSent if it had no turn before that, or could not have one.
-  void push(RequestPriority priority, QueuedRequest request, Duration deadline, HttpDone done);
+  void push(RequestPriority priority, QueuedRequest request, Duration deadline, HttpCallback done);
 
  private:
   struct Waiting {
     QueuedRequest request;
     Time expiresAt;
-    HttpDone done;
+    HttpCallback done;
   };
   using Queue = std::deque<Waiting>;
 
@@ -67,7 +67,7 @@
   [[nodiscard]] bool sendFrom(RequestPriority priority, Time now);
   void send(Waiting next);
   void answered(const HttpResult& result);
-  void failUnsent(HttpDone done);
+  void failUnsent(HttpCallback done);
   void sendLater();
 
   const Settings& settings_;
--- a/src/mesh/messages.h
+++ b/src/mesh/messages.h
@@ -24,25 +24,25 @@
 
 // Sent to every sibling at a steady interval.
 struct PeerHeartbeat {
-  std::uint32_t hears = 0;     // bit per controller heard directly
-  bool serving = false;        // it has loaded what it needs
-  std::int64_t ownsForMs = 0;  // its lease is good for so long
+  std::uint32_t hears = 0;            // bit per controller heard directly
+  bool serving = false;               // it has loaded what it needs
+  std::int64_t leaseRemainingMs = 0;  // its lease is good for so long
   std::vector<OwnedShard> owns;
   // What keep-alive proxies need (cluster/keep_alive_proxy.h), each for the sibling that the heartbeat goes
   // to.
-  std::uint64_t life = 0;           // of the process, later ones higher
-  std::int64_t at = 0;              // when it was sent, by the sender's steady clock
-  std::int64_t echo = 0;            // the at of the last heartbeat from there
-  bool proxy = false;               // the sender may answer workers in its name
-  std::int64_t answeredAgoMs = -1;  // the last time it did, if ever
+  std::uint64_t processIncarnation = 0;    // of the process, later ones higher
+  std::int64_t at = 0;                     // when it was sent, by the sender's steady clock
+  std::int64_t echoedAt = 0;               // the at of the last heartbeat from there
+  bool proxy = false;                      // the sender may answer workers in its name
+  std::int64_t lastProxyAnswerAgoMs = -1;  // the last time it did, if ever
   template <class A>
   void serialize(A& a) {
-    a(hears, serving, ownsForMs, owns, life, at, echo, proxy, answeredAgoMs);
+    a(hears, serving, leaseRemainingMs, owns, processIncarnation, at, echoedAt, proxy, lastProxyAnswerAgoMs);
   }
 };
 
 // A user's question about a job, to the owner of its shard.
-struct JobAsk {
+struct JobRequest {
   std::uint64_t id = 0;
   bool cancel = false;
   std::string job;
@@ -63,7 +63,7 @@
 };
 
 // Asks a sibling to probe a machine, as we can't reach it.
-struct ProbeAsk {
+struct ProbeRequest {
   std::uint64_t id = 0;
   std::string address;
   template <class A>
@@ -124,10 +124,10 @@
 // Work of one kind in a shard; cores unless said otherwise.
 struct Demand {
   double used = 0;
-  double waiting = 0;    // within the teams' limits
-  double arriving = 0;   // cores asked for per second of late
-  double departing = 0;  // cores that tasks done left per second of late
-  double runS = 0;       // how long tasks take, as their owners say
+  double waiting = 0;       // within the teams' limits
+  double arriving = 0;      // cores asked for per second of late
+  double departing = 0;     // cores that tasks done left per second of late
+  double expectedRunS = 0;  // how long tasks take, as their owners say
   double largestTask = 0;
   double largestJob = 0;  // of those that came of late
   double ramPerCore = 0;
@@ -135,7 +135,8 @@
   std::vector<std::string> stuckZones;  // where machines are missing for tasks that may go nowhere else
   template <class A>
   void serialize(A& a) {
-    a(used, waiting, arriving, departing, runS, largestTask, largestJob, ramPerCore, types, stuckZones);
+    a(used, waiting, arriving, departing, expectedRunS, largestTask, largestJob, ramPerCore, types,
+      stuckZones);
   }
 };
 
@@ -233,17 +234,17 @@
   std::uint32_t shard = 0;    // whose machines they are
   std::uint32_t toShard = 0;  // that asked
   std::string job;
-  ZoneTasks room;
+  ZoneTasks zoneCapacity;
   template <class A>
   void serialize(A& a) {
-    a(shard, toShard, job, room);
+    a(shard, toShard, job, zoneCapacity);
   }
 };
 
 // New kinds go to the end: a controller of an earlier version refuses the frames that it does not know.
-using Payload = std::variant<PeerHeartbeat, JobAsk, RelayedHeartbeat, ProbeAsk, Answer, UnrecordedMachineSeen,
-                             ShardLoad, MachineDirective, JobEnded, CapacityRequest, CapacityOffer,
-                             TaskCapacityRequest, TaskCapacityOffer>;
+using Payload = std::variant<PeerHeartbeat, JobRequest, RelayedHeartbeat, ProbeRequest, Answer,
+                             UnrecordedMachineSeen, ShardLoad, MachineDirective, JobEnded, CapacityRequest,
+                             CapacityOffer, TaskCapacityRequest, TaskCapacityOffer>;
 
 struct Frame {
   std::uint32_t from = 0;
--- a/src/net/client.cpp
+++ b/src/net/client.cpp
@@ -18,7 +18,7 @@
   return nullptr;
 }
 
-void HttpClient::call(const Address& to, HttpRequest request, Duration deadline, HttpDone done) {
+void HttpClient::call(const Address& to, HttpRequest request, Duration deadline, HttpCallback done) {
   if (calls_.size() >= maxCalls_ && vital_.count(to) == 0)
     return loop_.after(Duration{0}, [done = std::move(done)] { done({HttpResult::Outcome::NotSent, {}}); });
   auto call = std::make_shared<Call>();
--- a/src/net/client.h
+++ b/src/net/client.h
@@ -21,7 +21,7 @@
   HttpResponse response;
   bool answered(int status) const { return outcome == Outcome::Answered && response.status == status; }
 };
-using HttpDone = std::function<void(HttpResult)>;
+using HttpCallback = std::function<void(HttpResult)>;
 
 class HttpClient {
  public:
@@ -35,7 +35,7 @@
         maxCalls_(maxCalls),
         vital_(std::move(vital)) {}
   ~HttpClient();
-  void call(const Address& to, HttpRequest request, Duration deadline, HttpDone done);
+  void call(const Address& to, HttpRequest request, Duration deadline, HttpCallback done);
 
  private:
   struct Kept {
@@ -46,7 +46,7 @@
     Address to;
     std::shared_ptr<Stream> stream;
     HttpParser parser{HttpParser::Kind::Response, std::size_t{16} * 1024 * 1024};
-    HttpDone done;
+    HttpCallback done;
   };
   using CallPtr = std::shared_ptr<Call>;
 
--- a/src/net/server.h
+++ b/src/net/server.h
@@ -25,9 +25,9 @@
   HttpServer(Loop& loop, Log log, int listenFd, std::size_t maxConnections, Handler handler,
              IsWorker isWorker);
   std::size_t connections() const { return count_; }
-  // Connections that were walked to make room or to sweep, for the tests: a matter of what goes, not of what
-  // is there.
-  std::uint64_t walked() const { return walked_; }
+  // Connections that were connectionsScanned to make room or to sweep, for the tests: a matter of what goes,
+  // not of what is there.
+  std::uint64_t connectionsScanned() const { return walked_; }
 
  private:
   // In the order in which they give way when room is needed.
--- a/src/net/tcp.cpp
+++ b/src/net/tcp.cpp
@@ -41,7 +41,7 @@
   return -1;
 }
 
-int listenPatiently(const Address& at, unsigned tries, const std::function<void()>& pause) {
+int listenWithRetries(const Address& at, unsigned tries, const std::function<void()>& pause) {
   for (;;) {
     int fd = listenOn(at);
     if (fd >= 0 || errno != EADDRINUSE || --tries == 0) return fd;
--- a/src/net/tcp.h
+++ b/src/net/tcp.h
@@ -14,7 +14,7 @@
 int listenOn(const Address& at);
 // The same, but an address that is in use is tried again: another process's outgoing connection may have been
 // given our port for its own, or a former process of ours may not be gone yet.
-int listenPatiently(const Address& at, unsigned tries, const std::function<void()>& pause);
+int listenWithRetries(const Address& at, unsigned tries, const std::function<void()>& pause);
 // A socket that is connecting, or -1.
 int connectTo(const Address& to);
 // The pending error of a socket, 0 for none.
--- a/src/runtime/runtime.h
+++ b/src/runtime/runtime.h
@@ -15,7 +15,7 @@
   virtual WallTime wall() const = 0;
   virtual void after(Duration d, std::function<void()> f) = 0;
   // Always ends in one call of done, at the latest when the deadline is over.
-  virtual void call(const Address& to, HttpRequest request, Duration deadline, HttpDone done) = 0;
+  virtual void call(const Address& to, HttpRequest request, Duration deadline, HttpCallback done) = 0;
   // To a neighbour; may be lost.
   virtual void mesh(std::uint32_t to, const mesh::Frame& f) = 0;
   // The connection for what we say to that neighbour seems stuck: start over.
--- a/src/scheduler/commands.cpp
+++ b/src/scheduler/commands.cpp
@@ -62,7 +62,7 @@
 }
 
 Duration ShardScheduler::maxCheckpointTime(const Job& job) const {
-  double waitForPeers = job.isGang() ? settings_.gangPeerS : 0;
+  double waitForPeers = job.isGang() ? settings_.gangPeerTimeoutS : 0;
   return seconds(2 * job.spec->checkpointSeconds + kCheckpointSlackSeconds + waitForPeers);
 }
 
@@ -180,7 +180,7 @@
 }
 
 std::size_t ShardScheduler::maxDirectCommandsInFlight() const {
-  return std::max(settings_.keptSockets() / kKeptSocketsPerCommand / settings_.size(),
+  return std::max(settings_.reservedSockets() / kKeptSocketsPerCommand / settings_.size(),
                   kMinDirectCommandsInFlight);
 }
 
--- a/src/scheduler/eviction_planner.cpp
+++ b/src/scheduler/eviction_planner.cpp
@@ -164,8 +164,9 @@
                                               const JobSpec& victim) const {
   const auto& spec = *pending.job->spec;
   auto startWithin = settings_.startWithin(spec.jobClass);
-  if (pending.orderKey.withinGuarantee && settings_.guaranteeWithinS)
-    startWithin = std::min(startWithin.value_or(*settings_.guaranteeWithinS), *settings_.guaranteeWithinS);
+  if (pending.orderKey.withinGuarantee && settings_.guaranteeStartWithinS)
+    startWithin =
+        std::min(startWithin.value_or(*settings_.guaranteeStartWithinS), *settings_.guaranteeStartWithinS);
   if (!startWithin) return true;
   bool isHolder = pending.job->holders->count(machine.no) > 0;
   double fetchSeconds = isHolder ? 0 : machine.fetchS(spec);
--- a/src/scheduler/heartbeats.cpp
+++ b/src/scheduler/heartbeats.cpp
@@ -88,7 +88,7 @@
 // What the former owner cancelled may be unknown to us, for so long only (invariant 16).
 ShardScheduler::HeartbeatAnswer ShardScheduler::answerWhileLoading(
     const wire::WorkerHeartbeat& heartbeat) const {
-  if (runtime_.now() >= store_.currentAsOf(keys::kJobs) + settings_.blindFor())
+  if (runtime_.now() >= store_.currentAsOf(keys::kJobs) + settings_.maxCancellationStaleness())
     return {kHttpUnavailable, R"({"error":"the share is not loaded"})"};
   auto known = view_.machines.find(heartbeat.machine);
   if (known == view_.machines.end()) return {kHttpUnavailable, R"({"error":"unknown machine"})"};
@@ -98,7 +98,7 @@
 }
 
 Duration ShardScheduler::leaseAfterAnswer() const {
-  return seconds(settings_.leaseS * kLeaseClockDrift + kLeaseMarginSeconds);
+  return seconds(settings_.workerLeaseS * kLeaseClockDrift + kLeaseMarginSeconds);
 }
 
 // --- reconciliation ---
--- a/src/scheduler/job_migration.cpp
+++ b/src/scheduler/job_migration.cpp
@@ -15,7 +15,7 @@
       state_(state),
       ownShard_(ownShard),
       log_(std::move(log)),
-      remoteUsage_(state, seconds(settings.cancelS)) {}
+      remoteUsage_(state, seconds(settings.cancelDeadlineS)) {}
 
 void JobMigration::countAfterTakeover() {
   for (const auto& [id, entry] : view_.jobs) {
--- a/src/scheduler/liveness.cpp
+++ b/src/scheduler/liveness.cpp
@@ -31,7 +31,9 @@
   return runtime_.now() - std::max(machine.lastHeard, resumed_);
 }
 
-Duration ShardScheduler::reportDue() const { return seconds(settings_.reportS * kOverdueAfterHeartbeats); }
+Duration ShardScheduler::reportDue() const {
+  return seconds(settings_.heartbeatIntervalS * kOverdueAfterHeartbeats);
+}
 
 bool ShardScheduler::heartbeatOverdue(const Machine& machine) const {
   return timeSinceHeartbeat(machine) > reportDue() + kOverdueMargin;
@@ -43,7 +45,7 @@
   bool silent = now > machine.aliveUntil && (machine.heard || !machine.placements.empty());
   if (silent && now > callbacks_.answeredElsewhere() + leaseAfterAnswer()) expireLease(machine);
   if (!machine.cordoned &&
-      timeSinceHeartbeat(machine) > seconds(settings_.reportS * kCordonAfterHeartbeats)) {
+      timeSinceHeartbeat(machine) > seconds(settings_.heartbeatIntervalS * kCordonAfterHeartbeats)) {
     machine.cordoned = true;
     state_.reindex(machine);
   }
@@ -75,7 +77,8 @@
 bool ShardScheduler::tokenUnacknowledgedTooLong(const Machine& machine, Time now) const {
   if (!machine.tokenUnacknowledgedSince) return false;
   auto unacknowledgedFor = now - std::max(*machine.tokenUnacknowledgedSince, resumed_);
-  return unacknowledgedFor > seconds(settings_.reportS * kUnacknowledgedHeartbeats) + kUnacknowledgedMargin;
+  return unacknowledgedFor >
+         seconds(settings_.heartbeatIntervalS * kUnacknowledgedHeartbeats) + kUnacknowledgedMargin;
 }
 
 void ShardScheduler::returnSuspected(Time now) {
--- a/src/scheduler/load_reporter.cpp
+++ b/src/scheduler/load_reporter.cpp
@@ -74,7 +74,7 @@
 }
 
 void LoadReporter::UnfinishedWork::describe(mesh::Demand& demand) const {
-  if (cores > 0) demand.runS = coreSeconds / cores;
+  if (cores > 0) demand.expectedRunS = coreSeconds / cores;
 }
 
 void LoadReporter::addJobs(mesh::ShardLoad& load, Time now) const {
--- a/src/scheduler/shard_scheduler.cpp
+++ b/src/scheduler/shard_scheduler.cpp
@@ -24,7 +24,7 @@
       callbacks_(std::move(out)),
       state_(settings),
       recovery_(runtime, log_, store, view, takeover, state_),
-      failures_(seconds(settings.reportS)),
+      failures_(seconds(settings.heartbeatIntervalS)),
       jobMigration_(settings, view, state_, takeover.shard, log_),
       taskDelegation_(
           settings, view, state_, takeover.shard,
--- a/src/scheduler/task_delegation_delegate.cpp
+++ b/src/scheduler/task_delegation_delegate.cpp
@@ -24,9 +24,9 @@
     for (const auto& [zone, tasks] : need.zones) {
       probe.delegation = Delegation{takeover_.shard, zoneFromMessage(zone), {}};
       auto capacity = std::min({capacityFor(probe), tasks, need.tasks});
-      if (capacity > offer.room.tasks) offer.room = {zone, capacity};
+      if (capacity > offer.zoneCapacity.tasks) offer.zoneCapacity = {zone, capacity};
     }
-    if (offer.room.tasks == 0) continue;
+    if (offer.zoneCapacity.tasks == 0) continue;
     taskCapacityOfferedAt_ = runtime_.now();
     callbacks_.offerTaskCapacity(offer);
     return;
@@ -100,7 +100,8 @@
 // A cancellation of a delegated job is confirmed by its owner, and we see it in the watch cache (invariant
 // 16).
 bool ShardScheduler::mayNotKnowCancellations(Time now) const {
-  return !delegatedTasks_.none() && now >= store_.currentAsOf(keys::kJobs) + settings_.blindFor();
+  return !delegatedTasks_.none() &&
+         now >= store_.currentAsOf(keys::kJobs) + settings_.maxCancellationStaleness();
 }
 
 }  // namespace cherryloft
--- a/src/scheduler/task_delegation_owner.cpp
+++ b/src/scheduler/task_delegation_owner.cpp
@@ -56,9 +56,9 @@
 
 void ShardScheduler::handleTaskCapacityOffer(const mesh::TaskCapacityOffer& offer) {
   JobId id{offer.job};
-  if (!loaded_ || !owns() || !state_.job(id) || offer.room.tasks == 0) return;
-  taskOffers_.add(id,
-                  {ShardId{offer.shard}, zoneFromMessage(offer.room.zone), offer.room.tasks, runtime_.now()});
+  if (!loaded_ || !owns() || !state_.job(id) || offer.zoneCapacity.tasks == 0) return;
+  taskOffers_.add(id, {ShardId{offer.shard}, zoneFromMessage(offer.zoneCapacity.zone),
+                       offer.zoneCapacity.tasks, runtime_.now()});
 }
 
 // Gives tasks to the shards that offered capacity, the largest offer first. A gang goes only if all of it
--- a/src/wire/cloud.cpp
+++ b/src/wire/cloud.cpp
@@ -8,20 +8,20 @@
   auto doc = parse(body);
   if (!doc || !doc->is_object() || !doc->contains("flavours")) return std::nullopt;
   Catalog catalog;
-  for (const auto& entry : listAt(*doc, "flavours")) {
-    auto name = textAt(entry, "sku");
-    auto cores = numberAt(entry, "cores");
-    auto ram = numberAt(entry, "ram_gb");
+  for (const auto& entry : arrayField(*doc, "flavours")) {
+    auto name = stringField(entry, "sku");
+    auto cores = numberField(entry, "cores");
+    auto ram = numberField(entry, "ram_gb");
     if (!name || !cores || !ram) return std::nullopt;
     MachineType type{*name,
-                     {*cores, numberAt(entry, "gpus").value_or(0), *ram},
-                     numberAt(entry, "cache_gb").value_or(0),
-                     numberAt(entry, "fetch_gb_per_s").value_or(0),
-                     numberAt(entry, "price").value_or(0),
-                     numberAt(entry, "market_price").value_or(0),
-                     numberAt(entry, "startup_s").value_or(0),
+                     {*cores, numberField(entry, "gpus").value_or(0), *ram},
+                     numberField(entry, "cache_gb").value_or(0),
+                     numberField(entry, "fetch_gb_per_s").value_or(0),
+                     numberField(entry, "price").value_or(0),
+                     numberField(entry, "market_price").value_or(0),
+                     numberField(entry, "startup_s").value_or(0),
                      {}};
-    for (const auto& zone : listAt(entry, "sites"))
+    for (const auto& zone : arrayField(entry, "sites"))
       if (zone.is_string()) type.zones.push_back(Zone{zone.get<std::string>()});
     catalog.push_back(std::move(type));
   }
@@ -56,7 +56,7 @@
                    {"count", request.count}});
 }
 
-std::string encodeReturn(const std::vector<MachineId>& machines) {
+std::string encodeReturnRequest(const std::vector<MachineId>& machines) {
   Json list = Json::array();
   for (const auto& machine : machines) list.push_back(machine.value);
   return dump(Json{{"hosts", std::move(list)}});
@@ -66,7 +66,7 @@
   auto doc = parse(body);
   if (!doc || !doc->is_object() || !doc->contains("hosts")) return std::nullopt;
   std::vector<MachineId> machines;
-  for (const auto& machine : listAt(*doc, "hosts"))
+  for (const auto& machine : arrayField(*doc, "hosts"))
     if (machine.is_string()) machines.push_back(MachineId{machine.get<std::string>()});
   return machines;
 }
@@ -75,19 +75,19 @@
   auto doc = parse(body);
   if (!doc || !doc->is_object() || !doc->contains("hosts")) return std::nullopt;
   MachinePage page;
-  for (const auto& entry : listAt(*doc, "hosts")) {
-    auto id = textAt(entry, "name_id");
-    auto state = textAt(entry, "status");
+  for (const auto& entry : arrayField(*doc, "hosts")) {
+    auto id = stringField(entry, "name_id");
+    auto state = stringField(entry, "status");
     if (!id || !state) return std::nullopt;
-    page.machines.push_back({MachineId{*id}, textAt(entry, "addr").value_or(""),
-                             textAt(entry, "flavour").value_or(""), Zone{textAt(entry, "site").value_or("")},
-                             flagAt(entry, "lendable").value_or(false),
-                             *state == "failed"    ? ListedMachine::State::Failed
-                             : *state == "running" ? ListedMachine::State::Running
-                                                   : ListedMachine::State::Starting,
-                             numberAt(entry, "held_s").value_or(0)});
+    page.machines.push_back(
+        {MachineId{*id}, stringField(entry, "addr").value_or(""), stringField(entry, "flavour").value_or(""),
+         Zone{stringField(entry, "site").value_or("")}, boolField(entry, "lendable").value_or(false),
+         *state == "failed"    ? ListedMachine::State::Failed
+         : *state == "running" ? ListedMachine::State::Running
+                               : ListedMachine::State::Starting,
+         numberField(entry, "held_s").value_or(0)});
   }
-  page.truncated = flagAt(*doc, "truncated").value_or(false);
+  page.truncated = boolField(*doc, "truncated").value_or(false);
   return page;
 }
 
--- a/src/wire/cloud.h
+++ b/src/wire/cloud.h
@@ -22,7 +22,7 @@
   unsigned count = 1;
 };
 std::string encodeProvisionRequest(const ProvisionRequest& request);
-std::string encodeReturn(const std::vector<MachineId>& machines);
+std::string encodeReturnRequest(const std::vector<MachineId>& machines);
 // The names in the answer to a provision request.
 std::optional<std::vector<MachineId>> parseProvisioned(const std::string& body);
 
--- a/src/wire/json.cpp
+++ b/src/wire/json.cpp
@@ -43,13 +43,13 @@
   return json;
 }
 
-std::optional<std::string> textAt(const Json& object, const char* name) {
+std::optional<std::string> stringField(const Json& object, const char* name) {
   const Json* value = at(object, name);
   if (!value || !value->is_string()) return std::nullopt;
   return value->get<std::string>();
 }
 
-std::optional<double> numberAt(const Json& object, const char* name) {
+std::optional<double> numberField(const Json& object, const char* name) {
   const Json* value = at(object, name);
   if (!value || !value->is_number()) return std::nullopt;
   double number = value->get<double>();
@@ -57,7 +57,7 @@
   return number;
 }
 
-std::optional<std::uint64_t> countAt(const Json& object, const char* name) {
+std::optional<std::uint64_t> unsignedField(const Json& object, const char* name) {
   const Json* value = at(object, name);
   if (!value) return std::nullopt;
   if (value->is_number_unsigned()) return value->get<std::uint64_t>();
@@ -65,13 +65,13 @@
   return std::nullopt;
 }
 
-std::optional<bool> flagAt(const Json& object, const char* name) {
+std::optional<bool> boolField(const Json& object, const char* name) {
   const Json* value = at(object, name);
   if (!value || !value->is_boolean()) return std::nullopt;
   return value->get<bool>();
 }
 
-const Json& listAt(const Json& object, const char* name) {
+const Json& arrayField(const Json& object, const char* name) {
   static const Json empty = Json::array();
   const Json* value = at(object, name);
   return value && value->is_array() ? *value : empty;
--- a/src/wire/json.h
+++ b/src/wire/json.h
@@ -13,12 +13,12 @@
 std::optional<Json> parse(const std::string& text);
 
 // Members by name; nothing when absent, null or of another kind.
-std::optional<std::string> textAt(const Json& object, const char* name);
-std::optional<double> numberAt(const Json& object, const char* name);
-std::optional<std::uint64_t> countAt(const Json& object, const char* name);
-std::optional<bool> flagAt(const Json& object, const char* name);
+std::optional<std::string> stringField(const Json& object, const char* name);
+std::optional<double> numberField(const Json& object, const char* name);
+std::optional<std::uint64_t> unsignedField(const Json& object, const char* name);
+std::optional<bool> boolField(const Json& object, const char* name);
 // The list by that name, or an empty one.
-const Json& listAt(const Json& object, const char* name);
+const Json& arrayField(const Json& object, const char* name);
 
 std::string dump(const Json& json);
 
--- a/src/wire/kvstore.cpp
+++ b/src/wire/kvstore.cpp
@@ -35,24 +35,24 @@
 }
 
 std::optional<Version> revisionOf(const Json& document) {
-  auto revision = countAt(document, "ledger_rev");
+  auto revision = unsignedField(document, "ledger_rev");
   if (!revision) return std::nullopt;
   return Version{*revision};
 }
 
 // A key with its value.
 std::optional<KeyChange> entryOf(const Json& entry) {
-  auto key = textAt(entry, "path");
-  auto version = countAt(entry, "stamp");
+  auto key = stringField(entry, "path");
+  auto version = unsignedField(entry, "stamp");
   if (!key || !version || !entry.contains("value")) return std::nullopt;
   return KeyChange{*key, dump(entry.at("value")), Version{*version}};
 }
 
 // A write or a deletion of a key.
 std::optional<KeyChange> changeOf(const Json& change) {
-  auto version = countAt(change, "stamp");
-  auto written = textAt(change, "write");
-  auto deleted = textAt(change, "drop");
+  auto version = unsignedField(change, "stamp");
+  auto written = stringField(change, "write");
+  auto deleted = stringField(change, "drop");
   if (!version) return std::nullopt;
   if (written) {
     if (!change.contains("value")) return std::nullopt;
@@ -88,8 +88,8 @@
   auto document = parse(body);
   auto revision = document ? revisionOf(*document) : std::nullopt;
   if (!revision) return std::nullopt;
-  KeyPage page{{}, flagAt(*document, "truncated").value_or(false), *revision};
-  for (const auto& item : listAt(*document, "entries")) {
+  KeyPage page{{}, boolField(*document, "truncated").value_or(false), *revision};
+  for (const auto& item : arrayField(*document, "entries")) {
     auto entry = entryOf(item);
     if (!entry) return std::nullopt;
     page.entries.push_back(std::move(*entry));
@@ -102,7 +102,7 @@
   auto revision = document ? revisionOf(*document) : std::nullopt;
   if (!revision) return std::nullopt;
   KeyPage page{{}, false, *revision};
-  for (const auto& item : listAt(*document, "news")) {
+  for (const auto& item : arrayField(*document, "news")) {
     auto change = changeOf(item);
     if (!change) return std::nullopt;
     page.entries.push_back(std::move(*change));
@@ -119,14 +119,14 @@
   std::vector<std::string> keys;
   auto document = parse(body);
   if (!document) return keys;
-  for (const auto& key : listAt(*document, "failed"))
+  for (const auto& key : arrayField(*document, "failed"))
     if (key.is_string()) keys.push_back(key.get<std::string>());
   return keys;
 }
 
 std::optional<LeaseId> parseLeaseId(const std::string& body) {
   auto document = parse(body);
-  auto lease = document ? countAt(*document, "tenancy") : std::nullopt;
+  auto lease = document ? unsignedField(*document, "tenancy") : std::nullopt;
   if (!lease) return std::nullopt;
   return LeaseId{*lease};
 }
--- a/src/wire/records.cpp
+++ b/src/wire/records.cpp
@@ -13,7 +13,7 @@
 
 std::optional<Json> parseLayout(const std::string& value) {
   auto document = parse(value);
-  if (!document || countAt(*document, "v") != kLayout) return std::nullopt;
+  if (!document || unsignedField(*document, "v") != kLayout) return std::nullopt;
   return document;
 }
 
@@ -57,13 +57,13 @@
 }
 
 std::optional<Delegation> parseDelegation(const Json& json) {
-  auto shard = countAt(json, "sh");
-  auto tasks = parseRanges(listAt(json, "t"));
+  auto shard = unsignedField(json, "sh");
+  auto tasks = parseRanges(arrayField(json, "t"));
   if (!shard || !tasks) return std::nullopt;
   Delegation delegation{ShardId{static_cast<std::uint32_t>(*shard)}, std::nullopt, std::move(*tasks)};
-  if (auto zone = textAt(json, "zo")) delegation.zone = Zone{*zone};
-  if (auto attempt = countAt(json, "try")) delegation.attempt = Attempt{*attempt};
-  delegation.recalled = flagAt(json, "back").value_or(false);
+  if (auto zone = stringField(json, "zo")) delegation.zone = Zone{*zone};
+  if (auto attempt = unsignedField(json, "try")) delegation.attempt = Attempt{*attempt};
+  delegation.recalled = boolField(json, "back").value_or(false);
   return delegation;
 }
 
@@ -102,29 +102,29 @@
 }
 
 std::optional<JobSpec> parseSpec(const JobId& id, std::uint32_t tasks, const Json& json) {
-  auto each = parseResources(listAt(json, "each"));
-  auto priority = enumeratorOf(countAt(json, "rank"), PriorityClass::Production);
-  auto kind = enumeratorOf(countAt(json, "shape"), JobKind::Gang);
+  auto each = parseResources(arrayField(json, "each"));
+  auto priority = enumeratorOf(unsignedField(json, "rank"), PriorityClass::Production);
+  auto kind = enumeratorOf(unsignedField(json, "shape"), JobKind::Gang);
   if (!each || !priority || !kind) return std::nullopt;
   JobSpec spec;
   spec.id = id;
-  spec.jobClass = textAt(json, "class").value_or("");
-  spec.team = TeamId{textAt(json, "team").value_or("")};
+  spec.jobClass = stringField(json, "class").value_or("");
+  spec.team = TeamId{stringField(json, "team").value_or("")};
   spec.kind = *kind;
   spec.priority = *priority;
   spec.tasks = tasks;
   spec.each = *each;
-  spec.image = ImageId{textAt(json, "image").value_or("")};
-  spec.imageGb = numberAt(json, "gb").value_or(0);
-  spec.oneZone = flagAt(json, "onezone").value_or(false);
-  spec.spread = flagAt(json, "spread").value_or(false);
-  spec.spotAllowed = flagAt(json, "lend").value_or(false);
-  spec.expectedRunSeconds = numberAt(json, "expect").value_or(0);
-  spec.checkpointIntervalSeconds = numberAt(json, "every").value_or(0);
-  spec.checkpointSeconds = numberAt(json, "save").value_or(0);
-  if (json.contains("types")) spec.types = parseNames(listAt(json, "types"));
-  if (auto zone = textAt(json, "zone")) spec.zone = Zone{*zone};
-  spec.deadlineSeconds = numberAt(json, "due");
+  spec.image = ImageId{stringField(json, "image").value_or("")};
+  spec.imageGb = numberField(json, "gb").value_or(0);
+  spec.oneZone = boolField(json, "onezone").value_or(false);
+  spec.spread = boolField(json, "spread").value_or(false);
+  spec.spotAllowed = boolField(json, "lend").value_or(false);
+  spec.expectedRunSeconds = numberField(json, "expect").value_or(0);
+  spec.checkpointIntervalSeconds = numberField(json, "every").value_or(0);
+  spec.checkpointSeconds = numberField(json, "save").value_or(0);
+  if (json.contains("types")) spec.types = parseNames(arrayField(json, "types"));
+  if (auto zone = stringField(json, "zone")) spec.zone = Zone{*zone};
+  spec.deadlineSeconds = numberField(json, "due");
   return spec;
 }
 
@@ -166,18 +166,18 @@
 std::optional<JobRecord> parseJobRecord(const JobId& id, const std::string& value) {
   auto document = parse(value);
   if (!document) return std::nullopt;
-  auto status = enumeratorOf(countAt(*document, "st"), JobStatus::Cancelled);
-  auto shard = countAt(*document, "sh");
-  auto tasks = countAt(*document, "n");
-  auto doneRemotely = parseRanges(listAt(*document, "done"));
+  auto status = enumeratorOf(unsignedField(*document, "st"), JobStatus::Cancelled);
+  auto shard = unsignedField(*document, "sh");
+  auto tasks = unsignedField(*document, "n");
+  auto doneRemotely = parseRanges(arrayField(*document, "done"));
   if (!status || !shard || !tasks || !doneRemotely) return std::nullopt;
   JobRecord record;
   record.status = *status;
   record.shard = ShardId{static_cast<std::uint32_t>(*shard)};
   record.tasks = static_cast<std::uint32_t>(*tasks);
   record.doneRemotely = std::move(*doneRemotely);
-  if (auto most = countAt(*document, "most")) record.maxConcurrent = static_cast<std::uint32_t>(*most);
-  for (const auto& part : listAt(*document, "parts")) {
+  if (auto most = unsignedField(*document, "most")) record.maxConcurrent = static_cast<std::uint32_t>(*most);
+  for (const auto& part : arrayField(*document, "parts")) {
     // One that can't be read must not be taken for none: its tasks would be placed twice.
     auto delegation = parseDelegation(part);
     if (!delegation) return std::nullopt;
@@ -186,7 +186,7 @@
   // A cancelled job keeps its description: what it takes counts until its last task is known to be gone.
   bool hasSpec = document->contains("spec");
   if (record.status != JobStatus::Open && !hasSpec) return record;
-  auto submitted = countAt(*document, "at");
+  auto submitted = unsignedField(*document, "at");
   if (!submitted || !hasSpec) return std::nullopt;
   record.submitted = WallTime{static_cast<std::int64_t>(*submitted)};
   record.spec = parseSpec(id, record.tasks, document->at("spec"));
@@ -219,10 +219,10 @@
 }
 
 std::optional<JobPlacements> parsePlacements(const Json& json) {
-  auto done = parseRanges(listAt(json, "d"));
+  auto done = parseRanges(arrayField(json, "d"));
   if (!done) return std::nullopt;
   JobPlacements placements{std::move(*done), {}};
-  for (const auto& item : listAt(json, "p")) {
+  for (const auto& item : arrayField(json, "p")) {
     auto entry = parsePlacement(item);
     if (!entry) return std::nullopt;
     placements.placed.push_back(std::move(*entry));
@@ -289,17 +289,17 @@
 std::optional<GroupRecord> parseGroup(const std::string& value) {
   auto document = parseLayout(value);
   if (!document) return std::nullopt;
-  auto shard = countAt(*document, "sh");
-  auto token = countAt(*document, "tk");
+  auto shard = unsignedField(*document, "sh");
+  auto token = unsignedField(*document, "tk");
   if (!shard || !token) return std::nullopt;
   GroupRecord record{ShardId{static_cast<std::uint32_t>(*shard)},
                      Epoch{*token},
-                     textAt(*document, "ty").value_or(""),
-                     Zone{textAt(*document, "zo").value_or("")},
-                     flagAt(*document, "sp").value_or(false),
-                     WallTime{static_cast<std::int64_t>(countAt(*document, "at").value_or(0))},
+                     stringField(*document, "ty").value_or(""),
+                     Zone{stringField(*document, "zo").value_or("")},
+                     boolField(*document, "sp").value_or(false),
+                     WallTime{static_cast<std::int64_t>(unsignedField(*document, "at").value_or(0))},
                      {}};
-  for (const auto& item : listAt(*document, "m")) {
+  for (const auto& item : arrayField(*document, "m")) {
     auto member = parseMember(item);
     if (!member) return std::nullopt;
     record.members.push_back(std::move(*member));
@@ -321,8 +321,8 @@
 
 std::optional<OwnerRecord> parseOwnerRecord(const std::string& value) {
   auto document = parse(value);
-  auto owner = document ? textAt(*document, "own") : std::nullopt;
-  auto epoch = document ? countAt(*document, "ep") : std::nullopt;
+  auto owner = document ? stringField(*document, "own") : std::nullopt;
+  auto epoch = document ? unsignedField(*document, "ep") : std::nullopt;
   if (!owner || !epoch) return std::nullopt;
   return OwnerRecord{ControllerId{*owner}, Epoch{*epoch}};
 }
@@ -331,7 +331,7 @@
 
 std::optional<Epoch> parseEpochCounter(const std::string& value) {
   auto document = parse(value);
-  auto number = document ? countAt(*document, "n") : std::nullopt;
+  auto number = document ? unsignedField(*document, "n") : std::nullopt;
   if (!number) return std::nullopt;
   return Epoch{*number};
 }
--- a/src/wire/users.cpp
+++ b/src/wire/users.cpp
@@ -22,17 +22,17 @@
   explicit Fields(const Json& object) : object_(object) {}
 
   std::string name(const char* field, bool mayBeEmpty = false) {
-    auto value = textAt(object_, field);
+    auto value = stringField(object_, field);
     if (!value || (value->empty() && !mayBeEmpty) || value->size() > kMaxName) wrong(field);
     return value.value_or("");
   }
   double amount(const char* field, double low) {
-    auto value = numberAt(object_, field);
+    auto value = numberField(object_, field);
     if (!value || *value < low || *value > kMaxAmount) wrong(field);
     return value.value_or(0);
   }
   bool flag(const char* field) {
-    auto value = flagAt(object_, field);
+    auto value = boolField(object_, field);
     if (!value) wrong(field);
     return value.value_or(false);
   }
@@ -62,7 +62,7 @@
   if (!doc->is_object()) return Malformed{"not an object", {}};
   Fields fields(*doc);
   JobSpec job;
-  auto id = textAt(*doc, "name_id");
+  auto id = stringField(*doc, "name_id");
   if (!id || !isJobId(*id)) return Malformed{"field 'name_id' is missing or invalid", {}};
   job.id = JobId{*id};
   job.jobClass = fields.name("jobclass");
@@ -85,7 +85,7 @@
     job.priority = PriorityClass::BestEffort;
   else
     fields.wrong("rank");
-  auto tasks = countAt(*doc, "pieces");
+  auto tasks = unsignedField(*doc, "pieces");
   if (!tasks || *tasks < 1 || *tasks > kMaxTasks) fields.wrong("pieces");
   job.tasks = static_cast<std::uint32_t>(std::min<std::uint64_t>(tasks.value_or(1), kMaxTasks));
   job.each = {fields.amount("cores", 0), fields.amount("gpus", 0), fields.amount("ram_gb", 0)};
@@ -95,7 +95,7 @@
   if (!fields.absent("flavours")) {
     if (!doc->at("flavours").is_array()) fields.wrong("flavours");
     job.types.emplace();
-    for (const auto& type : listAt(*doc, "flavours")) {
+    for (const auto& type : arrayField(*doc, "flavours")) {
       if (type.is_string())
         job.types->push_back(type.get<std::string>());
       else
@@ -114,7 +114,7 @@
   return job;
 }
 
-std::string encodeJob(const JobId& id, const JobView& view) {
+std::string encodeJobStatus(const JobId& id, const JobView& view) {
   const char* status = view.status == JobStatus::Done        ? "done"
                        : view.status == JobStatus::Cancelled ? "aborted"
                        : view.running > 0                    ? "running"
@@ -123,7 +123,7 @@
       Json{{"name_id", id.value}, {"status", status}, {"done", view.done}, {"running", view.running}});
 }
 
-std::optional<JobStatus> parseEnd(const std::string& body) {
+std::optional<JobStatus> parseFinalStatus(const std::string& body) {
   auto doc = Json::parse(body, nullptr, false);
   auto status = doc.is_object() ? doc.value("status", std::string()) : "";
   if (status == "done") return JobStatus::Done;
--- a/src/wire/users.h
+++ b/src/wire/users.h
@@ -28,9 +28,9 @@
   std::uint32_t running = 0;
 };
 // The body that both submissions and polls answer with.
-std::string encodeJob(const JobId& id, const JobView& view);
+std::string encodeJobStatus(const JobId& id, const JobView& view);
 // Whether such a body tells that the job is over, and how it ended.
-std::optional<JobStatus> parseEnd(const std::string& body);
+std::optional<JobStatus> parseFinalStatus(const std::string& body);
 
 // An answer with that status and a body that says why; `retryAfterS` seconds, 0 for no such header.
 HttpResponse userError(int status, const std::string& why, int retryAfterS = 0);
--- a/src/wire/workers.cpp
+++ b/src/wire/workers.cpp
@@ -8,9 +8,9 @@
 namespace {
 
 std::optional<ReportedTask> parseReported(const Json& entry) {
-  auto task = textAt(entry, "piece");
-  auto attempt = countAt(entry, "try");
-  auto phase = textAt(entry, "status");
+  auto task = stringField(entry, "piece");
+  auto attempt = unsignedField(entry, "try");
+  auto phase = stringField(entry, "status");
   auto id = task ? parseTask(*task) : std::nullopt;
   if (!id || !attempt || !phase) return std::nullopt;
   ReportedTask reported{*id, Attempt{*attempt}, TaskPhase::Fetching, ExitCause::Unknown};
@@ -22,7 +22,7 @@
     reported.phase = TaskPhase::Saving;
   } else if (*phase == "ended") {
     reported.phase = TaskPhase::Exited;
-    auto cause = textAt(entry, "exit_cause").value_or("");
+    auto cause = stringField(entry, "exit_cause").value_or("");
     reported.cause = cause == "done"                        ? ExitCause::Done
                      : cause == "halted"                    ? ExitCause::Stopped
                      : cause == "no_room"                   ? ExitCause::NoRoom
@@ -74,22 +74,22 @@
 std::optional<WorkerHeartbeat> parseHeartbeat(const std::string& body) {
   auto doc = parse(body);
   if (!doc) return std::nullopt;
-  auto machine = textAt(*doc, "host");
-  auto incarnation = countAt(*doc, "tenure");
-  auto sequence = countAt(*doc, "serial");
-  auto token = countAt(*doc, "epoch");
+  auto machine = stringField(*doc, "host");
+  auto incarnation = unsignedField(*doc, "tenure");
+  auto sequence = unsignedField(*doc, "serial");
+  auto token = unsignedField(*doc, "epoch");
   if (!machine || machine->empty() || !incarnation || !sequence || !token) return std::nullopt;
   WorkerHeartbeat heartbeat{MachineId{*machine},
-                            textAt(*doc, "addr").value_or(""),
-                            textAt(*doc, "flavour").value_or(""),
-                            Zone{textAt(*doc, "site").value_or("")},
-                            flagAt(*doc, "lendable").value_or(false),
+                            stringField(*doc, "addr").value_or(""),
+                            stringField(*doc, "flavour").value_or(""),
+                            Zone{stringField(*doc, "site").value_or("")},
+                            boolField(*doc, "lendable").value_or(false),
                             Incarnation{*incarnation},
                             SequenceNumber{*sequence},
                             FencingToken{*token},
-                            numberAt(*doc, "reclaim_in_s"),
+                            numberField(*doc, "reclaim_in_s"),
                             {}};
-  for (const auto& entry : listAt(*doc, "pieces")) {
+  for (const auto& entry : arrayField(*doc, "pieces")) {
     auto task = parseReported(entry);
     // A list that cannot be read in full proves nothing about what is absent from it.
     if (!task) return std::nullopt;
--- a/tests/unit/autoscaling_test.cpp
+++ b/tests/unit/autoscaling_test.cpp
@@ -14,7 +14,7 @@
 // Nobody answers anything.
 struct LoneIo : ClockRuntime {
   std::vector<HttpRequest> sent;
-  void call(const Address&, HttpRequest r, Duration, HttpDone) override { sent.push_back(std::move(r)); }
+  void call(const Address&, HttpRequest r, Duration, HttpCallback) override { sent.push_back(std::move(r)); }
 };
 
 struct Leader : testing::Test {
--- a/tests/unit/fake_state_service.h
+++ b/tests/unit/fake_state_service.h
@@ -17,7 +17,7 @@
   std::function<int()> transactionStatus = [] { return 200; };
   std::function<int()> renewalStatus = [] { return 200; };
 
-  void call(const Address&, HttpRequest request, Duration, HttpDone done) override {
+  void call(const Address&, HttpRequest request, Duration, HttpCallback done) override {
     HttpResponse response{200, R"({"entries":[],"news":[],"truncated":false,"ledger_rev":1})", false, 0};
     if (request.target.ends_with("/renew")) {
       ++renewals;
--- a/tests/unit/held_calls_runtime.h
+++ b/tests/unit/held_calls_runtime.h
@@ -11,9 +11,9 @@
 
 struct HeldCallsRuntime : ClockRuntime {
   std::vector<HttpRequest> requests;
-  std::vector<HttpDone> open;  // how to answer each of them
+  std::vector<HttpCallback> open;  // how to answer each of them
 
-  void call(const Address&, HttpRequest request, Duration, HttpDone done) override {
+  void call(const Address&, HttpRequest request, Duration, HttpCallback done) override {
     requests.push_back(std::move(request));
     open.push_back(std::move(done));
   }
--- a/tests/unit/keep_alive_proxy_test.cpp
+++ b/tests/unit/keep_alive_proxy_test.cpp
@@ -26,14 +26,14 @@
   static Time ownersTime(std::int64_t seconds) { return at(seconds + 3600); }
   mesh::PeerHeartbeat heartbeatOfProxy(std::int64_t seconds, PeerContact contact) {
     mesh::PeerHeartbeat heartbeat;
-    heartbeat.life = proxyLife;
+    heartbeat.processIncarnation = proxyLife;
     proxy.fillHeartbeat(heartbeat, contact, at(seconds));
     return heartbeat;
   }
   mesh::PeerHeartbeat heartbeatOfOwner(std::int64_t seconds, Duration ownsFor = kLeaseTtl) {
     mesh::PeerHeartbeat heartbeat;
-    heartbeat.life = 9;
-    heartbeat.ownsForMs = ownsFor.count();
+    heartbeat.processIncarnation = 9;
+    heartbeat.leaseRemainingMs = ownsFor.count();
     heartbeat.owns = {{kShard.value, kEpoch.value, lastCancellation.value}};
     owner.fillHeartbeat(heartbeat, PeerContact::Heard, ownersTime(seconds));
     return heartbeat;
--- a/tests/unit/key_value_store_test.cpp
+++ b/tests/unit/key_value_store_test.cpp
@@ -18,7 +18,7 @@
   void after(Duration delay, std::function<void()> task) override {
     if (delay == Duration{0}) scheduled.push_back(std::move(task));
   }
-  void call(const Address&, HttpRequest, Duration, HttpDone) override { ++calls; }
+  void call(const Address&, HttpRequest, Duration, HttpCallback) override { ++calls; }
   void mesh(std::uint32_t, const mesh::Frame&) override {}
   void remesh(std::uint32_t) override {}
 };
--- a/tests/unit/load_reporter_test.cpp
+++ b/tests/unit/load_reporter_test.cpp
@@ -76,7 +76,7 @@
   state_.addJob(JobId{"a"}, jobEntry("a", 3, 2));
   EXPECT_EQ(report().onDemandOnly.waiting, 6);
   EXPECT_EQ(report().onDemandOnly.largestTask, 2);
-  EXPECT_EQ(report().onDemandOnly.runS, 30);
+  EXPECT_EQ(report().onDemandOnly.expectedRunS, 30);
 }
 
 TEST_F(LoadReporterTest, AJobThatNeverWorkedAsksForOneTaskAtATime) {
--- a/tests/unit/loopback_test.cpp
+++ b/tests/unit/loopback_test.cpp
@@ -105,10 +105,10 @@
 // A port that somebody else holds for a moment does not end the process.
 TEST_F(Loopback, AnAddressInUseIsTriedAgain) {
   unsigned pauses = 0;
-  EXPECT_LT(listenPatiently(at, 3, [&] { ++pauses; }), 0);
+  EXPECT_LT(listenWithRetries(at, 3, [&] { ++pauses; }), 0);
   EXPECT_EQ(pauses, 2U);
   pauses = 0;
-  int got = listenPatiently(at, 5, [&] {
+  int got = listenWithRetries(at, 5, [&] {
     if (++pauses == 2) ::close(fd);
   });
   EXPECT_GE(got, 0);
@@ -117,7 +117,8 @@
 }
 
 // More workers than there are sockets: each is answered and asked to connect anew, none loses a request for
-// another's sake, and a user finds room. What is walked for it does not grow with the connections.
+// another's sake, and a user finds room. What is connectionsScanned for it does not grow with the
+// connections.
 TEST_F(Loopback, NearTheBoundWorkersConnectAnewAndNobodyIsLost) {
   constexpr int kWorkers = 60;
   constexpr std::size_t kMost = 24;
@@ -170,7 +171,7 @@
   EXPECT_GT(closed, 0);
   EXPECT_TRUE(user);
   EXPECT_LE(most, kMost);
-  EXPECT_LE(server.walked(), 8U);
+  EXPECT_LE(server.connectionsScanned(), 8U);
 }
 
 // Where only idle connections are left to give way, the longest idle user goes, then the longest idle worker,
--- a/tests/unit/placement_fixture.h
+++ b/tests/unit/placement_fixture.h
@@ -14,7 +14,7 @@
 class PlacementFixture : public testing::Test {
  protected:
   struct Calls : ClockRuntime {
-    void call(const Address&, HttpRequest, Duration, HttpDone) override {}
+    void call(const Address&, HttpRequest, Duration, HttpCallback) override {}
   };
 
   Machine& addMachine(const std::string& id, const std::string& zone = "a", bool spot = false) {
--- a/tests/unit/policy_test.cpp
+++ b/tests/unit/policy_test.cpp
@@ -162,8 +162,8 @@
   EXPECT_EQ(s.preferredShard(ControllerId{"loft-2"}).value, 2U);
   EXPECT_EQ(s.shardOfTeam(TeamId{"team-1"}).value, 1U);
   // Invariant 6: all of it fits before a cancellation is due.
-  EXPECT_LE(inSeconds(s.leaseTtl() + s.grace()) + s.leaseS, s.cancelS - 1);
-  EXPECT_EQ(s.blindFor(), s.leaseTtl() + s.grace());
+  EXPECT_LE(inSeconds(s.leaseTtl() + s.grace()) + s.workerLeaseS, s.cancelDeadlineS - 1);
+  EXPECT_EQ(s.maxCancellationStaleness(), s.leaseTtl() + s.grace());
   // "A value of 0 means none": no guarantee, and no limit.
   d.guest = true;
   auto guest = parseSettings(d.settingsOf(1), {}).team(TeamId{"team-guest"})->coreQuota;
@@ -198,24 +198,27 @@
     for (double more : {0.0, 0.01, 0.2, 1.0, 2.0, 3.5, 5.0, 8.0, 16.0, 25.0, 30.0, 300.0, 6000.0}) {
       for (int ttlMs : {500, 3'000, 60'000}) {
         world::Deployment d;
-        d.leaseS = lease;
-        d.cancelS = lease + more;
+        d.workerLeaseS = lease;
+        d.cancelDeadlineS = lease + more;
         Tuning t;
         t.leaseTtl = Duration{ttlMs};
         auto s = parseSettings(d.settingsOf(0), t);
-        SCOPED_TRACE(testing::Message() << "lease " << lease << " cancel " << d.cancelS << " ttl " << ttlMs);
+        SCOPED_TRACE(testing::Message()
+                     << "lease " << lease << " cancel " << d.cancelDeadlineS << " ttl " << ttlMs);
         EXPECT_GE(s.leaseTtl(), Duration{500});
         EXPECT_LE(s.leaseTtl(), t.leaseTtl);
         EXPECT_GE(s.grace(), Duration{0});
-        EXPECT_GE(s.blindFor(), Duration{0});
-        // Who answered last without knowing: a keep-alive proxy or an owner not loaded, blindFor() after what
-        // they know; a former owner, the grace after the lease that must be over before another confirms.
-        for (auto last : {s.blindFor(), s.grace()}) {
+        EXPECT_GE(s.maxCancellationStaleness(), Duration{0});
+        // Who answered last without knowing: a keep-alive proxy or an owner not loaded,
+        // maxCancellationStaleness() after what they know; a former owner, the grace after the lease that
+        // must be over before another confirms.
+        for (auto last : {s.maxCancellationStaleness(), s.grace()}) {
           double rest = inSeconds(last) * (1 + kDrift) + lease * (1 + kDrift);
           // Where there is nothing to part, only the clocks' own error is beyond anyone's reach.
-          EXPECT_LE(rest, d.cancelS + (more < 2 * kDrift * d.cancelS ? 2 * kDrift * d.cancelS : 0.0));
+          EXPECT_LE(rest, d.cancelDeadlineS +
+                              (more < 2 * kDrift * d.cancelDeadlineS ? 2 * kDrift * d.cancelDeadlineS : 0.0));
         }
-        EXPECT_EQ(s.grace(), std::max(s.blindFor() - s.leaseTtl(), Duration{0}));
+        EXPECT_EQ(s.grace(), std::max(s.maxCancellationStaleness() - s.leaseTtl(), Duration{0}));
       }
     }
   }
--- a/tests/unit/scale_out_test.cpp
+++ b/tests/unit/scale_out_test.cpp
@@ -13,7 +13,7 @@
 namespace {
 
 struct CloudIo : HeldCallsRuntime {
-  void call(const Address& to, HttpRequest request, Duration deadline, HttpDone done) override {
+  void call(const Address& to, HttpRequest request, Duration deadline, HttpCallback done) override {
     if (request.target == "/hosts") HeldCallsRuntime::call(to, std::move(request), deadline, std::move(done));
   }
   std::string claim(std::size_t n) const { return nlohmann::json::parse(requests.at(n).body)["claim"]; }
--- a/tests/unit/shard_ownership_test.cpp
+++ b/tests/unit/shard_ownership_test.cpp
@@ -96,7 +96,7 @@
   setOwner(kOtherShard, self(), Epoch{11}, Version{11});
   review();
   ASSERT_EQ(shards.owned().count(kOtherShard), 1U);
-  runFor(settings.tuning.returnOwnershipAfter - Duration{1});
+  runFor(settings.tuning.ownershipReturnDelay - Duration{1});
   review();
   EXPECT_TRUE(returnsRequested.empty());
   runFor(Duration{1});
--- a/tests/unit/user_answer_test.cpp
+++ b/tests/unit/user_answer_test.cpp
@@ -21,8 +21,8 @@
 TEST(UserAnswer, EachKindHasItsStatusBodyAndRetryAfter) {
   const wire::JobView view{JobStatus::Open, 4, 1, 2};
   const std::vector<Expected> table{
-      {JobAccepted{kJob}, 201, wire::encodeJob(kJob, {}), 0},
-      {JobState{kJob, view}, 200, wire::encodeJob(kJob, view), 0},
+      {JobAccepted{kJob}, 201, wire::encodeJobStatus(kJob, {}), 0},
+      {JobState{kJob, view}, 200, wire::encodeJobStatus(kJob, view), 0},
       {NoSuchJob{}, 404, R"({"error":"no such job"})", 0},
       {JobRejected{Rejection::Malformed, "why"}, 400, R"({"error":"why"})", 0},
       {JobRejected{Rejection::NeverRuns, "why"}, 422, R"({"error":"why"})", 0},
--- a/tests/unit/watch_cache_test.cpp
+++ b/tests/unit/watch_cache_test.cpp
@@ -12,13 +12,13 @@
 struct AnsweringRuntime : Runtime {
   struct Call {
     std::string target;
-    HttpDone done;
+    HttpCallback done;
   };
   std::vector<Call> calls;
   Time now() const override { return Time{Duration{5000}}; }
   WallTime wall() const override { return {1}; }
   void after(Duration, std::function<void()>) override {}
-  void call(const Address&, HttpRequest request, Duration, HttpDone done) override {
+  void call(const Address&, HttpRequest request, Duration, HttpCallback done) override {
     calls.push_back({request.target, std::move(done)});
   }
   void mesh(std::uint32_t, const mesh::Frame&) override {}
--- a/tests/unit/wire_test.cpp
+++ b/tests/unit/wire_test.cpp
@@ -197,10 +197,10 @@
 }
 
 TEST(Mesh, FramesComeBackAndRubbishDoesNot) {
-  mesh::Frame f{1, 2, mesh::JobAsk{7, true, "wk-1"}};
+  mesh::Frame f{1, 2, mesh::JobRequest{7, true, "wk-1"}};
   auto bytes = mesh::encode(f);
   auto back = mesh::decode(bytes);
   ASSERT_TRUE(back);
-  EXPECT_EQ(std::get<mesh::JobAsk>(back->payload).job, "wk-1");
+  EXPECT_EQ(std::get<mesh::JobRequest>(back->payload).job, "wk-1");
   for (std::size_t n = 0; n < bytes.size(); ++n) EXPECT_FALSE(mesh::decode(bytes.substr(0, n))) << n;
 }
--- a/tests/unit/worker_endpoint_test.cpp
+++ b/tests/unit/worker_endpoint_test.cpp
@@ -18,7 +18,7 @@
 struct RecordingRuntime : ClockRuntime {
   std::vector<mesh::Frame> sent;
   void mesh(std::uint32_t, const mesh::Frame& frame) override { sent.push_back(frame); }
-  void call(const Address&, HttpRequest, Duration, HttpDone) override {}
+  void call(const Address&, HttpRequest, Duration, HttpCallback) override {}
 };
 
 // Controller 0, with one machine in a shard that controller 1 owns.
@@ -55,10 +55,10 @@
 
   void hearOwner() {
     mesh::PeerHeartbeat heartbeat;
-    heartbeat.life = 1;
+    heartbeat.processIncarnation = 1;
     heartbeat.at = runtime.now().time_since_epoch().count();
-    heartbeat.echo = heartbeat.at;
-    heartbeat.ownsForMs = 3000;
+    heartbeat.echoedAt = heartbeat.at;
+    heartbeat.leaseRemainingMs = 3000;
     heartbeat.owns = {{kShard.value, kEpoch.value, 40}};
     peers.handleFrame({kOwner, kSelf, heartbeat});
   }
--- a/tests/world/checker.cpp
+++ b/tests/world/checker.cpp
@@ -71,7 +71,7 @@
   j.roomSince = -1;  // it has its turns
   if (j.begunAt < 0) j.begunAt = clock_.now();
   if (j.on.count(index)) breaks("ran_twice", name + " starts on " + m.id + " while on " + j.on[index].id);
-  if (j.final == "aborted" && clock_.now() - j.finalAt > static_cast<Ms>(settings_.cancelS * 1000))
+  if (j.final == "aborted" && clock_.now() - j.finalAt > static_cast<Ms>(settings_.cancelDeadlineS * 1000))
     breaks("ran_cancelled", name + " starts after its cancellation");
   if (j.final == "aborted") {
     ++startsAfterCancel_;
@@ -113,7 +113,7 @@
       breaks("forgotten", id + " was asked about in vain for " + std::to_string(kForgotten / 1000) + " s");
     }
     if (j.final != "aborted" || j.on.empty()) continue;
-    if (clock_.now() - j.finalAt <= static_cast<Ms>(settings_.cancelS * 1000)) continue;
+    if (clock_.now() - j.finalAt <= static_cast<Ms>(settings_.cancelDeadlineS * 1000)) continue;
     breaks("ran_cancelled", id + " is still on " + j.on.begin()->second.id);
     j.on.clear();
   }
--- a/tests/world/cloud.cpp
+++ b/tests/world/cloud.cpp
@@ -19,7 +19,8 @@
       settings_(settings),
       types_(std::move(types)),
       controllers_(controllers),
-      gangs_(clock, static_cast<Ms>(settings.gangWaitS * 1000), static_cast<Ms>(settings.gangPeerS * 1000)) {
+      gangs_(clock, static_cast<Ms>(settings.gangStartTimeoutS * 1000),
+             static_cast<Ms>(settings.gangPeerTimeoutS * 1000)) {
   net_.serve("cloud", [this](const std::string&, HttpRequest r, Reply reply) {
     clock_.after(100, [this, r = std::move(r), reply = std::move(reply)] { handle(r, reply); });
   });
@@ -163,7 +164,8 @@
 // As it was some time ago; now and then older than the list before it.
 HttpResponse Cloud::list(const HttpRequest& r) {
   auto q = queryOf(r.target);
-  Ms lag = static_cast<Ms>(settings_.listLagS * 1000 * (clock_.chance(0.1) ? 2.0 : clock_.uniform(0.8, 1.0)));
+  Ms lag =
+      static_cast<Ms>(settings_.maxListLagS * 1000 * (clock_.chance(0.1) ? 2.0 : clock_.uniform(0.8, 1.0)));
   Ms then = clock_.now() - lag;
   auto limit = std::stoul(q.count("limit") ? q["limit"] : "500");
   Json out = Json::array();
--- a/tests/world/net.cpp
+++ b/tests/world/net.cpp
@@ -86,7 +86,8 @@
   if (auto t = arrival(from, to)) clock_.at(*t, std::move(deliver));
 }
 
-void Net::call(const std::string& from, const std::string& to, HttpRequest r, Ms deadline, HttpDone done) {
+void Net::call(const std::string& from, const std::string& to, HttpRequest r, Ms deadline,
+               HttpCallback done) {
   using Outcome = HttpResult::Outcome;
   auto settled = std::make_shared<bool>(false);
   auto sent = std::make_shared<bool>(false);
--- a/tests/world/net.h
+++ b/tests/world/net.h
@@ -12,7 +12,7 @@
 
 namespace world {
 
-using cherryloft::HttpDone;
+using cherryloft::HttpCallback;
 using cherryloft::HttpRequest;
 using cherryloft::HttpResponse;
 using cherryloft::HttpResult;
@@ -26,7 +26,7 @@
   // A party serves under its name; without a handler connections are refused.
   void serve(const std::string& name, Handler h) { handlers_[name] = std::move(h); }
   void unserve(const std::string& name) { handlers_.erase(name); }
-  void call(const std::string& from, const std::string& to, HttpRequest r, Ms deadline, HttpDone done);
+  void call(const std::string& from, const std::string& to, HttpRequest r, Ms deadline, HttpCallback done);
   // One-way words between controllers.
   void tell(const std::string& from, const std::string& to, std::function<void()> deliver);
 
--- a/tests/world/scenario_setup.cpp
+++ b/tests/world/scenario_setup.cpp
@@ -25,11 +25,11 @@
 
 void applyWorkers(const Line& line, ScenarioSetup& setup) {
   auto options = line.optionsFrom(1);
-  setIfGiven(options, "report", setup.deployment.reportS);
-  setIfGiven(options, "lease", setup.deployment.leaseS);
-  setIfGiven(options, "cancel", setup.deployment.cancelS);
-  setIfGiven(options, "gang_wait", setup.deployment.gangWaitS);
-  setIfGiven(options, "gang_peer", setup.deployment.gangPeerS);
+  setIfGiven(options, "report", setup.deployment.heartbeatIntervalS);
+  setIfGiven(options, "lease", setup.deployment.workerLeaseS);
+  setIfGiven(options, "cancel", setup.deployment.cancelDeadlineS);
+  setIfGiven(options, "gang_wait", setup.deployment.gangStartTimeoutS);
+  setIfGiven(options, "gang_peer", setup.deployment.gangPeerTimeoutS);
 }
 
 void applyStore(const Line& line, ScenarioSetup& setup) {
--- a/tests/world/worker.cpp
+++ b/tests/world/worker.cpp
@@ -114,7 +114,7 @@
   }
   if (r.response.status != 200 || clock_.now() - sentAt > 4000) return next();
   auto doc = Json::parse(r.response.body);
-  schedule(static_cast<Ms>(settings_.reportS * 1000 * clock_.uniform(0.75, 1.25)));
+  schedule(static_cast<Ms>(settings_.heartbeatIntervalS * 1000 * clock_.uniform(0.75, 1.25)));
   auto token = doc.value("epoch", std::uint64_t{0});
   if (incarnation != session_ || token < token_) return;  // dropped: renews nothing
   bool higher = token > token_;
@@ -281,7 +281,7 @@
 void Worker::checkLease() {
   later(100, [this] { checkLease(); });
   if (clock_.now() < hungUntil_ || stubborn_) return;
-  if (clock_.now() - leaseFrom_ <= static_cast<Ms>(settings_.leaseS * 1000)) return;
+  if (clock_.now() - leaseFrom_ <= static_cast<Ms>(settings_.workerLeaseS * 1000)) return;
   if (!tasks_.empty()) checker_.leaseEnded();
   dropTasks();
   ++session_;
--- a/tests/world/world.cpp
+++ b/tests/world/world.cpp
@@ -65,11 +65,11 @@
                  Json::array({{{"kind", "wait"}, {"class", "quick"}, {"within_s", 1.0}, {"share", 0.9}}})},
                 {"teams", teamList},
                 {"workers",
-                 {{"report_s", reportS},
-                  {"lease_s", leaseS},
-                  {"cancel_s", cancelS},
-                  {"gang_wait_s", gangWaitS},
-                  {"gang_peer_s", gangPeerS}}},
+                 {{"report_s", heartbeatIntervalS},
+                  {"lease_s", workerLeaseS},
+                  {"cancel_s", cancelDeadlineS},
+                  {"gang_wait_s", gangStartTimeoutS},
+                  {"gang_peer_s", gangPeerTimeoutS}}},
                 {"state", state},
                 {"cloud", {{"rps", 5}, {"list_lag_s", 5}}},
                 {"machine_limits", {{"fd_limit", 3500}}},
@@ -94,7 +94,7 @@
                     living([this, f = living(std::move(f))] { c_.enter(Source::Timers, f); }));
   }
   void call(const cherryloft::Address& to, HttpRequest r, cherryloft::Duration deadline,
-            HttpDone done) override {
+            HttpCallback done) override {
     c_.net_.call(nodeName(c_.number_), partyOf(to), std::move(r), deadline.count(),
                  [this, done = std::move(done), alive = std::weak_ptr<bool>(alive_)](HttpResult h) {
                    if (!alive.lock()) return;
@@ -259,7 +259,7 @@
   return j.dump();
 }
 
-void World::request(HttpRequest r, Ms deadline, HttpDone done, Node node) {
+void World::request(HttpRequest r, Ms deadline, HttpCallback done, Node node) {
   auto n = node ? *node : static_cast<unsigned>(clock.rng() % controllers.size());
   net.call("user", nodeName(n), std::move(r), deadline,
            [this, n, asked = clock.now(), done = std::move(done)](HttpResult h) {
--- a/tests/world/world.h
+++ b/tests/world/world.h
@@ -17,7 +17,8 @@
   unsigned teams = 3;
   double guaranteed = 24, limit = 88;
   bool guest = false;  // a team "team-guest" without guarantee or limit
-  double reportS = 3, leaseS = 36, cancelS = 61, gangWaitS = 45, gangPeerS = 4;
+  double heartbeatIntervalS = 3, workerLeaseS = 36, cancelDeadlineS = 61, gangStartTimeoutS = 45,
+         gangPeerTimeoutS = 4;
   double rps = 200, writeRps = 80, valueKb = 16, txnOps = 24;
   // Limits of the state service that are announced, and hold from some moment on.
   std::optional<double> nextValueKb, nextTxnOps, nextWriteRps;
@@ -128,7 +129,7 @@
   std::map<unsigned, int> upStatus;  // the last answer of each controller to a health check
 
  private:
-  void request(HttpRequest r, Ms deadline, HttpDone done, Node node = {});
+  void request(HttpRequest r, Ms deadline, HttpCallback done, Node node = {});
   void trySubmit(const std::string& id, std::string body);
   void ended(const std::string& id);
   void tryCancel(const std::string& id);
