--- a/src/log/log.h
+++ b/src/log/log.h
@@ -1,4 +1,4 @@
-// Lines on standard error, in the amount that LOG_LEVEL sets.
+// Logging to standard error, filtered by LOG_LEVEL.
 #pragma once
 
 #include <spdlog/logger.h>
@@ -11,8 +11,9 @@
 
 using Log = std::shared_ptr<spdlog::logger>;
 
-inline Log makeLog(const std::string& controller, const std::string& level) {
-  auto log = std::make_shared<spdlog::logger>(controller, std::make_shared<spdlog::sinks::stderr_sink_st>());
+inline Log makeLog(const std::string& controllerName, const std::string& level) {
+  auto log =
+      std::make_shared<spdlog::logger>(controllerName, std::make_shared<spdlog::sinks::stderr_sink_st>());
   log->set_level(level == "debug"  ? spdlog::level::debug
                  : level == "info" ? spdlog::level::info
                                    : spdlog::level::err);
@@ -20,7 +21,7 @@
   return log;
 }
 
-// For tests and checks that must not write.
+// Discards everything; for tests.
 inline Log silentLog() {
   auto log = std::make_shared<spdlog::logger>("silent");
   log->set_level(spdlog::level::off);
--- a/src/mesh/messages.cpp
+++ b/src/mesh/messages.cpp
@@ -6,11 +6,11 @@
 
 namespace cherryloft::mesh {
 
-std::string encode(const Frame& f) {
+std::string encode(const Frame& frame) {
   std::ostringstream out(std::ios::binary);
   {
     cereal::PortableBinaryOutputArchive archive(out);
-    archive(f);
+    archive(frame);
   }
   return out.str();
 }
@@ -19,10 +19,11 @@
   try {
     std::istringstream in(bytes, std::ios::binary);
     cereal::PortableBinaryInputArchive archive(in);
-    Frame f;
-    archive(f);
-    return f;
-  } catch (const std::exception&) {  // cereal throws, and a wild length may fail to allocate
+    Frame frame;
+    archive(frame);
+    return frame;
+  } catch (
+      const std::exception&) {  // cereal throws on malformed input; a corrupt length may also throw bad_alloc
     return std::nullopt;
   }
 }
--- a/src/mesh/messages.h
+++ b/src/mesh/messages.h
@@ -1,4 +1,4 @@
-// What controllers say to each other, in cereal's portable form.
+// Messages between controllers, serialized with cereal's portable binary archive.
 #pragma once
 
 #include <cereal/types/string.hpp>
@@ -15,33 +15,32 @@
 struct OwnedShard {
   std::uint32_t shard = 0;
   std::uint64_t epoch = 0;
-  std::uint64_t cancelled = 0;  // the revision of its latest cancellation
+  std::uint64_t cancelled = 0;  // store revision of the shard's latest job cancellation
   template <class A>
   void serialize(A& a) {
     a(shard, epoch, cancelled);
   }
 };
 
-// Sent to every sibling at a steady interval.
+// Sent to every sibling at a fixed interval.
 struct PeerHeartbeat {
-  std::uint32_t hears = 0;            // bit per controller heard directly
-  bool serving = false;               // it has loaded what it needs
-  std::int64_t leaseRemainingMs = 0;  // its lease is good for so long
+  std::uint32_t hears = 0;            // bitmask of the controllers that the sender receives heartbeats from
+  bool serving = false;               // the sender has loaded the state it needs to serve requests
+  std::int64_t leaseRemainingMs = 0;  // remaining validity of the sender's lease
   std::vector<OwnedShard> owns;
-  // What keep-alive proxies need (cluster/keep_alive_proxy.h), each for the sibling that the heartbeat goes
-  // to.
-  std::uint64_t processIncarnation = 0;    // of the process, later ones higher
-  std::int64_t at = 0;                     // when it was sent, by the sender's steady clock
-  std::int64_t echoedAt = 0;               // the at of the last heartbeat from there
-  bool proxy = false;                      // the sender may answer workers in its name
-  std::int64_t lastProxyAnswerAgoMs = -1;  // the last time it did, if ever
+  // For keep-alive proxies (cluster/keep_alive_proxy.h); specific to the receiving sibling:
+  std::uint64_t processIncarnation = 0;    // of the sender's process; higher after each restart
+  std::int64_t at = 0;                     // send time on the sender's monotonic clock
+  std::int64_t echoedAt = 0;               // `at` of the last heartbeat received from the receiver
+  bool proxy = false;                      // the sender may answer workers on the receiver's behalf
+  std::int64_t lastProxyAnswerAgoMs = -1;  // time since it last did so; -1: never
   template <class A>
   void serialize(A& a) {
     a(hears, serving, leaseRemainingMs, owns, processIncarnation, at, echoedAt, proxy, lastProxyAnswerAgoMs);
   }
 };
 
-// A user's question about a job, to the owner of its shard.
+// A user's request to query or cancel a job, forwarded to the owner of the job's shard.
 struct JobRequest {
   std::uint64_t id = 0;
   bool cancel = false;
@@ -52,7 +51,7 @@
   }
 };
 
-// A worker's heartbeat, relayed to the owner of its shard; the body is passed on as it came.
+// A worker's heartbeat, forwarded unchanged to the owner of its shard.
 struct RelayedHeartbeat {
   std::uint64_t id = 0;
   std::string body;
@@ -62,7 +61,7 @@
   }
 };
 
-// Asks a sibling to probe a machine, as we can't reach it.
+// Asks a sibling to probe a machine that the sender can't reach.
 struct ProbeRequest {
   std::uint64_t id = 0;
   std::string address;
@@ -72,7 +71,7 @@
   }
 };
 
-// The reply to any ask.
+// The response to a JobRequest, RelayedHeartbeat or ProbeRequest; `id` is that of the request.
 struct Answer {
   std::uint64_t id = 0;
   std::int32_t status = 0;
@@ -83,10 +82,11 @@
   }
 };
 
-// To everybody: a job's end that is committed and about to be told to users. No bound depends on its arrival.
+// Broadcast when a job's final status is committed and about to be reported to users. Best effort: no
+// guarantee depends on its delivery.
 struct JobEnded {
   std::string job;
-  bool done = false;  // or cancelled
+  bool done = false;  // false: cancelled
   std::uint64_t version = 0;
   template <class A>
   void serialize(A& a) {
@@ -94,7 +94,7 @@
   }
 };
 
-// To the leader: a machine that no record names has reported.
+// To the leader: a machine without a record in the store has sent a heartbeat (`body`).
 struct UnrecordedMachineSeen {
   std::string body;
   template <class A>
@@ -109,11 +109,11 @@
   std::string zone;
   bool spot = false;
   double freeCores = 0;
-  double idleS = 0;  // how long nothing has been on it
+  double idleS = 0;  // how long it has run no tasks
   bool usable = false;
   bool decommissioning = false;
   bool draining = false;
-  bool pinned = false;  // replicas on it have nowhere to go
+  bool pinned = false;  // runs service replicas that fit on no other machine
   double ageS = 0;
   template <class A>
   void serialize(A& a) {
@@ -121,18 +121,18 @@
   }
 };
 
-// Work of one kind in a shard; cores unless said otherwise.
+// Demand for one kind of capacity in a shard, in cores unless noted otherwise.
 struct Demand {
   double used = 0;
-  double waiting = 0;       // within the teams' limits
-  double arriving = 0;      // cores asked for per second of late
-  double departing = 0;     // cores that tasks done left per second of late
-  double expectedRunS = 0;  // how long tasks take, as their owners say
+  double waiting = 0;       // of waiting tasks within their teams' quotas
+  double arriving = 0;      // recent arrival rate, cores per second
+  double departing = 0;     // recent rate of cores freed by completed tasks, per second
+  double expectedRunS = 0;  // declared task duration in seconds, mean weighted by cores
   double largestTask = 0;
-  double largestJob = 0;  // of those that came of late
+  double largestJob = 0;  // of recently submitted jobs
   double ramPerCore = 0;
   std::vector<std::string> types;       // empty: any
-  std::vector<std::string> stuckZones;  // where machines are missing for tasks that may go nowhere else
+  std::vector<std::string> stuckZones;  // zones short of machines for tasks bound to them
   template <class A>
   void serialize(A& a) {
     a(used, waiting, arriving, departing, expectedRunS, largestTask, largestJob, ramPerCore, types,
@@ -140,13 +140,13 @@
   }
 };
 
-// From a shard's owner to the leader, at a steady interval.
+// From a shard's owner to the leader, at a fixed interval.
 struct ShardLoad {
   std::uint32_t shard = 0;
   std::uint64_t epoch = 0;
-  Demand onDemandOnly;  // work that may use ordinary machines only
-  Demand spotAllowed;   // work that may use spot machines too
-  // Machines that are idle, don't take work, or could best be emptied. All others are in plain use.
+  Demand onDemandOnly;  // of jobs restricted to on-demand machines
+  Demand spotAllowed;   // of jobs that may also run on spot machines
+  // Only machines that are idle, accept no tasks or are the best candidates for draining.
   std::vector<MachineLoad> machines;
   template <class A>
   void serialize(A& a) {
@@ -154,14 +154,14 @@
   }
 };
 
-// From the leader to a shard's owner: what is to become of one of its machines.
+// From the leader to a shard's owner: what to do with one of its machines.
 struct MachineDirective {
   enum Kind : std::int32_t {
-    Return,  // back to the cloud if it is idle
-    Move,    // to another shard if it is idle
-    Drain,   // takes no more work and goes once what ends by itself has ended, unless capacity gets short
-    Keep,    // takes work again after all
-    MoveAfterDrain,  // to another shard once what ends by itself has ended
+    Return,          // return it to the cloud if it is idle
+    Move,            // transfer it to another shard if it is idle
+    Drain,           // no new tasks; return it once its finite tasks have ended, unless capacity runs short
+    Keep,            // cancel the drain: accept tasks again
+    MoveAfterDrain,  // transfer it to another shard once its finite tasks have ended
   };
   std::uint32_t shard = 0;
   std::string machine;
@@ -173,8 +173,7 @@
   }
 };
 
-// From a shard's owner to everybody: jobs that have waited long and that none of the shard's machines has
-// capacity for.
+// Broadcast by a shard's owner: long-waiting jobs that none of the shard's machines has capacity for.
 struct CapacityRequest {
   std::uint32_t shard = 0;
   std::vector<std::string> jobs;
@@ -184,10 +183,10 @@
   }
 };
 
-// The reply of another shard's owner: its machines have capacity for so many tasks of the job now.
+// Another shard's reply: how many tasks of the job its machines have capacity for now.
 struct CapacityOffer {
-  std::uint32_t shard = 0;    // whose machines they are
-  std::uint32_t toShard = 0;  // that asked
+  std::uint32_t shard = 0;    // whose machines are offered
+  std::uint32_t toShard = 0;  // the requesting shard
   std::string job;
   std::uint32_t tasks = 0;
   template <class A>
@@ -196,8 +195,7 @@
   }
 };
 
-// So many tasks of a job may go to a zone, or find capacity there. An empty name stands for all zones
-// together.
+// A number of tasks that may be placed in a zone, or that fit there. Empty zone name: all zones combined.
 struct ZoneTasks {
   std::string zone;
   std::uint32_t tasks = 0;
@@ -207,8 +205,8 @@
   }
 };
 
-// Waiting tasks of a job that its shard has no capacity for, while others of it are placed or done, or while
-// it must be placed whole.
+// Waiting tasks that the job's shard has no capacity for, of a job whose other tasks are placed or done or
+// that must be placed as a whole.
 struct TaskCapacityNeed {
   std::string job;
   std::uint32_t tasks = 0;
@@ -219,7 +217,7 @@
   }
 };
 
-// From a shard's owner to everybody.
+// Broadcast by a shard's owner.
 struct TaskCapacityRequest {
   std::uint32_t shard = 0;
   std::vector<TaskCapacityNeed> jobs;
@@ -229,10 +227,10 @@
   }
 };
 
-// The reply of another shard's owner: its machines in that zone have capacity for so many of the tasks now.
+// Another shard's reply: how many of the tasks its machines in that zone have capacity for now.
 struct TaskCapacityOffer {
-  std::uint32_t shard = 0;    // whose machines they are
-  std::uint32_t toShard = 0;  // that asked
+  std::uint32_t shard = 0;    // whose machines are offered
+  std::uint32_t toShard = 0;  // the requesting shard
   std::string job;
   ZoneTasks zoneCapacity;
   template <class A>
@@ -241,7 +239,7 @@
   }
 };
 
-// New kinds go to the end: a controller of an earlier version refuses the frames that it does not know.
+// Append new message types at the end: older controllers reject frames of a type they do not know.
 using Payload = std::variant<PeerHeartbeat, JobRequest, RelayedHeartbeat, ProbeRequest, Answer,
                              UnrecordedMachineSeen, ShardLoad, MachineDirective, JobEnded, CapacityRequest,
                              CapacityOffer, TaskCapacityRequest, TaskCapacityOffer>;
@@ -256,8 +254,8 @@
   }
 };
 
-std::string encode(const Frame& f);
-// Nothing when the bytes are no frame.
+std::string encode(const Frame& frame);
+// Returns nullopt when the bytes are not a valid frame.
 std::optional<Frame> decode(const std::string& bytes);
 
 }  // namespace cherryloft::mesh
--- a/src/mesh/transport.cpp
+++ b/src/mesh/transport.cpp
@@ -2,13 +2,14 @@
 
 namespace cherryloft::mesh {
 namespace {
-constexpr std::size_t kMaxFrame = std::size_t{4} * 1024 * 1024;
-constexpr std::size_t kMaxQueued = std::size_t{1024} * 1024;
-constexpr std::size_t kMaxInbound = 64;
-constexpr Duration kConnectPatience{1000};
-constexpr Duration kStuck{2500};
+constexpr std::size_t kMaxFrameBytes = std::size_t{4} * 1024 * 1024;
+constexpr std::size_t kMaxQueuedBytes = std::size_t{1024} * 1024;
+constexpr std::size_t kMaxInboundConnections = 64;
+constexpr Duration kConnectTimeout{1000};
+constexpr Duration kSendStallTimeout{2500};
 
-std::string framed(const std::string& bytes) {
+// With the length as four bytes, big endian, in front.
+std::string withLengthPrefix(const std::string& bytes) {
   std::string out;
   for (int shift = 24; shift >= 0; shift -= 8)
     out.push_back(static_cast<char>((bytes.size() >> shift) & 0xff));
@@ -17,23 +18,25 @@
 }  // namespace
 
 Transport::Transport(Loop& loop, int listenFd, std::vector<Address> addresses, std::uint32_t self,
-                     Received received)
+                     FrameHandler onFrame)
     : loop_(loop),
       addresses_(std::move(addresses)),
       self_(self),
-      received_(std::move(received)),
-      links_(addresses_.size()),
-      listener_(loop, listenFd, [this](int fd) { accepted(fd); }) {}
+      onFrame_(std::move(onFrame)),
+      outbound_(addresses_.size()),
+      listener_(loop, listenFd, [this](int fd) { accept(fd); }) {}
 
-void Transport::send(std::uint32_t to, const Frame& f) {
-  if (to >= links_.size() || to == self_) return;
-  auto& link = links_[to];
+void Transport::send(std::uint32_t to, const Frame& frame) {
+  if (to >= outbound_.size() || to == self_) return;
+  auto& link = outbound_[to];
   auto now = loop_.now();
   if (link.stream && link.stream->open()) {
-    // A cut shows as silence: start over, so that what is held back does not block what comes after.
+    // A network partition makes the connection stall without an error. Reconnect, so that queued frames do
+    // not delay the ones after them.
     if (link.stream->queued() == 0) link.blockedSince = now;
-    bool slowConnect = !link.stream->connected() && now - link.opened > kConnectPatience;
-    if (slowConnect || now - link.blockedSince > kStuck || link.stream->queued() > kMaxQueued) {
+    bool connectTimedOut = !link.stream->connected() && now - link.openedAt > kConnectTimeout;
+    if (connectTimedOut || now - link.blockedSince > kSendStallTimeout ||
+        link.stream->queued() > kMaxQueuedBytes) {
       reset(to);
     }
   }
@@ -41,54 +44,54 @@
     int fd = connectTo(addresses_[to]);
     if (fd < 0) return;
     link.stream = std::make_shared<Stream>(loop_, fd, true);
-    link.opened = link.blockedSince = now;
+    link.openedAt = link.blockedSince = now;
     link.stream->start([](std::string_view) {}, [] {});
   }
-  link.stream->send(framed(encode(f)));
+  link.stream->send(withLengthPrefix(encode(frame)));
 }
 
 void Transport::reset(std::uint32_t to) {
-  if (auto& s = links_[to].stream) s->close();
-  links_[to].stream.reset();
+  if (auto& stream = outbound_[to].stream) stream->close();
+  outbound_[to].stream.reset();
 }
 
-void Transport::accepted(int fd) {
-  auto s = std::make_shared<Stream>(loop_, fd, false);
-  if (inbound_.size() >= kMaxInbound) {
+void Transport::accept(int fd) {
+  auto stream = std::make_shared<Stream>(loop_, fd, false);
+  if (inbound_.size() >= kMaxInboundConnections) {
     inbound_.front()->close();
     inbound_.pop_front();
   }
-  inbound_.push_back(s);
+  inbound_.push_back(stream);
   auto buffer = std::make_shared<std::string>();
-  std::weak_ptr<Stream> weak = s;
+  std::weak_ptr<Stream> weak = stream;
   auto drop = [this, weak] {
-    auto p = weak.lock();
-    if (!p) return;
-    p->close();
-    inbound_.remove(p);
+    auto closing = weak.lock();
+    if (!closing) return;
+    closing->close();
+    inbound_.remove(closing);
   };
-  s->start(
+  stream->start(
       [this, buffer, drop](std::string_view bytes) {
         buffer->append(bytes);
-        if (!feed(*buffer)) drop();
+        if (!consumeFrames(*buffer)) drop();
       },
       drop);
 }
 
-bool Transport::feed(std::string& buffer) {
-  std::size_t at = 0;
-  while (buffer.size() - at >= 4) {
-    std::size_t n = 0;
+bool Transport::consumeFrames(std::string& buffer) {
+  std::size_t position = 0;
+  while (buffer.size() - position >= 4) {
+    std::size_t length = 0;
     for (int i = 0; i < 4; ++i)
-      n = n << 8 | static_cast<unsigned char>(buffer[at + static_cast<std::size_t>(i)]);
-    if (n > kMaxFrame) return false;
-    if (buffer.size() - at - 4 < n) break;
-    auto frame = decode(buffer.substr(at + 4, n));
+      length = length << 8 | static_cast<unsigned char>(buffer[position + static_cast<std::size_t>(i)]);
+    if (length > kMaxFrameBytes) return false;
+    if (buffer.size() - position - 4 < length) break;
+    auto frame = decode(buffer.substr(position + 4, length));
     if (!frame) return false;
-    at += 4 + n;
-    received_(*frame);
+    position += 4 + length;
+    onFrame_(*frame);
   }
-  buffer.erase(0, at);
+  buffer.erase(0, position);
   return true;
 }
 
--- a/src/mesh/transport.h
+++ b/src/mesh/transport.h
@@ -1,4 +1,4 @@
-// Length-prefixed frames over TCP: one connection to each sibling for what we say, any number from them.
+// Length-prefixed frames over TCP: one outbound connection per sibling, any number of inbound ones.
 #pragma once
 
 #include <functional>
@@ -14,28 +14,30 @@
 
 class Transport {
  public:
-  using Received = std::function<void(const Frame&)>;
-  // addresses: by controller number; our own entry is unused.
-  Transport(Loop& loop, int listenFd, std::vector<Address> addresses, std::uint32_t self, Received received);
-  // Sends to a neighbour; what cannot leave soon is dropped, as a deadline stands behind every ask.
-  void send(std::uint32_t to, const Frame& f);
-  // Gives up the connection for what we say to that neighbour; the next frame opens another.
+  using FrameHandler = std::function<void(const Frame&)>;
+  // addresses: indexed by controller number; the entry of this controller is unused.
+  Transport(Loop& loop, int listenFd, std::vector<Address> addresses, std::uint32_t self,
+            FrameHandler onFrame);
+  // Sends a frame to a sibling. Frames that cannot be sent soon are dropped: every request has a deadline.
+  void send(std::uint32_t to, const Frame& frame);
+  // Closes the outbound connection to that sibling; the next frame opens a new one.
   void reset(std::uint32_t to);
 
  private:
   struct Link {
     std::shared_ptr<Stream> stream;
-    Time opened{};
+    Time openedAt{};
     Time blockedSince{};
   };
-  void accepted(int fd);
-  bool feed(std::string& buffer);
+  void accept(int fd);
+  // Handles and removes all complete frames in the buffer; false if it holds an invalid one.
+  bool consumeFrames(std::string& buffer);
 
   Loop& loop_;
   std::vector<Address> addresses_;
   std::uint32_t self_;
-  Received received_;
-  std::vector<Link> links_;
+  FrameHandler onFrame_;
+  std::vector<Link> outbound_;
   std::list<std::shared_ptr<Stream>> inbound_;
   Listener listener_;
 };
