--- a/src/net/client.h
+++ b/src/net/client.h
@@ -1,5 +1,5 @@
-// HTTP client: a pool of kept connections per address, every call with a deadline, and so many calls at a
-// time.
+// HTTP client with a pool of idle connections per address, a deadline for every call and a limit of
+// concurrent calls.
 #pragma once
 
 #include <list>
@@ -13,9 +13,9 @@
 
 struct HttpResult {
   enum class Outcome {
-    Answered,  // response holds the answer
-    NotSent,   // never left: the connection did not come about
-    Unknown,   // it may have been carried out, or may still be
+    Answered,  // `response` is the server's response
+    NotSent,   // the request was not sent: there was no connection
+    Unknown,   // the server may have processed the request, or may yet do so
   };
   Outcome outcome = Outcome::Unknown;
   HttpResponse response;
@@ -25,20 +25,21 @@
 
 class HttpClient {
  public:
-  // Calls beyond maxCalls are not sent, but for those to vital addresses: machines that don't answer must not
-  // take the sockets that the store and the cloud are spoken to with.
+  // Calls beyond maxCalls are not sent, except to the exempt addresses: unresponsive machines must not use up
+  // the sockets needed for the state service and the cloud.
   HttpClient(Loop& loop, std::size_t maxIdlePerAddress, std::size_t maxIdle, std::size_t maxCalls,
-             std::set<Address> vital)
+             std::set<Address> exemptAddresses)
       : loop_(loop),
         maxIdlePerAddress_(maxIdlePerAddress),
         maxIdle_(maxIdle),
         maxCalls_(maxCalls),
-        vital_(std::move(vital)) {}
+        exemptAddresses_(std::move(exemptAddresses)) {}
   ~HttpClient();
+  // `done` is called once, at the latest after `deadline`.
   void call(const Address& to, HttpRequest request, Duration deadline, HttpCallback done);
 
  private:
-  struct Kept {
+  struct IdleConnection {
     Address to;
     std::shared_ptr<Stream> stream;
   };
@@ -51,14 +52,14 @@
   using CallPtr = std::shared_ptr<Call>;
 
   std::shared_ptr<Stream> takeIdle(const Address& to);
-  void received(const CallPtr& call, std::string_view bytes);
-  void settle(const CallPtr& call, HttpResult result);
-  void keep(const Address& to, std::shared_ptr<Stream> stream);
+  void onData(const CallPtr& call, std::string_view bytes);
+  void complete(const CallPtr& call, HttpResult result);
+  void addIdle(const Address& to, std::shared_ptr<Stream> stream);
 
   Loop& loop_;
   std::size_t maxIdlePerAddress_, maxIdle_, maxCalls_;
-  std::set<Address> vital_;
-  std::list<Kept> idle_;  // longest idle first
+  std::set<Address> exemptAddresses_;
+  std::list<IdleConnection> idle_;  // longest idle first
   std::map<Call*, CallPtr> calls_;
 };
 
--- a/src/net/http.cpp
+++ b/src/net/http.cpp
@@ -7,10 +7,10 @@
 namespace cherryloft {
 namespace {
 
-constexpr std::size_t kMaxLine = std::size_t{8} * 1024;
-constexpr std::size_t kMaxHeaders = std::size_t{32} * 1024;
+constexpr std::size_t kMaxLineBytes = std::size_t{8} * 1024;
+constexpr std::size_t kMaxHeaderBytes = std::size_t{32} * 1024;
 
-std::string lower(std::string_view s) {
+std::string toLower(std::string_view s) {
   std::string out(s);
   std::transform(out.begin(), out.end(), out.begin(), [](unsigned char c) { return std::tolower(c); });
   return out;
@@ -23,7 +23,7 @@
 }
 
 template <class T>
-bool number(std::string_view s, T& out, int base = 10) {
+bool parseNumber(std::string_view s, T& out, int base = 10) {
   auto [p, ec] = std::from_chars(s.data(), s.data() + s.size(), out, base);
   return !s.empty() && ec == std::errc{} && p == s.data() + s.size();
 }
@@ -35,7 +35,7 @@
   });
 }
 
-const char* reason(int status) {
+const char* reasonPhrase(int status) {
   switch (status) {
     case 200:
       return "OK";
@@ -66,135 +66,137 @@
 
 }  // namespace
 
-std::optional<std::string> HttpParser::line() {
-  auto at = buffer_.find('\n');
-  if (at == std::string::npos) {
-    lineTooLong_ = buffer_.size() > kMaxLine;
+std::optional<std::string> HttpParser::takeLine() {
+  auto lineEnd = buffer_.find('\n');
+  if (lineEnd == std::string::npos) {
+    lineTooLong_ = buffer_.size() > kMaxLineBytes;
     return std::nullopt;
   }
-  lineTooLong_ = at > kMaxLine;
+  lineTooLong_ = lineEnd > kMaxLineBytes;
   if (lineTooLong_) return std::nullopt;
-  std::string l = buffer_.substr(0, at);
-  buffer_.erase(0, at + 1);
-  if (!l.empty() && l.back() == '\r') l.pop_back();
-  headerBytes_ += at + 1;
-  return l;
+  std::string line = buffer_.substr(0, lineEnd);
+  buffer_.erase(0, lineEnd + 1);
+  if (!line.empty() && line.back() == '\r') line.pop_back();
+  headerBytes_ += lineEnd + 1;
+  return line;
 }
 
-HttpParser::Status HttpParser::fail(Status why) {
+HttpParser::Status HttpParser::fail(Status status) {
   state_ = State::Failed;
-  return why;
+  return status;
 }
 
-HttpParser::Status HttpParser::finish() {
+HttpParser::Status HttpParser::finishMessage() {
   state_ = State::Start;
-  return Status::Ready;
+  return Status::Complete;
 }
 
-bool HttpParser::startLine(const std::string& l) {
+bool HttpParser::parseStartLine(const std::string& line) {
   headerBytes_ = 0;
-  length_.reset();
-  chunked_ = otherCoding_ = keepAlive10_ = http10_ = false;
+  contentLength_.reset();
+  chunked_ = unsupportedCoding_ = keepAliveHeader_ = http10_ = false;
   request_ = {};
   response_ = {};
-  auto first = l.find(' ');
-  if (first == std::string::npos) return false;
+  auto firstSpace = line.find(' ');
+  if (firstSpace == std::string::npos) return false;
   if (kind_ == Kind::Request) {
-    auto last = l.rfind(' ');
-    if (last == first) return false;
-    request_.method = l.substr(0, first);
-    request_.target = l.substr(first + 1, last - first - 1);
-    auto version = std::string_view(l).substr(last + 1);
+    auto lastSpace = line.rfind(' ');
+    if (lastSpace == firstSpace) return false;
+    request_.method = line.substr(0, firstSpace);
+    request_.target = line.substr(firstSpace + 1, lastSpace - firstSpace - 1);
+    auto version = std::string_view(line).substr(lastSpace + 1);
     http10_ = version == "HTTP/1.0";
     return isToken(request_.method) && !request_.target.empty() && request_.target[0] == '/' &&
            request_.target.find(' ') == std::string::npos && (http10_ || version == "HTTP/1.1");
   }
-  auto version = std::string_view(l).substr(0, first);
+  auto version = std::string_view(line).substr(0, firstSpace);
   http10_ = version == "HTTP/1.0";
-  return (http10_ || version == "HTTP/1.1") && l.size() >= first + 4 &&
-         number(std::string_view(l).substr(first + 1, 3), response_.status) && response_.status >= 100;
+  return (http10_ || version == "HTTP/1.1") && line.size() >= firstSpace + 4 &&
+         parseNumber(std::string_view(line).substr(firstSpace + 1, 3), response_.status) &&
+         response_.status >= 100;
 }
 
-bool HttpParser::header(const std::string& l) {
-  auto colon = l.find(':');
-  if (colon == std::string::npos || !isToken(std::string_view(l).substr(0, colon))) return false;
-  auto name = lower(std::string_view(l).substr(0, colon));
-  auto value = trim(std::string_view(l).substr(colon + 1));
+bool HttpParser::parseHeader(const std::string& line) {
+  auto colon = line.find(':');
+  if (colon == std::string::npos || !isToken(std::string_view(line).substr(0, colon))) return false;
+  auto name = toLower(std::string_view(line).substr(0, colon));
+  auto value = trim(std::string_view(line).substr(colon + 1));
   if (name == "content-length") {
     std::uint64_t n = 0;
-    if (!number(value, n) || (length_ && *length_ != n)) return false;
-    length_ = n;
+    if (!parseNumber(value, n) || (contentLength_ && *contentLength_ != n)) return false;
+    contentLength_ = n;
   } else if (name == "transfer-encoding") {
-    if (chunked_ || otherCoding_) return false;
-    (lower(value) == "chunked" ? chunked_ : otherCoding_) = true;
+    if (chunked_ || unsupportedCoding_) return false;
+    (toLower(value) == "chunked" ? chunked_ : unsupportedCoding_) = true;
   } else if (name == "connection") {
-    auto v = lower(value);
+    auto v = toLower(value);
     if (v.find("close") != std::string::npos) request_.close = response_.close = true;
-    if (v.find("keep-alive") != std::string::npos) keepAlive10_ = true;
+    if (v.find("keep-alive") != std::string::npos) keepAliveHeader_ = true;
   } else if (name == "retry-after") {
     int n = 0;
-    if (number(value, n) && n > 0) response_.retryAfterS = n;
+    if (parseNumber(value, n) && n > 0) response_.retryAfterS = n;
   }
   return true;
 }
 
-HttpParser::Status HttpParser::headersDone() {
-  if (http10_ && !keepAlive10_) request_.close = response_.close = true;
-  if (otherCoding_ || (chunked_ && length_)) return fail();
+HttpParser::Status HttpParser::finishHeaders() {
+  if (http10_ && !keepAliveHeader_) request_.close = response_.close = true;
+  if (unsupportedCoding_ || (chunked_ && contentLength_)) return fail();
   if (kind_ == Kind::Response &&
       (response_.status < 200 || response_.status == 204 || response_.status == 304)) {
-    if (response_.status < 200) {  // an interim response is followed by the real one
+    if (response_.status < 200) {  // an interim response precedes the final one
       state_ = State::Start;
-      return Status::More;
+      return Status::Incomplete;
     }
-    return finish();
+    return finishMessage();
   }
   if (chunked_) {
     state_ = State::ChunkSize;
-  } else if (length_) {
-    if (*length_ > maxBody_) return fail(Status::TooLarge);
+  } else if (contentLength_) {
+    if (*contentLength_ > maxBody_) return fail(Status::TooLarge);
     state_ = State::Body;
   } else if (kind_ == Kind::Response) {
     state_ = State::UntilClose;
   } else {
-    return finish();
+    return finishMessage();
   }
-  return Status::More;
+  return Status::Incomplete;
 }
 
 HttpParser::Status HttpParser::next() {
   for (;;) {
     switch (state_) {
       case State::Failed:
-        return Status::Bad;
+        return Status::Malformed;
       case State::Start: {
-        auto l = line();
-        if (!l) return lineTooLong_ ? fail() : Status::More;
-        if (l->empty()) continue;  // stray line ends between messages are allowed
-        if (!startLine(*l)) return fail();
+        auto line = takeLine();
+        if (!line) return lineTooLong_ ? fail() : Status::Incomplete;
+        if (line->empty()) continue;  // empty lines between messages are tolerated
+        if (!parseStartLine(*line)) return fail();
         state_ = State::Headers;
         break;
       }
       case State::Headers: {
-        auto l = line();
-        if (!l) return lineTooLong_ ? fail() : Status::More;
-        if (headerBytes_ > kMaxHeaders) return fail();
-        if (!l->empty()) {
-          if (!header(*l)) return fail();
+        auto line = takeLine();
+        if (!line) return lineTooLong_ ? fail() : Status::Incomplete;
+        if (headerBytes_ > kMaxHeaderBytes) return fail();
+        if (!line->empty()) {
+          if (!parseHeader(*line)) return fail();
           break;
         }
-        if (auto s = headersDone(); s != Status::More) return s;
+        if (auto s = finishHeaders(); s != Status::Incomplete) return s;
         break;
       }
       case State::Body:
-        if (buffer_.size() < *length_) return Status::More;
-        body() = buffer_.substr(0, *length_);
-        buffer_.erase(0, *length_);
-        return finish();
+        if (buffer_.size() < *contentLength_) return Status::Incomplete;
+        body() = buffer_.substr(0, *contentLength_);
+        buffer_.erase(0, *contentLength_);
+        return finishMessage();
       case State::ChunkSize: {
-        auto l = line();
-        if (!l) return lineTooLong_ ? fail() : Status::More;
-        if (!number(trim(std::string_view(*l).substr(0, l->find(';'))), chunkLeft_, 16)) return fail();
+        auto line = takeLine();
+        if (!line) return lineTooLong_ ? fail() : Status::Incomplete;
+        if (!parseNumber(trim(std::string_view(*line).substr(0, line->find(';'))), chunkLeft_, 16))
+          return fail();
         if (chunkLeft_ > maxBody_ || body().size() + chunkLeft_ > maxBody_) return fail(Status::TooLarge);
         state_ = chunkLeft_ == 0 ? State::Trailers : State::ChunkData;
         break;
@@ -204,54 +206,56 @@
         body().append(buffer_, 0, n);
         buffer_.erase(0, n);
         chunkLeft_ -= n;
-        if (chunkLeft_ > 0) return Status::More;
+        if (chunkLeft_ > 0) return Status::Incomplete;
         state_ = State::ChunkEnd;
         break;
       }
       case State::ChunkEnd: {
-        auto l = line();
-        if (!l) return lineTooLong_ ? fail() : Status::More;
-        if (!l->empty()) return fail();
+        auto line = takeLine();
+        if (!line) return lineTooLong_ ? fail() : Status::Incomplete;
+        if (!line->empty()) return fail();
         state_ = State::ChunkSize;
         break;
       }
       case State::Trailers: {
-        auto l = line();
-        if (!l) return lineTooLong_ ? fail() : Status::More;
-        if (headerBytes_ > kMaxHeaders) return fail();
-        if (l->empty()) return finish();
+        auto line = takeLine();
+        if (!line) return lineTooLong_ ? fail() : Status::Incomplete;
+        if (headerBytes_ > kMaxHeaderBytes) return fail();
+        if (line->empty()) return finishMessage();
         break;
       }
       case State::UntilClose:
         body() += buffer_;
         buffer_.clear();
         if (body().size() > maxBody_) return fail(Status::TooLarge);
-        return Status::More;
+        return Status::Incomplete;
     }
   }
 }
 
 HttpParser::Status HttpParser::end() {
-  if (state_ != State::UntilClose) return Status::Bad;
+  if (state_ != State::UntilClose) return Status::Malformed;
   response_.close = true;
-  return finish();
+  return finishMessage();
 }
 
-std::string encodeRequest(const HttpRequest& r, const std::string& host) {
-  std::string out = r.method + " " + r.target + " HTTP/1.1\r\nHost: " + host + "\r\n";
-  if (!r.body.empty() || r.method == "POST") {
-    out += "Content-Type: application/json\r\nContent-Length: " + std::to_string(r.body.size()) + "\r\n";
+std::string encodeRequest(const HttpRequest& request, const std::string& host) {
+  std::string out = request.method + " " + request.target + " HTTP/1.1\r\nHost: " + host + "\r\n";
+  if (!request.body.empty() || request.method == "POST") {
+    out +=
+        "Content-Type: application/json\r\nContent-Length: " + std::to_string(request.body.size()) + "\r\n";
   }
-  return out + "\r\n" + r.body;
+  return out + "\r\n" + request.body;
 }
 
-std::string encodeResponse(const HttpResponse& r) {
-  std::string out = "HTTP/1.1 " + std::to_string(r.status) + " " + reason(r.status) +
-                    "\r\nContent-Type: application/json\r\nContent-Length: " + std::to_string(r.body.size()) +
-                    "\r\n";
-  if (r.retryAfterS > 0) out += "Retry-After: " + std::to_string(r.retryAfterS) + "\r\n";
-  if (r.close) out += "Connection: close\r\n";
-  return out + "\r\n" + r.body;
+std::string encodeResponse(const HttpResponse& response) {
+  std::string out =
+      "HTTP/1.1 " + std::to_string(response.status) + " " + reasonPhrase(response.status) +
+      "\r\nContent-Type: application/json\r\nContent-Length: " + std::to_string(response.body.size()) +
+      "\r\n";
+  if (response.retryAfterS > 0) out += "Retry-After: " + std::to_string(response.retryAfterS) + "\r\n";
+  if (response.close) out += "Connection: close\r\n";
+  return out + "\r\n" + response.body;
 }
 
 }  // namespace cherryloft
--- a/src/net/loop.cpp
+++ b/src/net/loop.cpp
@@ -7,18 +7,19 @@
 
 namespace cherryloft {
 namespace {
-constexpr Duration kReadingFirst{300};  // for how long sockets go first, as long as they have something
+// The longest time for which overdue timers are deferred while sockets still have input.
+constexpr Duration kMaxTimerDeferral{300};
 }  // namespace
 
-Loop::Loop(Duration stoodStill) : loop_(ev_loop_new(EVFLAG_AUTO)), stoodStill_(stoodStill) {
+Loop::Loop(Duration stallThreshold) : loop_(ev_loop_new(EVFLAG_AUTO)), stallThreshold_(stallThreshold) {
   if (!loop_) throw std::runtime_error("cannot create an event loop");
-  ev_init(&timer_, &Loop::fired);
+  ev_init(&timer_, &Loop::onTimer);
   timer_.data = this;
   ev_set_priority(&timer_, EV_MINPRI);
 }
 
 Loop::~Loop() {
-  due_.clear();
+  timers_.clear();
   ev_timer_stop(loop_, &timer_);
   ev_loop_destroy(loop_);
 }
@@ -33,76 +34,80 @@
                       .count()};
 }
 
-void Loop::after(Duration d, std::function<void()> f) {
-  auto it = due_.emplace(now() + std::max(d, Duration{0}), std::move(f));
-  if (it == due_.begin()) arm();
+void Loop::after(Duration delay, std::function<void()> callback) {
+  auto it = timers_.emplace(now() + std::max(delay, Duration{0}), std::move(callback));
+  if (it == timers_.begin()) armTimer();
 }
 
-void Loop::arm() {
+void Loop::armTimer() {
   ev_timer_stop(loop_, &timer_);
-  if (due_.empty()) return;
+  if (timers_.empty()) return;
   ev_now_update(loop_);
-  double wait = inSeconds(due_.begin()->first - now());
+  double wait = inSeconds(timers_.begin()->first - now());
   ev_timer_set(&timer_, std::max(wait, 0.0), 0.0);
   ev_timer_start(loop_, &timer_);
 }
 
-// One look at the sockets shows only some of what waits in them, and what is newly accepted not at all.
-bool Loop::socketsFirst(Time now) {
-  bool more = socketEvents_ != std::exchange(seenEvents_, socketEvents_);
-  if (due_.empty() || now - due_.begin()->first < stoodStill_) {
-    lateSince_.reset();
+// Whether overdue timers must wait for socket input. A single poll is not enough: it reads only part of what
+// is pending, and nothing from connections accepted in the same poll.
+bool Loop::mustReadSocketsFirst(Time now) {
+  bool hadInput = socketEvents_ != std::exchange(socketEventsAtLastCheck_, socketEvents_);
+  if (timers_.empty() || now - timers_.begin()->first < stallThreshold_) {
+    deferringTimersSince_.reset();
     return false;
   }
-  if (!lateSince_) {
-    lateSince_ = now;
+  if (!deferringTimersSince_) {
+    deferringTimersSince_ = now;
     return true;
   }
-  return more && now - *lateSince_ < kReadingFirst;
+  return hadInput && now - *deferringTimersSince_ < kMaxTimerDeferral;
 }
 
-void Loop::runDue() {
-  if (socketsFirst(now())) return arm();
-  // Only what was due when the turn began, so that timers cannot starve sockets.
+void Loop::runDueTimers() {
+  if (mustReadSocketsFirst(now())) return armTimer();
+  // Only timers that were due at the start, so that timers cannot starve sockets.
   auto until = now();
-  while (!due_.empty() && due_.begin()->first <= until) {
-    auto f = std::move(due_.begin()->second);
-    due_.erase(due_.begin());
-    f();
+  while (!timers_.empty() && timers_.begin()->first <= until) {
+    auto callback = std::move(timers_.begin()->second);
+    timers_.erase(timers_.begin());
+    callback();
   }
-  arm();
+  armTimer();
 }
 
-void Loop::fired(struct ev_loop*, ev_timer* w, int) { static_cast<Loop*>(w->data)->runDue(); }
+void Loop::onTimer(struct ev_loop*, ev_timer* watcher, int) {
+  static_cast<Loop*>(watcher->data)->runDueTimers();
+}
 
 void Loop::run() { ev_run(loop_, 0); }
 void Loop::stop() { ev_break(loop_, EVBREAK_ALL); }
 
-Socket::Socket(Loop& loop, int fd, Ready ready) : loop_(loop), fd_(fd), ready_(std::move(ready)) {
-  ev_init(&runtime_, &Socket::fired);
-  runtime_.data = this;
+Socket::Socket(Loop& loop, int fd, ReadyHandler onReady)
+    : loop_(loop), fd_(fd), onReady_(std::move(onReady)) {
+  ev_init(&watcher_, &Socket::onEvent);
+  watcher_.data = this;
 }
 
 Socket::~Socket() {
-  ev_io_stop(loop_.raw(), &runtime_);
+  ev_io_stop(loop_.raw(), &watcher_);
   ::close(fd_);
 }
 
 void Socket::watch(int events) {
   if (events == events_) return;
-  ev_io_stop(loop_.raw(), &runtime_);
+  ev_io_stop(loop_.raw(), &watcher_);
   events_ = events;
   if (events == 0) return;
-  ev_io_set(&runtime_, fd_, events);
-  ev_io_start(loop_.raw(), &runtime_);
+  ev_io_set(&watcher_, fd_, events);
+  ev_io_start(loop_.raw(), &watcher_);
 }
 
-void Socket::fired(struct ev_loop*, ev_io* w, int events) {
-  // A copy, as the reaction may destroy the socket.
-  auto* self = static_cast<Socket*>(w->data);
+void Socket::onEvent(struct ev_loop*, ev_io* watcher, int events) {
+  auto* self = static_cast<Socket*>(watcher->data);
   ++self->loop_.socketEvents_;
-  auto ready = self->ready_;
-  ready(events);
+  // A copy: the handler may destroy the socket.
+  auto handler = self->onReady_;
+  handler(events);
 }
 
 }  // namespace cherryloft
--- a/src/net/loop.h
+++ b/src/net/loop.h
@@ -1,5 +1,6 @@
-// The libev loop: steady time, one-shot timers and watched descriptors. What sockets hold is read before
-// timers run: a process that stood still must not take its own stillness for silence of others.
+// Event loop on libev: monotonic time, one-shot timers and watched descriptors. After the process was
+// suspended, pending socket input is handled before overdue timers, so that its own pause is not mistaken for
+// silence of its peers.
 #pragma once
 
 #include <ev.h>
@@ -15,15 +16,16 @@
 
 class Loop {
  public:
-  // Timers later than that had no chance to run: the process stood still.
-  explicit Loop(Duration stoodStill = Duration{500});
+  // A timer that is overdue by `stallThreshold` or more means that the process was suspended.
+  explicit Loop(Duration stallThreshold = Duration{500});
   ~Loop();
   Loop(const Loop&) = delete;
   Loop& operator=(const Loop&) = delete;
 
   Time now() const;
   WallTime wall() const;
-  void after(Duration d, std::function<void()> f);
+  // Runs the callback once, after the delay.
+  void after(Duration delay, std::function<void()> callback);
   void run();
   void stop();
   struct ev_loop* raw() {
@@ -32,27 +34,27 @@
 
  private:
   friend class Socket;
-  static void fired(struct ev_loop*, ev_timer* w, int);
-  void arm();
-  bool socketsFirst(Time now);
-  void runDue();
+  static void onTimer(struct ev_loop*, ev_timer* watcher, int);
+  void armTimer();
+  bool mustReadSocketsFirst(Time now);
+  void runDueTimers();
 
   struct ev_loop* loop_;
   ev_timer timer_;
-  std::multimap<Time, std::function<void()>> due_;
-  // After the process stood still: since when sockets are read before timers are run, and what they showed.
-  Duration stoodStill_;
-  std::optional<Time> lateSince_;
-  std::uint64_t socketEvents_ = 0, seenEvents_ = 0;
+  std::multimap<Time, std::function<void()>> timers_;  // by due time
+  Duration stallThreshold_;
+  std::optional<Time> deferringTimersSince_;  // set while overdue timers wait for socket input
+  std::uint64_t socketEvents_ = 0;            // handled so far
+  std::uint64_t socketEventsAtLastCheck_ = 0;
 };
 
-// A non-blocking socket with its watcher; closes with its owner.
+// Owns a non-blocking socket and its libev watcher; closes the socket on destruction.
 class Socket {
  public:
-  // The owner's reaction to readiness: EV_READ, EV_WRITE or both.
-  using Ready = std::function<void(int events)>;
+  // Called when the socket is ready; events: EV_READ, EV_WRITE or both.
+  using ReadyHandler = std::function<void(int events)>;
 
-  Socket(Loop& loop, int fd, Ready ready);
+  Socket(Loop& loop, int fd, ReadyHandler onReady);
   ~Socket();
   Socket(const Socket&) = delete;
   Socket& operator=(const Socket&) = delete;
@@ -61,13 +63,13 @@
   void watch(int events);
 
  private:
-  static void fired(struct ev_loop*, ev_io* w, int events);
+  static void onEvent(struct ev_loop*, ev_io* watcher, int events);
 
   Loop& loop_;
   int fd_;
   int events_ = 0;
-  Ready ready_;
-  ev_io runtime_;
+  ReadyHandler onReady_;
+  ev_io watcher_;
 };
 
 }  // namespace cherryloft
--- a/src/net/server.cpp
+++ b/src/net/server.cpp
@@ -4,133 +4,143 @@
 
 namespace cherryloft {
 namespace {
-constexpr Duration kSlowRequest{10'000};  // a request must be whole within this
-constexpr Duration kIdle{75'000};
-constexpr Duration kSweep{1'000};
-constexpr Duration kSayAgain{10'000};
-// Bytes of requests sent before the answer to the one before.
-constexpr std::size_t kMostAhead = std::size_t{128} * 1024;
+// For receiving a request, and for closing after the last response.
+constexpr Duration kRequestTimeout{10'000};
+constexpr Duration kIdleTimeout{75'000};
+constexpr Duration kTimeoutCheckInterval{1'000};
+constexpr Duration kLimitLogInterval{10'000};
+// Request bytes that a peer may send before the previous request is answered.
+constexpr std::size_t kMaxPipelinedBytes = std::size_t{128} * 1024;
 }  // namespace
 
 HttpServer::HttpServer(Loop& loop, Log log, int listenFd, std::size_t maxConnections, Handler handler,
-                       IsWorker isWorker)
+                       WorkerPredicate isWorker)
     : loop_(loop),
       log_(std::move(log)),
-      max_(maxConnections),
-      crowded_(maxConnections - maxConnections / 8),
+      maxConnections_(maxConnections),
+      workerKeepAliveLimit_(maxConnections - maxConnections / 8),
       handler_(std::move(handler)),
       isWorker_(std::move(isWorker)),
-      listener_(loop, listenFd, [this](int fd) { accepted(fd); }) {
-  sweep();
+      listener_(loop, listenFd, [this](int fd) { accept(fd); }) {
+  closeTimedOut();
 }
 
-void HttpServer::accepted(int fd) {
-  if (count_ >= max_) closeOneForNewcomer();
-  auto c = std::make_shared<Connection>();
-  c->stream = std::make_shared<Stream>(loop_, fd, false);
-  c->since = loop_.now();
-  auto& l = line(c->state, c->worker);
-  c->at = l.insert(l.end(), c);
+void HttpServer::accept(int fd) {
+  if (count_ >= maxConnections_) closeOneToMakeRoom();
+  auto connection = std::make_shared<Connection>();
+  connection->stream = std::make_shared<Stream>(loop_, fd, false);
+  connection->since = loop_.now();
+  auto& connections = connectionsIn(connection->state, connection->worker);
+  connection->position = connections.insert(connections.end(), connection);
   ++count_;
-  std::weak_ptr<Connection> weak = c;
-  c->stream->start(
+  std::weak_ptr<Connection> weak = connection;
+  connection->stream->start(
       [this, weak](std::string_view bytes) {
-        auto p = weak.lock();
-        if (!p || p->state == State::Closing) return;
-        p->parser.feed(bytes);
-        // Nobody may fill our memory while an answer is under way.
-        if (p->parser.buffered() > kMostAhead) return drop(p);
-        if (p->state == State::Idle) become(p, State::Receiving);
-        received(p);
+        auto open = weak.lock();
+        if (!open || open->state == State::Closing) return;
+        open->parser.feed(bytes);
+        // Bounds the memory that a peer can use up while its previous request is being handled.
+        if (open->parser.buffered() > kMaxPipelinedBytes) return drop(open);
+        if (open->state == State::Idle) setState(open, State::Receiving);
+        processInput(open);
       },
       [this, weak] {
-        if (auto p = weak.lock()) drop(p);
+        if (auto open = weak.lock()) drop(open);
       });
 }
 
-void HttpServer::become(const Ptr& c, State s, bool worker) {
-  auto& from = line(c->state, c->worker);
-  auto& to = line(s, worker);
-  c->state = s;
-  c->worker = worker;
-  c->since = loop_.now();
-  to.splice(to.end(), from, c->at);
+void HttpServer::setState(const ConnectionPtr& connection, State state, bool worker) {
+  auto& from = connectionsIn(connection->state, connection->worker);
+  auto& to = connectionsIn(state, worker);
+  connection->state = state;
+  connection->worker = worker;
+  connection->since = loop_.now();
+  to.splice(to.end(), from, connection->position);
 }
 
-void HttpServer::received(const Ptr& c) {
-  if (c->state == State::Answering) return;
-  switch (c->parser.next()) {
-    case HttpParser::Status::More:
+void HttpServer::processInput(const ConnectionPtr& connection) {
+  if (connection->state == State::Answering) return;
+  switch (connection->parser.next()) {
+    case HttpParser::Status::Incomplete:
       return;
-    case HttpParser::Status::Ready:
+    case HttpParser::Status::Complete:
       break;
     case HttpParser::Status::TooLarge:
-      return answer(c, {400, R"({"error":"body too large"})", true, 0});
-    case HttpParser::Status::Bad:
-      return answer(c, {400, R"({"error":"malformed request"})", true, 0});
+      return answer(connection, {400, R"({"error":"body too large"})", true, 0});
+    case HttpParser::Status::Malformed:
+      return answer(connection, {400, R"({"error":"malformed request"})", true, 0});
   }
-  c->lastRequest = c->parser.request().close;
-  become(c, State::Answering, isWorker_(c->parser.request()));
-  std::weak_ptr<Connection> weak = c;
-  handler_(std::move(c->parser.request()),
-           [this, weak, number = ++c->request, alive = std::weak_ptr<bool>(alive_)](HttpResponse r) {
-             auto p = weak.lock();
-             if (!alive.lock() || !p || p->state != State::Answering || p->request != number) return;
-             answer(p, std::move(r));
+  connection->lastRequest = connection->parser.request().close;
+  setState(connection, State::Answering, isWorker_(connection->parser.request()));
+  std::weak_ptr<Connection> weak = connection;
+  handler_(std::move(connection->parser.request()),
+           [this, weak, number = ++connection->requestNumber,
+            alive = std::weak_ptr<bool>(alive_)](HttpResponse response) {
+             auto open = weak.lock();
+             if (!alive.lock() || !open || open->state != State::Answering || open->requestNumber != number)
+               return;
+             answer(open, std::move(response));
            });
 }
 
-void HttpServer::answer(const Ptr& c, HttpResponse r) {
-  // More workers report here than there are sockets: each of them comes back with its next report, and none
-  // loses a request for another's sake.
-  r.close = r.close || c->lastRequest || (c->worker && count_ >= crowded_);
-  become(c, r.close ? State::Closing : c->parser.idle() ? State::Idle : State::Receiving);
-  c->stream->send(encodeResponse(r));
-  if (r.close) return c->stream->finish();
-  if (c->state == State::Idle) return;
-  // Bytes of a next request are here already; a turn of its own keeps the stack flat.
-  std::weak_ptr<Connection> weak = c;
+void HttpServer::answer(const ConnectionPtr& connection, HttpResponse response) {
+  // There may be more workers than sockets. A worker whose connection is closed after a response reconnects
+  // for its next heartbeat, and no pending request is lost.
+  response.close =
+      response.close || connection->lastRequest || (connection->worker && count_ >= workerKeepAliveLimit_);
+  setState(connection, response.close              ? State::Closing
+                       : connection->parser.idle() ? State::Idle
+                                                   : State::Receiving);
+  connection->stream->send(encodeResponse(response));
+  if (response.close) return connection->stream->closeAfterWrite();
+  if (connection->state == State::Idle) return;
+  // Part of the next request has been received already. Handling it in a new loop iteration bounds the stack
+  // depth.
+  std::weak_ptr<Connection> weak = connection;
   loop_.after(Duration{0}, [this, weak, alive = std::weak_ptr<bool>(alive_)] {
-    auto p = weak.lock();
-    if (alive.lock() && p && p->state == State::Receiving) received(p);
+    auto open = weak.lock();
+    if (alive.lock() && open && open->state == State::Receiving) processInput(open);
   });
 }
 
-void HttpServer::drop(const Ptr& c) {
-  // The caller's may be the list's own, which is erased below: a copy keeps the connection.
-  auto keep = c;  // NOLINT(performance-unnecessary-copy-initialization)
-  if (std::exchange(keep->gone, true)) return;
-  keep->stream->close();
-  line(keep->state, keep->worker).erase(keep->at);
+void HttpServer::drop(const ConnectionPtr& connection) {
+  // `connection` may refer to the list's element, which is erased below: the copy keeps the connection
+  // alive.
+  auto copy = connection;  // NOLINT(performance-unnecessary-copy-initialization)
+  if (std::exchange(copy->dropped, true)) return;
+  copy->stream->close();
+  connectionsIn(copy->state, copy->worker).erase(copy->position);
   --count_;
 }
 
-// Those who wait for nothing before those who wait for an answer, and users before workers, whose leases hang
-// on their connections.
-void HttpServer::closeOneForNewcomer() {
-  if (auto now = loop_.now(); now - saidFull_ > kSayAgain) {
-    saidFull_ = now;
-    log_->info("connection limit reached: limit={}", max_);
+// Connections without a pending request before those awaiting a response; within a state users before
+// workers, whose leases depend on their connections.
+void HttpServer::closeOneToMakeRoom() {
+  if (auto now = loop_.now(); now - limitLoggedAt_ > kLimitLogInterval) {
+    limitLoggedAt_ = now;
+    log_->info("connection limit reached: limit={}", maxConnections_);
   }
-  for (auto s : {State::Closing, State::Idle, State::Receiving, State::Answering})
+  for (auto state : {State::Closing, State::Idle, State::Receiving, State::Answering})
     for (bool worker : {false, true}) {
-      ++walked_;
-      if (auto& l = line(s, worker); !l.empty()) return drop(l.front());
+      ++connectionsScanned_;
+      if (auto& connections = connectionsIn(state, worker); !connections.empty())
+        return drop(connections.front());
     }
 }
 
-void HttpServer::sweep() {
+void HttpServer::closeTimedOut() {
   auto now = loop_.now();
-  auto end = [&](State s, Duration after) {
+  auto closeOlderThan = [&](State state, Duration timeout) {
     for (bool worker : {false, true})
-      for (auto& l = line(s, worker); !l.empty() && now - l.front()->since > after; ++walked_)
-        drop(l.front());
+      for (auto& connections = connectionsIn(state, worker);
+           !connections.empty() && now - connections.front()->since > timeout; ++connectionsScanned_)
+        drop(connections.front());
   };
-  end(State::Receiving, kSlowRequest);
-  end(State::Closing, kSlowRequest);
-  end(State::Idle, kIdle);
-  loop_.after(kSweep, [this, alive = std::weak_ptr<bool>(alive_)] {
-    if (alive.lock()) sweep();
+  closeOlderThan(State::Receiving, kRequestTimeout);
+  closeOlderThan(State::Closing, kRequestTimeout);
+  closeOlderThan(State::Idle, kIdleTimeout);
+  loop_.after(kTimeoutCheckInterval, [this, alive = std::weak_ptr<bool>(alive_)] {
+    if (alive.lock()) closeTimedOut();
   });
 }
 
--- a/src/net/server.h
+++ b/src/net/server.h
@@ -1,6 +1,7 @@
-// HTTP server for users, workers and health checks: keep-alive, answers that may come later, bounded
-// connections. Near the bound workers are asked to connect anew for their next report, so that users and
-// health checks find room and no request is lost; beyond it idle users' connections give way first.
+// HTTP server for users, workers and health checks, with keep-alive, deferred responses and a limit of
+// connections. Close to the limit workers' connections are closed after each response, so that users and
+// health checks can still connect and no request is lost; at the limit idle users' connections are closed
+// first.
 #pragma once
 
 #include <array>
@@ -13,24 +14,23 @@
 
 namespace cherryloft {
 
-// Answers one request, once; later calls and answers to closed connections do nothing.
+// Sends the response to one request. Further calls, and calls after the connection was closed, do nothing.
 using Responder = std::function<void(HttpResponse)>;
 
 class HttpServer {
  public:
-  // Says whether the request came from a worker, whose connection is spared when room is needed.
   using Handler = std::function<void(HttpRequest, Responder)>;
-  using IsWorker = std::function<bool(const HttpRequest&)>;
+  // Whether a request is from a worker; workers' connections are closed last when the limit is reached.
+  using WorkerPredicate = std::function<bool(const HttpRequest&)>;
 
   HttpServer(Loop& loop, Log log, int listenFd, std::size_t maxConnections, Handler handler,
-             IsWorker isWorker);
+             WorkerPredicate isWorker);
   std::size_t connections() const { return count_; }
-  // Connections that were connectionsScanned to make room or to sweep, for the tests: a matter of what goes,
-  // not of what is there.
-  std::uint64_t connectionsScanned() const { return walked_; }
+  // Steps taken to find connections to close, for tests: must not grow with the number of open connections.
+  std::uint64_t connectionsScanned() const { return connectionsScanned_; }
 
  private:
-  // In the order in which they give way when room is needed.
+  // In the order in which connections are closed when the limit is reached.
   enum class State : std::uint8_t { Closing, Idle, Receiving, Answering };
   static constexpr std::size_t kStates = 4;
   struct Connection {
@@ -38,35 +38,39 @@
     HttpParser parser{HttpParser::Kind::Request, std::size_t{64} * 1024};
     State state = State::Idle;
     bool worker = false;
-    bool lastRequest = false;  // the connection ends with the answer
-    bool gone = false;
-    std::uint64_t request = 0;
-    Time since{};                                         // when it came into this state
-    std::list<std::shared_ptr<Connection>>::iterator at;  // in its list
+    bool lastRequest = false;  // close after the response
+    bool dropped = false;
+    std::uint64_t requestNumber = 0;  // so that a late response is not sent for a later request
+    Time since{};                     // when it entered this state
+    std::list<std::shared_ptr<Connection>>::iterator position;  // in its list
   };
-  using Ptr = std::shared_ptr<Connection>;
-  using Line = std::list<Ptr>;  // longest in that state first
+  using ConnectionPtr = std::shared_ptr<Connection>;
+  using ConnectionList = std::list<ConnectionPtr>;  // longest in the state first
 
-  void accepted(int fd);
-  void received(const Ptr& c);
-  void answer(const Ptr& c, HttpResponse r);
-  void become(const Ptr& c, State s) { become(c, s, c->worker); }
-  void become(const Ptr& c, State s, bool worker);
-  void drop(const Ptr& c);
-  void closeOneForNewcomer();
-  void sweep();
-  Line& line(State s, bool worker) { return lines_[static_cast<std::size_t>(s) + (worker ? kStates : 0)]; }
+  void accept(int fd);
+  void processInput(const ConnectionPtr& connection);
+  void answer(const ConnectionPtr& connection, HttpResponse response);
+  void setState(const ConnectionPtr& connection, State state) {
+    setState(connection, state, connection->worker);
+  }
+  void setState(const ConnectionPtr& connection, State state, bool worker);
+  void drop(const ConnectionPtr& connection);
+  void closeOneToMakeRoom();
+  void closeTimedOut();
+  ConnectionList& connectionsIn(State state, bool worker) {
+    return connectionLists_[static_cast<std::size_t>(state) + (worker ? kStates : 0)];
+  }
 
   Loop& loop_;
   Log log_;
-  std::size_t max_;
-  std::size_t crowded_;  // from so many on workers' connections are not kept
+  std::size_t maxConnections_;
+  std::size_t workerKeepAliveLimit_;  // with this many connections or more, workers' are not kept alive
   Handler handler_;
-  IsWorker isWorker_;
-  std::array<Line, 2 * kStates> lines_;
+  WorkerPredicate isWorker_;
+  std::array<ConnectionList, 2 * kStates> connectionLists_;
   std::size_t count_ = 0;
-  std::uint64_t walked_ = 0;
-  Time saidFull_{};
+  std::uint64_t connectionsScanned_ = 0;
+  Time limitLoggedAt_{};
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
   Listener listener_;
 };
--- a/src/net/tcp.cpp
+++ b/src/net/tcp.cpp
@@ -11,39 +11,39 @@
 namespace cherryloft {
 namespace {
 
-sockaddr_in toSockaddr(const Address& a) {
+sockaddr_in toSockaddr(const Address& address) {
   sockaddr_in sa{};
   sa.sin_family = AF_INET;
-  sa.sin_port = htons(a.port);
-  ::inet_pton(AF_INET, a.ip.c_str(), &sa.sin_addr);
+  sa.sin_port = htons(address.port);
+  ::inet_pton(AF_INET, address.ip.c_str(), &sa.sin_addr);
   return sa;
 }
 
 int newSocket() { return ::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0); }
 
-void noDelay(int fd) {
-  int one = 1;
-  ::setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &one, sizeof one);
+void setNoDelay(int fd) {
+  int enable = 1;
+  ::setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &enable, sizeof enable);
 }
 
 }  // namespace
 
-int listenOn(const Address& at) {
+int listenOn(const Address& address) {
   int fd = newSocket();
   if (fd < 0) return -1;
-  int one = 1;
-  ::setsockopt(fd, SOL_SOCKET, SO_REUSEADDR, &one, sizeof one);
-  auto sa = toSockaddr(at);
+  int enable = 1;
+  ::setsockopt(fd, SOL_SOCKET, SO_REUSEADDR, &enable, sizeof enable);
+  auto sa = toSockaddr(address);
   if (::bind(fd, reinterpret_cast<sockaddr*>(&sa), sizeof sa) == 0 && ::listen(fd, 512) == 0) return fd;
-  int why = errno;
+  int error = errno;
   ::close(fd);
-  errno = why;
+  errno = error;
   return -1;
 }
 
-int listenWithRetries(const Address& at, unsigned tries, const std::function<void()>& pause) {
+int listenWithRetries(const Address& address, unsigned tries, const std::function<void()>& pause) {
   for (;;) {
-    int fd = listenOn(at);
+    int fd = listenOn(address);
     if (fd >= 0 || errno != EADDRINUSE || --tries == 0) return fd;
     pause();
   }
@@ -52,7 +52,7 @@
 int connectTo(const Address& to) {
   int fd = newSocket();
   if (fd < 0) return -1;
-  noDelay(fd);
+  setNoDelay(fd);
   auto sa = toSockaddr(to);
   if (::connect(fd, reinterpret_cast<sockaddr*>(&sa), sizeof sa) == 0 || errno == EINPROGRESS) return fd;
   ::close(fd);
@@ -68,23 +68,23 @@
 
 Stream::Stream(Loop& loop, int fd, bool connecting) : loop_(loop), fd_(fd), connecting_(connecting) {}
 
-void Stream::start(Sink sink, Ended ended, std::function<void()> connected) {
-  sink_ = std::move(sink);
-  ended_ = std::move(ended);
-  connected_ = std::move(connected);
+void Stream::start(DataHandler onData, CloseHandler onClose, std::function<void()> onConnect) {
+  onData_ = std::move(onData);
+  onClose_ = std::move(onClose);
+  onConnect_ = std::move(onConnect);
   std::weak_ptr<Stream> weak = weak_from_this();
   socket_ = std::make_unique<Socket>(loop_, fd_, [weak](int events) {
-    if (auto self = weak.lock()) self->ready(events);
+    if (auto self = weak.lock()) self->onReady(events);
   });
-  interest();
+  updateWatchedEvents();
 }
 
-void Stream::react(Sink sink, Ended ended) {
-  sink_ = std::move(sink);
-  ended_ = std::move(ended);
+void Stream::setHandlers(DataHandler onData, CloseHandler onClose) {
+  onData_ = std::move(onData);
+  onClose_ = std::move(onClose);
 }
 
-void Stream::interest() {
+void Stream::updateWatchedEvents() {
   if (!socket_) return;
   if (connecting_)
     socket_->watch(EV_WRITE);
@@ -92,11 +92,11 @@
     socket_->watch(EV_READ | (queued() > 0 ? EV_WRITE : 0));
 }
 
-void Stream::ready(int events) {
+void Stream::onReady(int events) {
   if (connecting_) {
     if (socketError(fd_) != 0) return end();
     connecting_ = false;
-    if (connected_) connected_();
+    if (onConnect_) onConnect_();
     if (!socket_) return;
     flush();
     return;
@@ -104,11 +104,11 @@
   if (events & EV_WRITE) flush();
   if (!socket_ || !(events & EV_READ)) return;
   char buffer[16 * 1024];
-  for (int turns = 0; turns < 8 && socket_; ++turns) {
+  for (int reads = 0; reads < 8 && socket_; ++reads) {
     auto n = ::recv(fd_, buffer, sizeof buffer, 0);
     if (n > 0) {
-      auto sink = sink_;  // a copy: the reaction may put another in its place
-      sink(std::string_view(buffer, static_cast<std::size_t>(n)));
+      auto handler = onData_;  // a copy: the handler may replace itself
+      handler(std::string_view(buffer, static_cast<std::size_t>(n)));
       if (static_cast<std::size_t>(n) < sizeof buffer) return;
     } else if (n < 0 && errno == EINTR) {
       continue;
@@ -123,17 +123,17 @@
 void Stream::send(std::string bytes) {
   if (!socket_) return;
   if (queued() == 0) {
-    callbacks_ = std::move(bytes);
+    output_ = std::move(bytes);
     written_ = 0;
   } else {
-    callbacks_ += bytes;
+    output_ += bytes;
   }
   if (!connecting_) flush();
 }
 
 void Stream::flush() {
   while (socket_ && queued() > 0) {
-    auto n = ::send(fd_, callbacks_.data() + written_, queued(), MSG_NOSIGNAL);
+    auto n = ::send(fd_, output_.data() + written_, queued(), MSG_NOSIGNAL);
     if (n > 0) {
       written_ += static_cast<std::size_t>(n);
     } else if (n < 0 && errno == EINTR) {
@@ -145,36 +145,36 @@
     }
   }
   if (queued() == 0) {
-    callbacks_.clear();
+    output_.clear();
     written_ = 0;
-    if (finishing_) return end();
+    if (closeAfterWrite_) return end();
   }
-  interest();
+  updateWatchedEvents();
 }
 
-void Stream::finish() {
-  finishing_ = true;
+void Stream::closeAfterWrite() {
+  closeAfterWrite_ = true;
   if (queued() == 0) end();
 }
 
 void Stream::close() {
-  ended_ = {};
+  onClose_ = {};
   socket_.reset();
 }
 
 void Stream::end() {
   if (!socket_) return;
   socket_.reset();
-  if (auto f = std::move(ended_)) f();
+  if (auto handler = std::move(onClose_)) handler();
 }
 
-Listener::Listener(Loop& loop, int fd, Accepted accepted) : accepted_(std::move(accepted)) {
+Listener::Listener(Loop& loop, int fd, AcceptHandler onAccept) : onAccept_(std::move(onAccept)) {
   socket_ = std::make_unique<Socket>(loop, fd, [this](int) {
     for (int i = 0; i < 64; ++i) {
-      int c = ::accept4(socket_->fd(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
-      if (c < 0) return;
-      noDelay(c);
-      accepted_(c);
+      int accepted = ::accept4(socket_->fd(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
+      if (accepted < 0) return;
+      setNoDelay(accepted);
+      onAccept_(accepted);
     }
   });
   socket_->watch(EV_READ);
--- a/src/net/tcp.h
+++ b/src/net/tcp.h
@@ -1,4 +1,4 @@
-// Plain TCP over IPv4: opening sockets, and a buffered stream.
+// TCP over IPv4: opening sockets, a listener and a buffered stream.
 #pragma once
 
 #include <functional>
@@ -10,60 +10,63 @@
 
 namespace cherryloft {
 
-// Listening socket, or -1 with errno set.
-int listenOn(const Address& at);
-// The same, but an address that is in use is tried again: another process's outgoing connection may have been
-// given our port for its own, or a former process of ours may not be gone yet.
-int listenWithRetries(const Address& at, unsigned tries, const std::function<void()>& pause);
-// A socket that is connecting, or -1.
+// Returns a listening socket, or -1 with errno set.
+int listenOn(const Address& address);
+// Like listenOn, but retries while the address is in use, pausing before each retry: the port may be the
+// ephemeral port of another process's outgoing connection, or the previous controller process may not have
+// exited yet.
+int listenWithRetries(const Address& address, unsigned tries, const std::function<void()>& pause);
+// Starts a non-blocking connect; returns the socket, or -1.
 int connectTo(const Address& to);
-// The pending error of a socket, 0 for none.
+// The socket's pending error (SO_ERROR), 0 for none.
 int socketError(int fd);
 
-// Reads into a sink and writes what is queued. It reports its end once and does nothing afterwards.
+// A buffered, non-blocking stream: passes received bytes to a handler and writes queued ones. When the
+// connection ends it calls the close handler once and does nothing afterwards.
 class Stream : public std::enable_shared_from_this<Stream> {
  public:
-  using Sink = std::function<void(std::string_view)>;
-  using Ended = std::function<void()>;
+  using DataHandler = std::function<void(std::string_view)>;
+  using CloseHandler = std::function<void()>;
 
   Stream(Loop& loop, int fd, bool connecting);
-  void start(Sink sink, Ended ended, std::function<void()> connected = {});
-  // Hands a running stream to another user.
-  void react(Sink sink, Ended ended);
+  void start(DataHandler onData, CloseHandler onClose, std::function<void()> onConnect = {});
+  // Replaces the handlers of a started stream.
+  void setHandlers(DataHandler onData, CloseHandler onClose);
   void send(std::string bytes);
-  // Ends once all that is queued is written.
-  void finish();
+  // Closes once all queued bytes are written.
+  void closeAfterWrite();
+  // Closes at once, without calling the close handler.
   void close();
   bool open() const { return socket_ != nullptr; }
   bool connected() const { return !connecting_; }
-  std::size_t queued() const { return callbacks_.size() - written_; }
+  std::size_t queued() const { return output_.size() - written_; }
 
  private:
-  void ready(int events);
+  void onReady(int events);
   void flush();
   void end();
-  void interest();
+  void updateWatchedEvents();
 
   Loop& loop_;
   std::unique_ptr<Socket> socket_;
   int fd_;
   bool connecting_;
-  bool finishing_ = false;
-  std::string callbacks_;
-  std::size_t written_ = 0;
-  Sink sink_;
-  Ended ended_;
-  std::function<void()> connected_;
+  bool closeAfterWrite_ = false;
+  std::string output_;       // queued bytes
+  std::size_t written_ = 0;  // of output_
+  DataHandler onData_;
+  CloseHandler onClose_;
+  std::function<void()> onConnect_;
 };
 
 class Listener {
  public:
-  using Accepted = std::function<void(int fd)>;
-  Listener(Loop& loop, int fd, Accepted accepted);
+  using AcceptHandler = std::function<void(int fd)>;
+  Listener(Loop& loop, int fd, AcceptHandler onAccept);
 
  private:
   std::unique_ptr<Socket> socket_;
-  Accepted accepted_;
+  AcceptHandler onAccept_;
 };
 
 }  // namespace cherryloft
--- a/tests/unit/http_test.cpp
+++ b/tests/unit/http_test.cpp
@@ -25,7 +25,7 @@
     std::vector<HttpRequest> got;
     for (const auto& part : {kTwo.substr(0, cut), kTwo.substr(cut)}) {
       p.feed(part);
-      while (p.next() == Status::Ready) got.push_back(p.request());
+      while (p.next() == Status::Complete) got.push_back(p.request());
     }
     ASSERT_EQ(got.size(), 2U) << "cut at " << cut;
     EXPECT_EQ(got[0].method, "POST");
@@ -43,18 +43,18 @@
   HttpParser p(HttpParser::Kind::Response, 1024);
   for (std::size_t i = 0; i + 1 < text.size(); ++i) {
     p.feed(text.substr(i, 1));
-    ASSERT_EQ(p.next(), Status::More) << i;
+    ASSERT_EQ(p.next(), Status::Incomplete) << i;
   }
   p.feed(text.substr(text.size() - 1));
-  ASSERT_EQ(p.next(), Status::Ready);
+  ASSERT_EQ(p.next(), Status::Complete);
   EXPECT_EQ(p.response().body, "Wikipedia");
 }
 
 TEST(HttpParser, ResponseUntilClose) {
   HttpParser p(HttpParser::Kind::Response, 1024);
   p.feed("HTTP/1.1 503 No\r\nRetry-After: 7\r\n\r\nbody");
-  EXPECT_EQ(p.next(), Status::More);
-  EXPECT_EQ(p.end(), Status::Ready);
+  EXPECT_EQ(p.next(), Status::Incomplete);
+  EXPECT_EQ(p.end(), Status::Complete);
   EXPECT_EQ(p.response().status, 503);
   EXPECT_EQ(p.response().retryAfterS, 7);
   EXPECT_EQ(p.response().body, "body");
@@ -70,8 +70,8 @@
         "GET / HTTP/1.1\r\nTransfer-Encoding: gzip\r\n\r\n",
         "GET / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n",
         "GET / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nab\r\n"})
-    EXPECT_EQ(parseOne(bad), Status::Bad) << bad;
-  EXPECT_EQ(parseOne(std::string(9000, 'a')), Status::Bad);
+    EXPECT_EQ(parseOne(bad), Status::Malformed) << bad;
+  EXPECT_EQ(parseOne(std::string(9000, 'a')), Status::Malformed);
   EXPECT_EQ(parseOne("POST / HTTP/1.1\r\nContent-Length: 65537\r\n\r\n"), Status::TooLarge);
   EXPECT_EQ(parseOne("POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nfffffff\r\n"), Status::TooLarge);
 }
@@ -79,11 +79,11 @@
 TEST(HttpParser, EncodedMessagesComeBack) {
   HttpParser in(HttpParser::Kind::Request, 1024);
   in.feed(encodeRequest({"POST", "/txn", "{}", false}, "h:1"));
-  ASSERT_EQ(in.next(), Status::Ready);
+  ASSERT_EQ(in.next(), Status::Complete);
   EXPECT_EQ(in.request().body, "{}");
   HttpParser out(HttpParser::Kind::Response, 1024);
   out.feed(encodeResponse({421, "x", true, 3}));
-  ASSERT_EQ(out.next(), Status::Ready);
+  ASSERT_EQ(out.next(), Status::Complete);
   EXPECT_EQ(out.response().status, 421);
   EXPECT_TRUE(out.response().close);
   EXPECT_EQ(out.response().retryAfterS, 3);
