--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -11,21 +11,23 @@
 namespace cherryloft {
 namespace {
 
-constexpr std::size_t kIdlePerAddress = 6;
+constexpr std::size_t kMaxIdleConnectionsPerAddress = 6;
 constexpr unsigned kListenTries = 50;
-constexpr Duration kListenAgain{100};
+constexpr Duration kListenRetryInterval{100};
 
 class LoopRuntime : public Runtime {
  public:
   LoopRuntime(Loop& loop, HttpClient& client) : loop_(loop), client_(client) {}
-  void attach(mesh::Transport* t) { transport_ = t; }
+  void setTransport(mesh::Transport* transport) { transport_ = transport; }
   Time now() const override { return loop_.now(); }
   WallTime wall() const override { return loop_.wall(); }
-  void after(Duration d, std::function<void()> f) override { loop_.after(d, std::move(f)); }
-  void call(const Address& to, HttpRequest r, Duration deadline, HttpCallback done) override {
-    client_.call(to, std::move(r), deadline, std::move(done));
+  void after(Duration delay, std::function<void()> callback) override {
+    loop_.after(delay, std::move(callback));
   }
-  void mesh(std::uint32_t to, const mesh::Frame& f) override { transport_->send(to, f); }
+  void call(const Address& to, HttpRequest request, Duration deadline, HttpCallback done) override {
+    client_.call(to, std::move(request), deadline, std::move(done));
+  }
+  void mesh(std::uint32_t to, const mesh::Frame& frame) override { transport_->send(to, frame); }
   void remesh(std::uint32_t to) override { transport_->reset(to); }
 
  private:
@@ -34,9 +36,10 @@
   mesh::Transport* transport_ = nullptr;
 };
 
-int listening(const Address& at) {
-  int fd = listenWithRetries(at, kListenTries, [] { std::this_thread::sleep_for(kListenAgain); });
-  if (fd < 0) throw SettingsError("cannot listen on " + at.text() + ": " + std::strerror(errno));
+int listenOrThrow(const Address& address) {
+  int fd =
+      listenWithRetries(address, kListenTries, [] { std::this_thread::sleep_for(kListenRetryInterval); });
+  if (fd < 0) throw SettingsError("cannot listen on " + address.text() + ": " + std::strerror(errno));
   return fd;
 }
 
@@ -44,25 +47,27 @@
 
 int runDaemon(const Settings& settings, Log log) {
   Loop loop;
-  auto kept = settings.reservedSockets();
-  HttpClient client(loop, kIdlePerAddress, kept / 4, kept / 2, {settings.state, settings.cloud});
+  auto reserved = settings.reservedSockets();
+  HttpClient client(loop, kMaxIdleConnectionsPerAddress, reserved / 4, reserved / 2,
+                    {settings.state, settings.cloud});
   LoopRuntime runtime(loop, client);
   std::vector<Address> addresses(settings.size());
-  for (const auto& s : settings.siblings) addresses[settings.preferredShard(s.controller).value] = s.address;
+  for (const auto& sibling : settings.siblings)
+    addresses[settings.preferredShard(sibling.controller).value] = sibling.address;
   auto seed = settings.tuning.seed;
   if (seed == 0)
     seed =
         std::hash<std::string>{}(settings.controller.value) ^ static_cast<std::uint64_t>(loop.wall().value);
   Controller controller(settings, runtime, log, seed);
-  int front = listening(settings.front);
-  mesh::Transport transport(loop, listening(settings.mesh), addresses,
+  int frontFd = listenOrThrow(settings.front);
+  mesh::Transport transport(loop, listenOrThrow(settings.mesh), addresses,
                             settings.preferredShard(settings.controller).value,
-                            [&controller](const mesh::Frame& f) { controller.handleFrame(f); });
-  runtime.attach(&transport);
+                            [&controller](const mesh::Frame& frame) { controller.handleFrame(frame); });
+  runtime.setTransport(&transport);
   HttpServer server(
-      loop, log, front, settings.fdLimit - kept,
-      [&controller](HttpRequest r, Responder done) {
-        controller.handleRequest(std::move(r), std::move(done));
+      loop, log, frontFd, settings.fdLimit - reserved,
+      [&controller](HttpRequest request, Responder done) {
+        controller.handleRequest(std::move(request), std::move(done));
       },
       &Controller::isWorkerRequest);
   controller.start();
--- a/src/daemon/daemon.h
+++ b/src/daemon/daemon.h
@@ -1,4 +1,4 @@
-// Puts a Controller on the libev loop with real sockets.
+// Runs a Controller on the libev event loop with TCP sockets.
 #pragma once
 
 #include "config/settings.h"
@@ -6,7 +6,7 @@
 
 namespace cherryloft {
 
-// Runs until the process is killed. Throws SettingsError when an address cannot be listened on.
+// Runs until the process is terminated. Throws SettingsError if it cannot listen on one of its addresses.
 int runDaemon(const Settings& settings, Log log);
 
 }  // namespace cherryloft
