--- a/src/wire/kvstore.cpp
+++ b/src/wire/kvstore.cpp
@@ -6,7 +6,7 @@
 namespace {
 
 // What a write and its condition add to a body beside the key, which stands twice, and the value.
-constexpr std::size_t kFramePerWrite = 120;
+constexpr std::size_t kBytesPerWrite = 120;
 
 // Values are JSON text already, so documents are put together by hand rather than parsing them again.
 std::string encodeOperation(const Write& write) {
@@ -71,8 +71,8 @@
 }
 
 std::size_t estimatedBytes(const Write& write) {
-  std::size_t valueBytes = write.value ? write.value->size() : 0;
-  return 2 * write.key.size() + valueBytes + kFramePerWrite;
+  std::size_t valueSize = write.value ? write.value->size() : 0;
+  return 2 * write.key.size() + valueSize + kBytesPerWrite;
 }
 
 std::string encodeLeaseRequest(Duration timeToLive) {
