--- a/src/autoscaler/cloud_catalog.cpp
+++ b/src/autoscaler/cloud_catalog.cpp
@@ -46,7 +46,7 @@
               encodeWithoutSpotPrices(clusterView.catalog) == encodeWithoutSpotPrices(fresh);
   if (same) return;
   auto value = wire::encodeCatalog(fresh);
-  if (value.size() > context_.settings.valueBytes) {
+  if (value.size() > context_.settings.maxValueBytes) {
     context_.log->error("catalog too large to be kept: bytes={}", value.size());
     return;
   }
--- a/src/autoscaler/machine_adoption.cpp
+++ b/src/autoscaler/machine_adoption.cpp
@@ -93,7 +93,7 @@
   auto order = smallestFirst();
   auto waiting = std::exchange(waiting_, {});
   auto gaps = findGaps_();
-  std::map<std::tuple<ShardId, std::string, Zone, bool>, wire::GroupRecord> groups;
+  std::map<std::tuple<ShardId, std::string, Zone, bool>, wire::MachineGroupRecord> groups;
   for (const auto& id : order) {
     const auto& record = waiting.at(id);
     auto shard = shardWithLargestGap(gaps, record.type);
@@ -102,8 +102,8 @@
     gap.cores -= type ? type->size.cores : 1;
     ++gap.machinesOfType[record.type];
     records_.markPending(id);
-    wire::GroupRecord fresh{shard, Epoch{}, record.type, record.zone, record.spot, context_.runtime.wall(),
-                            {}};
+    wire::MachineGroupRecord fresh{
+        shard, Epoch{}, record.type, record.zone, record.spot, context_.runtime.wall(), {}};
     auto& group = groups.try_emplace({shard, record.type, record.zone, record.spot}, fresh).first->second;
     group.members.push_back({id, wire::MachinePhase::InUse, record.address});
   }
--- a/src/autoscaler/machine_inventory.cpp
+++ b/src/autoscaler/machine_inventory.cpp
@@ -64,7 +64,7 @@
   if (machine.state == wire::ListedMachine::State::Failed) scaleIn_.request(machine.id, "failed");
   const auto* type = findType(catalog_.prices(), machine.type);
   bool starting = machine.state == wire::ListedMachine::State::Starting;
-  if (starting && type && machine.heldS > kNeverUp * type->bootS + kNeverUpPlusS)
+  if (starting && type && machine.secondsSinceRequest > kNeverUp * type->bootS + kNeverUpPlusS)
     scaleIn_.request(machine.id, "never came up");
 }
 
--- a/src/autoscaler/machine_records.cpp
+++ b/src/autoscaler/machine_records.cpp
@@ -44,12 +44,12 @@
   sendNext();
 }
 
-void MachineRecords::create(const wire::GroupRecord& machines) {
+void MachineRecords::create(const wire::MachineGroupRecord& machines) {
   if (!context_.leadership.active || !context_.clusterView.leader) return;
-  auto most = wire::maxGroupMembers(context_.settings.valueBytes);
+  auto most = wire::maxGroupMembers(context_.settings.maxValueBytes);
   for (std::size_t from = 0; from < machines.members.size(); from += most) {
     auto to = std::min(from + most, machines.members.size());
-    wire::GroupRecord group = machines;
+    wire::MachineGroupRecord group = machines;
     group.members.assign(machines.members.begin() + static_cast<std::ptrdiff_t>(from),
                          machines.members.begin() + static_cast<std::ptrdiff_t>(to));
     for (const auto& member : group.members) markPending(member.id);
@@ -70,14 +70,15 @@
   transaction.conditions[keys::kGroups] = context_.clusterView.groupsVersion;
   transaction.operations.push_back({keys::kGroups, wire::encodeEpochCounter(leader->record.epoch), {}});
   std::size_t weight = 0;
-  while (!waiting_.empty() && transaction.operations.size() < settings.txnOps &&
-         (transaction.operations.size() == 1 || weight + settings.valueBytes <= wire::kMaxTransactionBytes)) {
+  while (
+      !waiting_.empty() && transaction.operations.size() < settings.txnOps &&
+      (transaction.operations.size() == 1 || weight + settings.maxValueBytes <= wire::kMaxTransactionBytes)) {
     auto group = std::move(waiting_.front());
     waiting_.pop_front();
     dropKnown(group);
     if (group.members.empty()) continue;
     auto key = keys::group(group.members.front().id, leader->record.epoch);
-    wire::Write write{key, wire::encodeGroup(group), {}};
+    wire::Write write{key, wire::encodeMachineGroup(group), {}};
     weight += wire::estimatedBytes(write);
     transaction.conditions[key] = Version{0};
     transaction.operations.push_back(std::move(write));
@@ -86,7 +87,7 @@
 }
 
 // Leaves the machines that have no record yet, and notes them as sent.
-void MachineRecords::dropKnown(wire::GroupRecord& group) {
+void MachineRecords::dropKnown(wire::MachineGroupRecord& group) {
   std::erase_if(group.members, [&](const auto& member) {
     bool known = context_.clusterView.machines.count(member.id) > 0 || wasReturned_(member.id);
     if (known) pending_.erase(member.id);
--- a/src/autoscaler/machine_records.h
+++ b/src/autoscaler/machine_records.h
@@ -25,20 +25,20 @@
   bool pending(const MachineId& id) const { return pending_.count(id) > 0; }
   void markPending(const MachineId& id) { pending_.insert(id); }
   // Creates records of all members, in as many groups as they need.
-  void create(const wire::GroupRecord& machines);
+  void create(const wire::MachineGroupRecord& machines);
 
  private:
   void waitUntilCurrent();
   void caughtUp(CatchUp result);
   void sendNext();
-  void dropKnown(wire::GroupRecord& group);
+  void dropKnown(wire::MachineGroupRecord& group);
   void send(const wire::Transaction& transaction);
   void sent(const wire::Transaction& transaction, const TransactionResult& result);
 
   const AutoscalerContext& context_;
   WasReturned wasReturned_;
   bool current_ = false;
-  std::deque<wire::GroupRecord> waiting_;
+  std::deque<wire::MachineGroupRecord> waiting_;
   std::set<MachineId> sent_;     // machines of groups on their way, until what became of them is in view
   std::set<MachineId> pending_;  // these, and those that wait for their turn
 };
--- a/src/autoscaler/scale_in.cpp
+++ b/src/autoscaler/scale_in.cpp
@@ -93,7 +93,7 @@
     if (group.members.empty()) continue;
     auto version = clusterView.groupVersion(key);
     applyChange(group, changed, change);
-    auto rewrite = rewriteGroup(key, version, group, context_.settings.valueBytes, most, exists);
+    auto rewrite = rewriteGroup(key, version, group, context_.settings.maxValueBytes, most, exists);
     if (transaction.writes() + rewrite.writes.size() > most) break;
     if (!splits_.add(transaction, key, version, rewrite, context_.runtime.now())) break;
     if (rewrite.splits) continue;
@@ -106,7 +106,8 @@
   return written;
 }
 
-void ScaleIn::applyChange(wire::GroupRecord& group, const std::set<MachineId>& changed, Change change) {
+void ScaleIn::applyChange(wire::MachineGroupRecord& group, const std::set<MachineId>& changed,
+                          Change change) {
   auto isChanged = [&](const auto& member) { return changed.count(member.id) > 0; };
   if (change == Change::Drop) {
     std::erase_if(group.members, isChanged);
--- a/src/autoscaler/scale_in.h
+++ b/src/autoscaler/scale_in.h
@@ -36,7 +36,7 @@
   void noteReturned(const MachineId& id);
   std::vector<MachineId> rewrite(const std::set<MachineId>& ids, Change change,
                                  std::function<void(const TransactionResult&)> done);
-  static void applyChange(wire::GroupRecord& group, const std::set<MachineId>& changed, Change change);
+  static void applyChange(wire::MachineGroupRecord& group, const std::set<MachineId>& changed, Change change);
 
   const AutoscalerContext& context_;
   Freed freed_;
--- a/src/autoscaler/scale_out.cpp
+++ b/src/autoscaler/scale_out.cpp
@@ -76,7 +76,7 @@
 
 void ScaleOut::provisioned(const ProvisionRequest& rental, const std::vector<MachineId>& machines) {
   const auto& request = rental.request;
-  wire::GroupRecord group{
+  wire::MachineGroupRecord group{
       rental.shard, Epoch{}, request.type, request.zone, request.spot, context_.runtime.wall(), {}};
   for (const auto& id : machines) group.members.push_back({id, wire::MachinePhase::InUse, ""});
   records_.create(group);
--- a/src/cluster/cluster_view.cpp
+++ b/src/cluster/cluster_view.cpp
@@ -62,7 +62,7 @@
 // Machines come, change and go with their group. One that moved shows in its new group from the same revision
 // on, whichever of the two changes is seen first.
 std::vector<MachineId> ClusterView::applyGroup(const wire::KeyChange& change, const Log& log) {
-  auto group = change.value ? wire::parseGroup(*change.value) : wire::GroupRecord{};
+  auto group = change.value ? wire::parseMachineGroup(*change.value) : wire::MachineGroupRecord{};
   if (!group) {
     // Its machines may hold tasks: what was known of them stands.
     log->error("unreadable machine group, perhaps of another layout key={}", change.key);
@@ -140,8 +140,8 @@
   if (auto owner = ownerIn(change)) shards[*shard] = OwnerEntry{*owner, change.version};
 }
 
-wire::GroupRecord ClusterView::group(const std::string& key) const {
-  wire::GroupRecord group;
+wire::MachineGroupRecord ClusterView::group(const std::string& key) const {
+  wire::MachineGroupRecord group;
   auto members = groups.find(key);
   if (members == groups.end()) return group;
   for (const auto& id : members->second) {
--- a/src/cluster/cluster_view.h
+++ b/src/cluster/cluster_view.h
@@ -80,7 +80,7 @@
   void jobEnded(const JobId& id, JobStatus status, Version version);
 
   // The machine group as the view shows it, to be rewritten with a change; without members if unknown.
-  [[nodiscard]] wire::GroupRecord group(const std::string& key) const;
+  [[nodiscard]] wire::MachineGroupRecord group(const std::string& key) const;
   // The version of the group's record; 0 if there is none.
   [[nodiscard]] Version groupVersion(const std::string& key) const;
 
--- a/src/cluster/keys.h
+++ b/src/cluster/keys.h
@@ -4,14 +4,14 @@
 // | key                    | value (codecs: wire/records.h, wire/cloud.h)              | written by        |
 // | ---------------------- | --------------------------------------------------------- | ----------------- |
 // | job/<job>              | JobRecord: specification, status, delegations             | the shard's owner |
-// | host/<machine>.<epoch> | GroupRecord: machines of one type and zone in one shard   | leader and owners |
+// | host/<machine>.<epoch> | MachineGroupRecord: machines of one type and zone in one shard   | leader and owners |
 // | share/<number>         | OwnerRecord: the owner of the shard and its epoch         | the new owner     |
 // | share/leader           | OwnerRecord: the leader and its epoch                     | the new leader    |
 // | share/epoch            | counter: the last epoch allocated                         | whoever takes one |
 // | share/catalog          | Catalog: machine types and their offerings                | the leader        |
 // | share/groups           | counter: written with every creation of machine groups    | the leader        |
 // | node/<controller>      | exists for as long as the controller's lease lives        | that controller   |
-// | run/<shard>/<page>     | PageRecord: placements and done tasks of the shard's jobs | the shard's owner |
+// | run/<shard>/<page>     | PlacementPageRecord: placements and done tasks of the shard's jobs | the shard's owner |
 // clang-format on
 //
 // A new job/ key is created by whichever controller the user submits to.
--- a/src/cluster/machine_group_rewrite.cpp
+++ b/src/cluster/machine_group_rewrite.cpp
@@ -14,7 +14,7 @@
 
 // Of the keys that a group's members could name, one that is free: groups made of parts have no epoch of
 // their own that would make the first member's key unique.
-std::string freeKey(const wire::GroupRecord& group, const GroupExists& exists) {
+std::string freeKey(const wire::MachineGroupRecord& group, const GroupExists& exists) {
   for (const auto& member : group.members) {
     auto key = keys::group(member.id, group.token);
     if (!exists(key)) return key;
@@ -23,18 +23,20 @@
   return keys::group(group.members.front().id, group.token);
 }
 
-VersionedWrite creationOf(const wire::GroupRecord& group, const GroupExists& exists) {
-  return {{freeKey(group, exists), wire::encodeGroup(group), {}}, Version{0}};
+VersionedWrite creationOf(const wire::MachineGroupRecord& group, const GroupExists& exists) {
+  return {{freeKey(group, exists), wire::encodeMachineGroup(group), {}}, Version{0}};
 }
 
 }  // namespace
 
-std::vector<wire::GroupRecord> splitToFit(const wire::GroupRecord& group, std::size_t valueBytes) {
-  std::vector<wire::GroupRecord> parts;
+std::vector<wire::MachineGroupRecord> splitToFit(const wire::MachineGroupRecord& group,
+                                                 std::size_t maxValueBytes) {
+  std::vector<wire::MachineGroupRecord> parts;
   auto remaining = group;
   while (!remaining.members.empty()) {
     auto part = remaining;
-    while (part.members.size() > 1 && wire::encodeGroup(part).size() > valueBytes) part.members.pop_back();
+    while (part.members.size() > 1 && wire::encodeMachineGroup(part).size() > maxValueBytes)
+      part.members.pop_back();
     auto taken = static_cast<std::ptrdiff_t>(part.members.size());
     remaining.members.erase(remaining.members.begin(), remaining.members.begin() + taken);
     parts.push_back(std::move(part));
@@ -42,12 +44,13 @@
   return parts;
 }
 
-MachineGroupRewrite rewriteGroup(const std::string& key, Version version, const wire::GroupRecord& group,
-                                 std::size_t valueBytes, std::size_t mostWrites, const GroupExists& exists) {
+MachineGroupRewrite rewriteGroup(const std::string& key, Version version,
+                                 const wire::MachineGroupRecord& group, std::size_t maxValueBytes,
+                                 std::size_t mostWrites, const GroupExists& exists) {
   MachineGroupRewrite rewrite;
-  auto parts = splitToFit(group, valueBytes);
+  auto parts = splitToFit(group, maxValueBytes);
   if (parts.empty()) rewrite.writes.push_back({{key, std::nullopt, {}}, version});
-  if (parts.size() == 1) rewrite.writes.push_back({{key, wire::encodeGroup(group), {}}, version});
+  if (parts.size() == 1) rewrite.writes.push_back({{key, wire::encodeMachineGroup(group), {}}, version});
   rewrite.splits = parts.size() > 1;
   if (!rewrite.splits) return rewrite;
   // The first part is what will be left of the group itself.
@@ -57,10 +60,10 @@
   return rewrite;
 }
 
-std::vector<VersionedWrite> createGroup(const wire::GroupRecord& group, std::size_t valueBytes,
+std::vector<VersionedWrite> createGroup(const wire::MachineGroupRecord& group, std::size_t maxValueBytes,
                                         const GroupExists& exists) {
   std::vector<VersionedWrite> writes;
-  for (const auto& part : splitToFit(group, valueBytes)) writes.push_back(creationOf(part, exists));
+  for (const auto& part : splitToFit(group, maxValueBytes)) writes.push_back(creationOf(part, exists));
   return writes;
 }
 
--- a/src/cluster/machine_group_rewrite.h
+++ b/src/cluster/machine_group_rewrite.h
@@ -32,21 +32,22 @@
 
 // Splits a group into parts whose records fit a value of that many bytes, members in the order given. A part
 // has one member at least, whatever its size. No parts if there are no members.
-[[nodiscard]] std::vector<wire::GroupRecord> splitToFit(const wire::GroupRecord& group,
-                                                        std::size_t valueBytes);
+[[nodiscard]] std::vector<wire::MachineGroupRecord> splitToFit(const wire::MachineGroupRecord& group,
+                                                               std::size_t maxValueBytes);
 
 // The writes that put the group under its key, on condition of its version; without members they drop the
 // key. If the group has outgrown a value: those that create new groups for the members that do not fit, at
 // most `mostWrites`; their transaction must require the group's version (MachineGroupSplits::add does).
 [[nodiscard]] MachineGroupRewrite rewriteGroup(const std::string& key, Version version,
-                                               const wire::GroupRecord& group, std::size_t valueBytes,
-                                               std::size_t mostWrites, const GroupExists& exists);
+                                               const wire::MachineGroupRecord& group,
+                                               std::size_t maxValueBytes, std::size_t mostWrites,
+                                               const GroupExists& exists);
 
 // The writes that create the group, in as many parts as it takes, under keys that are free. Their transaction
 // must have a condition that fails once it was carried out, as the absence of a key does not tell that it was
 // never there.
-[[nodiscard]] std::vector<VersionedWrite> createGroup(const wire::GroupRecord& group, std::size_t valueBytes,
-                                                      const GroupExists& exists);
+[[nodiscard]] std::vector<VersionedWrite> createGroup(const wire::MachineGroupRecord& group,
+                                                      std::size_t maxValueBytes, const GroupExists& exists);
 
 // Remembers which groups were split, so that they are not rewritten before every reader has seen the new
 // ones.
--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -64,7 +64,7 @@
   settings.stateWriteRps = lowerLimit(state, "write_rps", 1, maxRps);
   // A placement page and the other writes of its transaction must fit the body of one transaction.
   auto announcedBytes = static_cast<std::size_t>(lowerLimit(state, "value_kb", kMinValueKb, 1024) * 1024);
-  settings.valueBytes = std::min(announcedBytes, kMaxValueBytes);
+  settings.maxValueBytes = std::min(announcedBytes, kMaxValueBytes);
   settings.txnOps = static_cast<unsigned>(lowerLimit(state, "txn_ops", kMinTxnOps, 10000));
 }
 
--- a/src/config/settings.h
+++ b/src/config/settings.h
@@ -80,7 +80,7 @@
   // Limits of the state service: the lower of the current limit and the one announced for later.
   double stateRps = 100;
   double stateWriteRps = 50;
-  std::size_t valueBytes = 4096;
+  std::size_t maxValueBytes = 4096;
   unsigned txnOps = 12;
   double cloudRps = 5;
   double maxListLagS = 5;  // greatest age of the cloud's list of machines
--- a/src/controller/user_answer.h
+++ b/src/controller/user_answer.h
@@ -20,7 +20,7 @@
 // 200: the state of a job.
 struct JobState {
   JobId id;
-  wire::JobView view;
+  wire::JobProgress view;
 };
 
 // 404: given only after a strong read (invariant 9).
--- a/src/controller/user_api.cpp
+++ b/src/controller/user_api.cpp
@@ -94,7 +94,7 @@
   record.spec = std::move(spec);
   auto value = wire::encodeJobRecord(record);
   // It may have been accepted under a former, larger limit.
-  if (value.size() > settings_.valueBytes)
+  if (value.size() > settings_.maxValueBytes)
     return reject(id, {Rejection::Malformed, "the job's description is too long"}, std::move(done));
   store_.create({keys::job(id), value, {}}, kCreateTimeout,
                 [this, id, value, done = std::move(done)](const TransactionResult& result) {
--- a/src/scheduler/commits.cpp
+++ b/src/scheduler/commits.cpp
@@ -43,7 +43,7 @@
       bool done = job->finished();
       auto value =
           done ? wire::encodeJobRecord(doneRecord(*job, takeover_.shard))
-               : wire::encodeCancelledJob(cancelledRecord(*job, takeover_.shard), settings_.valueBytes);
+               : wire::encodeCancelledJob(cancelledRecord(*job, takeover_.shard), settings_.maxValueBytes);
       if (!transaction.add({keys::job(id), std::move(value), {}}, job->version)) return;
       commitInFlight_->jobEnds.push_back({id, done ? JobStatus::Done : JobStatus::Cancelled});
     }
@@ -53,16 +53,17 @@
 
 // How many placements and completions one transaction can tell.
 std::size_t ShardScheduler::roundWidth() const {
-  auto pages = std::clamp<std::size_t>(kMaxTransactionBytes / settings_.valueBytes, 1, settings_.txnOps - 1);
-  return pages * std::max<std::size_t>(settings_.valueBytes / kFactBytes, 1);
+  auto pages =
+      std::clamp<std::size_t>(kMaxTransactionBytes / settings_.maxValueBytes, 1, settings_.txnOps - 1);
+  return pages * std::max<std::size_t>(settings_.maxValueBytes / kFactBytes, 1);
 }
 
 void ShardScheduler::addPages(TransactionBuilder& transaction) {
   std::set<PageNumber> taken;
-  while (!unwrittenTasks_.empty() && transaction.hasRoom(settings_.valueBytes + kKeyWeight)) {
+  while (!unwrittenTasks_.empty() && transaction.hasRoom(settings_.maxValueBytes + kKeyWeight)) {
     auto page = state_.composePage(unwrittenTasks_, taken);
     if (!page) continue;
-    transaction.add({keys::page(takeover_.shard, page->number), wire::encodePage(page->record), {}},
+    transaction.add({keys::page(takeover_.shard, page->number), wire::encodePlacementPage(page->record), {}},
                     state_.pages().at(page->number).version);
     commitInFlight_->pages.push_back(page->number);
     for (const auto& [job, facts] : page->record.jobs) {
--- a/src/scheduler/delegated_tasks.cpp
+++ b/src/scheduler/delegated_tasks.cpp
@@ -64,7 +64,7 @@
                   [&](auto index) { return std::binary_search(tasks.begin(), tasks.end(), index); });
     wire::Write write{keys::job(id), wire::encodeJobRecord(recordAfterReturn(*job, entry, change)), {}};
     // One that was written under a larger limit waits until it has shrunk, or its job is over.
-    if (write.value->size() > settings_.valueBytes) continue;
+    if (write.value->size() > settings_.maxValueBytes) continue;
     if (!transaction.add(std::move(write), job->version)) break;
     added.push_back(std::move(change));
   }
--- a/src/scheduler/job_migration.cpp
+++ b/src/scheduler/job_migration.cpp
@@ -67,7 +67,7 @@
   if (!untouched) return false;
   auto record = migratedRecord(*job, migration, settings_.shardOfTeam(job->spec->team));
   wire::Write write{keys::job(job->id), wire::encodeJobRecord(record), {}};
-  if (write.value->size() > settings_.valueBytes) return false;
+  if (write.value->size() > settings_.maxValueBytes) return false;
   return transaction.add(std::move(write), job->version);
 }
 
@@ -78,7 +78,7 @@
   } else if (job.status == JobStatus::Cancelled && job.maxConcurrent) {
     auto record = cleanedUpRecord(job, ownShard_);
     cleanups_.push_back(
-        {job.id, job.version, wire::encodeCancelledJob(std::move(record), settings_.valueBytes)});
+        {job.id, job.version, wire::encodeCancelledJob(std::move(record), settings_.maxValueBytes)});
   }
 }
 
--- a/src/scheduler/machine_record_writer.cpp
+++ b/src/scheduler/machine_record_writer.cpp
@@ -119,20 +119,20 @@
   auto exists = [&](const std::string& other) { return view_.groups.count(other) > 0; };
   std::vector<VersionedWrite> created;
   for (const auto& [to, machines] : change.movedToShard) {
-    auto parts = createGroup(movedGroup(group, to, machines, token), settings_.valueBytes, exists);
+    auto parts = createGroup(movedGroup(group, to, machines, token), settings_.maxValueBytes, exists);
     created.insert(created.end(), parts.begin(), parts.end());
   }
   updateMembers(group, change);
   // One write of the transaction is the epoch that a move takes.
-  auto rewrite =
-      rewriteGroup(key, view_.groupVersion(key), group, settings_.valueBytes, settings_.txnOps - 1, exists);
+  auto rewrite = rewriteGroup(key, view_.groupVersion(key), group, settings_.maxValueBytes,
+                              settings_.txnOps - 1, exists);
   if (!rewrite.splits) rewrite.writes.insert(rewrite.writes.end(), created.begin(), created.end());
   return rewrite;
 }
 
-wire::GroupRecord MachineRecordWriter::movedGroup(const wire::GroupRecord& group, ShardId to,
-                                                  const std::vector<const Machine*>& machines,
-                                                  Epoch token) const {
+wire::MachineGroupRecord MachineRecordWriter::movedGroup(const wire::MachineGroupRecord& group, ShardId to,
+                                                         const std::vector<const Machine*>& machines,
+                                                         Epoch token) const {
   auto moved = group;
   moved.shard = to;
   moved.token = token;
@@ -142,7 +142,7 @@
   return moved;
 }
 
-void MachineRecordWriter::updateMembers(wire::GroupRecord& group, const GroupChange& change) const {
+void MachineRecordWriter::updateMembers(wire::MachineGroupRecord& group, const GroupChange& change) const {
   std::set<MachineId> moved;
   for (const auto& [_, machines] : change.movedToShard)
     for (const Machine* machine : machines) moved.insert(machine->id);
--- a/src/scheduler/machine_record_writer.h
+++ b/src/scheduler/machine_record_writer.h
@@ -54,9 +54,9 @@
   bool addGroupChange(TransactionBuilder& transaction, const std::string& key, GroupChange& change,
                       Epoch token);
   MachineGroupRewrite rewriteOf(const std::string& key, const GroupChange& change, Epoch token) const;
-  wire::GroupRecord movedGroup(const wire::GroupRecord& group, ShardId to,
-                               const std::vector<const Machine*>& machines, Epoch token) const;
-  void updateMembers(wire::GroupRecord& group, const GroupChange& change) const;
+  wire::MachineGroupRecord movedGroup(const wire::MachineGroupRecord& group, ShardId to,
+                                      const std::vector<const Machine*>& machines, Epoch token) const;
+  void updateMembers(wire::MachineGroupRecord& group, const GroupChange& change) const;
   void written(const TransactionResult& result);
 
   const Settings& settings_;
--- a/src/scheduler/placement_pages.h
+++ b/src/scheduler/placement_pages.h
@@ -23,8 +23,9 @@
     std::vector<TaskId> members;  // whose state it held when last written
     std::size_t live = 0;         // of those, whose latest state it still is
   };
-  // valueBytes: how large a page's value may be.
-  explicit PlacementPages(std::size_t valueBytes) : mostLiveToRewrite_(valueBytes / kBytesPerLiveFact) {}
+  // maxValueBytes: how large a page's value may be.
+  explicit PlacementPages(std::size_t maxValueBytes)
+      : mostLiveToRewrite_(maxValueBytes / kBytesPerLiveFact) {}
 
   // The page with that number, which is created if there is none.
   Page& at(PageNumber number);
--- a/src/scheduler/shard_recovery.cpp
+++ b/src/scheduler/shard_recovery.cpp
@@ -70,7 +70,7 @@
   LatestAttempts attempts;
   for (const auto& entry : pages.entries) {
     auto number = parsePageKey(entry.key, prefix);
-    auto page = number ? wire::parsePage(*entry.value) : std::nullopt;
+    auto page = number ? wire::parsePlacementPage(*entry.value) : std::nullopt;
     if (!page) {
       log_->error("unreadable key, perhaps of another layout key={}", entry.key);
       continue;
@@ -82,7 +82,8 @@
 }
 
 // Enters what is done; of what was placed, the latest attempt of each task is gathered.
-void ShardRecovery::restorePage(PageNumber number, const wire::PageRecord& page, LatestAttempts& attempts) {
+void ShardRecovery::restorePage(PageNumber number, const wire::PlacementPageRecord& page,
+                                LatestAttempts& attempts) {
   for (const auto& [id, tasks] : page.jobs) {
     Job* job = findOrAddCancelled(id);
     if (!job) continue;
--- a/src/scheduler/shard_recovery.h
+++ b/src/scheduler/shard_recovery.h
@@ -47,7 +47,7 @@
 
   void waitForView(const std::string& prefix, std::function<void()> next);
   void readPages();
-  void restorePage(PageNumber number, const wire::PageRecord& page, LatestAttempts& attempts);
+  void restorePage(PageNumber number, const wire::PlacementPageRecord& page, LatestAttempts& attempts);
   Job* findOrAddCancelled(const JobId& id);
   void restoreDone(Job& job, std::uint32_t index, PageNumber page);
   void restorePlaced(const TaskId& task, const LatestAttempt& attempt);
--- a/src/scheduler/shard_scheduler.cpp
+++ b/src/scheduler/shard_scheduler.cpp
@@ -166,7 +166,7 @@
   if (held) requestRound(true);
 }
 
-std::optional<wire::JobView> ShardScheduler::poll(const JobId& id) const {
+std::optional<wire::JobProgress> ShardScheduler::poll(const JobId& id) const {
   if (!loaded_ || !owns()) return std::nullopt;
   auto it = state_.jobs().find(id);
   if (it == state_.jobs().end() || it->second.status != JobStatus::Open || it->second.delegation)
@@ -176,7 +176,7 @@
   if (ownershipTransferSent_) return std::nullopt;
   if (commitInFlight_ && (commitInFlight_->ends(id) || commitInFlight_->migrates(id))) return std::nullopt;
   const auto& j = it->second;
-  return wire::JobView{JobStatus::Open, static_cast<std::uint32_t>(j.tasks.size()), j.done, j.running};
+  return wire::JobProgress{JobStatus::Open, static_cast<std::uint32_t>(j.tasks.size()), j.done, j.running};
 }
 
 bool ShardScheduler::cancel(const JobId& id, std::function<void(JobStatus)> done) {
--- a/src/scheduler/shard_scheduler.h
+++ b/src/scheduler/shard_scheduler.h
@@ -81,7 +81,7 @@
   void handleTaskCapacityRequest(const mesh::TaskCapacityRequest& request);
   void handleTaskCapacityOffer(const mesh::TaskCapacityOffer& offer);
   // Nothing if this actor may not answer now.
-  std::optional<wire::JobView> poll(const JobId& id) const;
+  std::optional<wire::JobProgress> poll(const JobId& id) const;
   // done is told the committed state; false if this actor can't take the request.
   bool cancel(const JobId& id, std::function<void(JobStatus)> done);
   bool loaded() const { return loaded_; }
--- a/src/scheduler/shard_state.h
+++ b/src/scheduler/shard_state.h
@@ -167,7 +167,7 @@
 // A page as it is to be written: what is still true of it, and as many new facts as it has room for.
 struct PageUpdate {
   PageNumber number = 0;
-  wire::PageRecord record;
+  wire::PlacementPageRecord record;
   std::vector<TaskId> members;  // whose state the record tells
 };
 
@@ -177,7 +177,7 @@
 class ShardState {
  public:
   // The settings must outlive the state.
-  explicit ShardState(const Settings& settings) : settings_(settings), pages_(settings.valueBytes) {}
+  explicit ShardState(const Settings& settings) : settings_(settings), pages_(settings.maxValueBytes) {}
 
   // --- jobs ---
 
--- a/src/scheduler/shard_state_pages.cpp
+++ b/src/scheduler/shard_state_pages.cpp
@@ -49,7 +49,7 @@
     entry = {id.index, task.machine->placements.at(id).attempt, task.machine->id};
   std::size_t more = entry ? wire::maxBytesOf(*entry) : wire::maxBytesOfDoneTask(id.index);
   if (update.record.jobs.count(id.job) == 0) more += wire::maxBytesOfJob(id.job);
-  if (bytes + more > settings_.valueBytes) return false;
+  if (bytes + more > settings_.maxValueBytes) return false;
   bytes += more;
   auto& placements = update.record.jobs[id.job];
   if (entry)
--- a/src/scheduler/task_delegation.cpp
+++ b/src/scheduler/task_delegation.cpp
@@ -101,7 +101,7 @@
   wire::Write write{keys::job(job.id), wire::encodeJobRecord(*record), {}};
   // Whatever the delegates give back, done or not, the record must stay within a value.
   auto size = change.recall ? write.value->size() : maxSizeAfterReturns(*record);
-  if (size > settings_.valueBytes) return false;
+  if (size > settings_.maxValueBytes) return false;
   return transaction.add(std::move(write), job.version);
 }
 
--- a/src/wire/cloud.cpp
+++ b/src/wire/cloud.cpp
@@ -49,7 +49,7 @@
 }
 
 std::string encodeProvisionRequest(const ProvisionRequest& request) {
-  return dump(Json{{"claim", request.claim},
+  return dump(Json{{"claim", request.idempotencyKey},
                    {"flavour", request.type},
                    {"site", request.zone.value},
                    {"lendable", request.spot},
--- a/src/wire/cloud.h
+++ b/src/wire/cloud.h
@@ -13,9 +13,10 @@
 std::optional<Catalog> parseCatalog(const std::string& body);
 std::string encodeCatalog(const Catalog& catalog);
 
-// So many machines of a type in a zone. `claim`: an idempotency key, by which a repeated request is known.
+// So many machines of a type in a zone. `idempotencyKey`: an idempotency key, by which a repeated request is
+// known.
 struct ProvisionRequest {
-  std::string claim;
+  std::string idempotencyKey;
   std::string type;
   Zone zone;
   bool spot = false;
@@ -26,7 +27,7 @@
 // The names in the answer to a provision request.
 std::optional<std::vector<MachineId>> parseProvisioned(const std::string& body);
 
-// A machine as the cloud lists it; `heldS`: seconds since it was requested.
+// A machine as the cloud lists it; `secondsSinceRequest`: seconds since it was requested.
 struct ListedMachine {
   enum class State : std::uint8_t { Starting, Running, Failed };
   MachineId id;
@@ -35,7 +36,7 @@
   Zone zone;
   bool spot = false;
   State state = State::Starting;
-  double heldS = 0;
+  double secondsSinceRequest = 0;
 };
 // A part of the list; truncated: there is more after the last one.
 struct MachinePage {
--- a/src/wire/records.cpp
+++ b/src/wire/records.cpp
@@ -144,15 +144,15 @@
   return dump(json);
 }
 
-std::string encodeCancelledJob(JobRecord record, std::size_t valueBytes) {
+std::string encodeCancelledJob(JobRecord record, std::size_t maxValueBytes) {
   auto value = encodeJobRecord(record);
-  if (value.size() <= valueBytes || !record.spec) return value;
+  if (value.size() <= maxValueBytes || !record.spec) return value;
   // Nothing of it is placed any more: only the resources of its tasks are still asked for.
   record.spec->jobClass.clear();
   record.spec->image.value.clear();
   record.spec->types.reset();
   value = encodeJobRecord(record);
-  if (value.size() <= valueBytes) return value;
+  if (value.size() <= maxValueBytes) return value;
   for (auto& delegation : record.delegations) {
     auto& tasks = delegation.tasks;
     if (tasks.empty()) continue;
@@ -239,16 +239,16 @@
   return digits(entry.index) + digits(entry.attempt.value) + entry.machine.value.size() + 7;
 }
 
-std::string encodePage(const PageRecord& record) {
+std::string encodePlacementPage(const PlacementPageRecord& record) {
   Json jobs = Json::object();
   for (const auto& [id, placements] : record.jobs) jobs[id.value] = encodePlacements(placements);
   return dump(Json{{"v", kLayout}, {"j", std::move(jobs)}});
 }
 
-std::optional<PageRecord> parsePage(const std::string& value) {
+std::optional<PlacementPageRecord> parsePlacementPage(const std::string& value) {
   auto document = parseLayout(value);
   if (!document || !document->contains("j") || !document->at("j").is_object()) return std::nullopt;
-  PageRecord record;
+  PlacementPageRecord record;
   for (const auto& [id, json] : document->at("j").items()) {
     auto placements = parsePlacements(json);
     if (!placements) return std::nullopt;
@@ -261,18 +261,18 @@
 
 namespace {
 
-std::optional<GroupMember> parseMember(const Json& json) {
+std::optional<MachineGroupMember> parseMember(const Json& json) {
   if (!json.is_array() || json.size() != 3 || !json[0].is_string() || !json[1].is_number_unsigned() ||
       !json[2].is_string())
     return std::nullopt;
   auto phase = enumeratorOf<MachinePhase>(json[1].get<std::uint64_t>(), MachinePhase::Returning);
   if (!phase) return std::nullopt;
-  return GroupMember{MachineId{json[0].get<std::string>()}, *phase, json[2].get<std::string>()};
+  return MachineGroupMember{MachineId{json[0].get<std::string>()}, *phase, json[2].get<std::string>()};
 }
 
 }  // namespace
 
-std::string encodeGroup(const GroupRecord& record) {
+std::string encodeMachineGroup(const MachineGroupRecord& record) {
   Json members = Json::array();
   for (const auto& member : record.members)
     members.push_back({member.id.value, static_cast<int>(member.phase), member.address});
@@ -286,19 +286,19 @@
                    {"m", std::move(members)}});
 }
 
-std::optional<GroupRecord> parseGroup(const std::string& value) {
+std::optional<MachineGroupRecord> parseMachineGroup(const std::string& value) {
   auto document = parseLayout(value);
   if (!document) return std::nullopt;
   auto shard = unsignedField(*document, "sh");
   auto token = unsignedField(*document, "tk");
   if (!shard || !token) return std::nullopt;
-  GroupRecord record{ShardId{static_cast<std::uint32_t>(*shard)},
-                     Epoch{*token},
-                     stringField(*document, "ty").value_or(""),
-                     Zone{stringField(*document, "zo").value_or("")},
-                     boolField(*document, "sp").value_or(false),
-                     WallTime{static_cast<std::int64_t>(unsignedField(*document, "at").value_or(0))},
-                     {}};
+  MachineGroupRecord record{ShardId{static_cast<std::uint32_t>(*shard)},
+                            Epoch{*token},
+                            stringField(*document, "ty").value_or(""),
+                            Zone{stringField(*document, "zo").value_or("")},
+                            boolField(*document, "sp").value_or(false),
+                            WallTime{static_cast<std::int64_t>(unsignedField(*document, "at").value_or(0))},
+                            {}};
   for (const auto& item : arrayField(*document, "m")) {
     auto member = parseMember(item);
     if (!member) return std::nullopt;
@@ -307,10 +307,10 @@
   return record;
 }
 
-std::size_t maxGroupMembers(std::size_t valueBytes) {
+std::size_t maxGroupMembers(std::size_t maxValueBytes) {
   constexpr std::size_t kFrameBytes = 200;  // what is common to all members, with room to spare
   constexpr std::size_t kMemberBytes = 48;  // of a name, a phase and an address
-  return std::max<std::size_t>(1, (valueBytes - std::min(valueBytes, kFrameBytes)) / kMemberBytes);
+  return std::max<std::size_t>(1, (maxValueBytes - std::min(maxValueBytes, kFrameBytes)) / kMemberBytes);
 }
 
 // --- ownership ---
--- a/src/wire/records.h
+++ b/src/wire/records.h
@@ -33,9 +33,10 @@
   std::vector<std::uint32_t> doneRemotely{};  // ascending
 };
 [[nodiscard]] std::string encodeJobRecord(const JobRecord& record);
-/// The record of a cancelled job. If it would be larger than `valueBytes`, it keeps of the description only
-/// what the job's last tasks take, and of each delegation the range of its tasks; it may still be too large.
-[[nodiscard]] std::string encodeCancelledJob(JobRecord record, std::size_t valueBytes);
+/// The record of a cancelled job. If it would be larger than `maxValueBytes`, it keeps of the description
+/// only what the job's last tasks take, and of each delegation the range of its tasks; it may still be too
+/// large.
+[[nodiscard]] std::string encodeCancelledJob(JobRecord record, std::size_t maxValueBytes);
 [[nodiscard]] std::optional<JobRecord> parseJobRecord(const JobId& id, const std::string& value);
 
 // --- placements ---
@@ -53,11 +54,11 @@
 };
 /// A placement page: facts of many jobs in one value, so that a start of a task costs far less than a write
 /// (DESIGN.md, section 3).
-struct PageRecord {
+struct PlacementPageRecord {
   std::map<JobId, JobPlacements> jobs;
 };
-[[nodiscard]] std::string encodePage(const PageRecord& record);
-[[nodiscard]] std::optional<PageRecord> parsePage(const std::string& value);
+[[nodiscard]] std::string encodePlacementPage(const PlacementPageRecord& record);
+[[nodiscard]] std::optional<PlacementPageRecord> parsePlacementPage(const std::string& value);
 
 /// Upper bounds in bytes of what a job, a completed task and a placed one add to an encoded page, and of a
 /// page without jobs.
@@ -86,25 +87,25 @@
 };
 
 /// One machine of a group.
-struct GroupMember {
+struct MachineGroupMember {
   MachineId id;
   MachinePhase phase = MachinePhase::InUse;
   std::string address;  // empty until known
 };
 /// Machines that came together and are of one kind share a key, as there are thousands.
-struct GroupRecord {
+struct MachineGroupRecord {
   ShardId shard;  // that schedules on them
   Epoch token;    // under which that shard got them
   std::string type;
   Zone zone;
   bool spot = false;
   WallTime since;
-  std::vector<GroupMember> members;
+  std::vector<MachineGroupMember> members;
 };
-[[nodiscard]] std::string encodeGroup(const GroupRecord& record);
-[[nodiscard]] std::optional<GroupRecord> parseGroup(const std::string& value);
+[[nodiscard]] std::string encodeMachineGroup(const MachineGroupRecord& record);
+[[nodiscard]] std::optional<MachineGroupRecord> parseMachineGroup(const std::string& value);
 /// How many machines with names and addresses of usual length fit a group of that many bytes; at least one.
-[[nodiscard]] std::size_t maxGroupMembers(std::size_t valueBytes);
+[[nodiscard]] std::size_t maxGroupMembers(std::size_t maxValueBytes);
 
 // --- ownership ---
 
--- a/src/wire/users.cpp
+++ b/src/wire/users.cpp
@@ -114,7 +114,7 @@
   return job;
 }
 
-std::string encodeJobStatus(const JobId& id, const JobView& view) {
+std::string encodeJobStatus(const JobId& id, const JobProgress& view) {
   const char* status = view.status == JobStatus::Done        ? "done"
                        : view.status == JobStatus::Cancelled ? "aborted"
                        : view.running > 0                    ? "running"
--- a/src/wire/users.h
+++ b/src/wire/users.h
@@ -21,14 +21,14 @@
 [[nodiscard]] bool isJobId(const std::string& id);
 
 // What a user is told of a job.
-struct JobView {
+struct JobProgress {
   JobStatus status = JobStatus::Open;
   std::uint32_t tasks = 0;
   std::uint32_t done = 0;
   std::uint32_t running = 0;
 };
 // The body that both submissions and polls answer with.
-std::string encodeJobStatus(const JobId& id, const JobView& view);
+std::string encodeJobStatus(const JobId& id, const JobProgress& view);
 // Whether such a body tells that the job is over, and how it ended.
 std::optional<JobStatus> parseFinalStatus(const std::string& body);
 
--- a/tests/unit/machine_group_rewrite_test.cpp
+++ b/tests/unit/machine_group_rewrite_test.cpp
@@ -12,8 +12,8 @@
 constexpr std::size_t kValueBytes = 1024;
 const std::string kGroupKey = "host/first.7";
 
-wire::GroupRecord groupOf(unsigned members) {
-  wire::GroupRecord group{ShardId{1}, Epoch{7}, "m", Zone{"a"}, false, WallTime{1700}, {}};
+wire::MachineGroupRecord groupOf(unsigned members) {
+  wire::MachineGroupRecord group{ShardId{1}, Epoch{7}, "m", Zone{"a"}, false, WallTime{1700}, {}};
   for (unsigned member = 0; member < members; ++member)
     group.members.push_back(
         {MachineId{"host-" + std::to_string(100000 + member)}, wire::MachinePhase::InUse, "10.1.0.2:9000"});
@@ -23,7 +23,7 @@
 std::multiset<MachineId> membersIn(const std::vector<VersionedWrite>& writes) {
   std::multiset<MachineId> ids;
   for (const auto& [write, _] : writes) {
-    auto group = wire::parseGroup(*write.value);
+    auto group = wire::parseMachineGroup(*write.value);
     for (const auto& member : group.value().members) ids.insert(member.id);
   }
   return ids;
@@ -38,14 +38,14 @@
   ASSERT_EQ(rewrite.writes.size(), 1U);
   EXPECT_EQ(rewrite.writes[0].write.key, kGroupKey);
   EXPECT_EQ(rewrite.writes[0].version, Version{5});
-  EXPECT_EQ(*rewrite.writes[0].write.value, wire::encodeGroup(group));
+  EXPECT_EQ(*rewrite.writes[0].write.value, wire::encodeMachineGroup(group));
 }
 
 // A reader that sees the group without some of its machines before it sees them elsewhere takes their tasks
 // for lost and starts them twice: the first step must leave the group as it is.
 TEST(MachineGroupRewrite, WhatHasOutgrownAValueGivesMembersNewGroupsAndStaysAsItIs) {
   auto group = groupOf(60);
-  ASSERT_GT(wire::encodeGroup(group).size(), kValueBytes);
+  ASSERT_GT(wire::encodeMachineGroup(group).size(), kValueBytes);
   auto rewrite = rewriteGroup(kGroupKey, Version{5}, group, kValueBytes, 8, kNoneExists);
   EXPECT_TRUE(rewrite.splits);
   std::set<std::string> keys;
@@ -59,7 +59,7 @@
   EXPECT_EQ(std::set<MachineId>(moved.begin(), moved.end()).size(), moved.size());
   // What is left then fits.
   std::erase_if(group.members, [&](const auto& member) { return moved.count(member.id) > 0; });
-  EXPECT_LE(wire::encodeGroup(group).size(), kValueBytes);
+  EXPECT_LE(wire::encodeMachineGroup(group).size(), kValueBytes);
 }
 
 TEST(MachineGroupRewrite, NoMoreWritesThanATransactionTakes) {
--- a/tests/unit/policy_test.cpp
+++ b/tests/unit/policy_test.cpp
@@ -181,11 +181,11 @@
   d.valueKb = 16, d.txnOps = 8, d.writeRps = 80;
   d.nextValueKb = 2, d.nextTxnOps = 24;
   auto s = parseSettings(d.settingsOf(0), {});
-  EXPECT_EQ(s.valueBytes, 2048U);
+  EXPECT_EQ(s.maxValueBytes, 2048U);
   EXPECT_EQ(s.txnOps, 8U);
   EXPECT_EQ(s.stateWriteRps, 80);
   EXPECT_EQ(s.stateRps, d.rps);
-  EXPECT_EQ(parseSettings(d.settingsOf(0, false), {}).valueBytes, std::size_t{16} * 1024);
+  EXPECT_EQ(parseSettings(d.settingsOf(0, false), {}).maxValueBytes, std::size_t{16} * 1024);
   d.nextTxnOps = 1;
   EXPECT_THROW(parseSettings(d.settingsOf(0), {}), SettingsError);
 }
--- a/tests/unit/recorded_examples_test.cpp
+++ b/tests/unit/recorded_examples_test.cpp
@@ -91,17 +91,17 @@
 }
 
 TEST(Recorded, PlacementPages) {
-  wire::PageRecord page;
+  wire::PlacementPageRecord page;
   page.jobs[JobId{"wk-000412"}] = {{0, 1, 2, 7}, {{4, Attempt{99}, MachineId{"host-000231"}}}};
-  EXPECT_EQ(wire::encodePage(page),
+  EXPECT_EQ(wire::encodePlacementPage(page),
             "{\"j\":{\"wk-000412\":{\"d\":[[0,2],[7,7]],\"p\":[[4,99,\"host-000231\"]]}},\"v\":2}");
 }
 
 TEST(Recorded, MachineGroups) {
-  wire::GroupRecord group{ShardId{1}, Epoch{12}, "g8", Zone{"a"}, true, WallTime{1700}, {}};
+  wire::MachineGroupRecord group{ShardId{1}, Epoch{12}, "g8", Zone{"a"}, true, WallTime{1700}, {}};
   group.members.push_back({MachineId{"host-000231"}, wire::MachinePhase::InUse, "10.1.0.232:9000"});
   group.members.push_back({MachineId{"host-000232"}, wire::MachinePhase::Returning, ""});
-  EXPECT_EQ(wire::encodeGroup(group),
+  EXPECT_EQ(wire::encodeMachineGroup(group),
             "{\"at\":1700,\"m\":[[\"host-000231\",0,\"10.1.0.232:9000\"],[\"host-000232\",2,\"\"]],\"sh\":1,"
             "\"sp\":true,\"tk\":12,\"ty\":\"g8\",\"v\":2,\"zo\":\"a\"}");
 }
--- a/tests/unit/shard_recovery_test.cpp
+++ b/tests/unit/shard_recovery_test.cpp
@@ -36,9 +36,9 @@
     state_.addMachine(id, entry, &type, runtime_.now());
   }
   void addPage(const std::string& number, const wire::JobPlacements& placements) {
-    wire::PageRecord page;
+    wire::PlacementPageRecord page;
     page.jobs[kJob] = placements;
-    pages_.entries.push_back({"run/2/" + number, wire::encodePage(page), Version{40}});
+    pages_.entries.push_back({"run/2/" + number, wire::encodePlacementPage(page), Version{40}});
   }
 
   static constexpr ShardId kShard{2};
--- a/tests/unit/user_answer_test.cpp
+++ b/tests/unit/user_answer_test.cpp
@@ -19,7 +19,7 @@
 }  // namespace
 
 TEST(UserAnswer, EachKindHasItsStatusBodyAndRetryAfter) {
-  const wire::JobView view{JobStatus::Open, 4, 1, 2};
+  const wire::JobProgress view{JobStatus::Open, 4, 1, 2};
   const std::vector<Expected> table{
       {JobAccepted{kJob}, 201, wire::encodeJobStatus(kJob, {}), 0},
       {JobState{kJob, view}, 200, wire::encodeJobStatus(kJob, view), 0},
--- a/tests/unit/wire_test.cpp
+++ b/tests/unit/wire_test.cpp
@@ -102,15 +102,15 @@
 }
 
 TEST(Records, PageIsCompactAndComesBack) {
-  PageRecord r;
+  PlacementPageRecord r;
   auto& facts = r.jobs[JobId{"wk-000412"}];
   for (std::uint32_t i = 0; i < 60; ++i)
     if (i != 30) facts.done.push_back(i);
   facts.placed.push_back({30, Attempt{(std::uint64_t{7} << 24) + 9}, MachineId{"host-000001"}});
   r.jobs[JobId{"wk-000413"}].done = {7};
-  auto text = encodePage(r);
+  auto text = encodePlacementPage(r);
   EXPECT_LT(text.size(), 130U);
-  auto back = parsePage(text);
+  auto back = parsePlacementPage(text);
   ASSERT_TRUE(back);
   EXPECT_EQ(back->jobs.at(JobId{"wk-000412"}).done, facts.done);
   ASSERT_EQ(back->jobs.at(JobId{"wk-000412"}).placed.size(), 1U);
@@ -145,16 +145,16 @@
 }
 
 TEST(Records, AnotherLayoutIsToldAndNotGuessedAt) {
-  EXPECT_FALSE(parsePage(R"({"d":[[0,3]],"p":[]})"));  // layout 1: a part of one job
-  EXPECT_FALSE(parsePage(R"({"v":3,"j":{}})"));
-  EXPECT_FALSE(parsePage(R"({"v":2,"j":{"wk-1":{"p":[[1]]}}})"));
-  EXPECT_TRUE(parsePage(R"({"v":2,"j":{}})"));
-  EXPECT_FALSE(parseGroup(R"({"sh":0,"tk":0,"ph":0,"ty":"m","zo":"a","sp":false,"ad":"","at":1})"));
-  EXPECT_FALSE(parseGroup(R"({"v":2,"sh":0,"tk":0,"m":[["host-1",9,""]]})"));
+  EXPECT_FALSE(parsePlacementPage(R"({"d":[[0,3]],"p":[]})"));  // layout 1: a part of one job
+  EXPECT_FALSE(parsePlacementPage(R"({"v":3,"j":{}})"));
+  EXPECT_FALSE(parsePlacementPage(R"({"v":2,"j":{"wk-1":{"p":[[1]]}}})"));
+  EXPECT_TRUE(parsePlacementPage(R"({"v":2,"j":{}})"));
+  EXPECT_FALSE(parseMachineGroup(R"({"sh":0,"tk":0,"ph":0,"ty":"m","zo":"a","sp":false,"ad":"","at":1})"));
+  EXPECT_FALSE(parseMachineGroup(R"({"v":2,"sh":0,"tk":0,"m":[["host-1",9,""]]})"));
 }
 
 TEST(Records, WeightsOfFactsAreUpperBounds) {
-  PageRecord r;
+  PlacementPageRecord r;
   std::size_t weight = kEmptyPageBytes;
   std::mt19937_64 rng(3);
   for (int j = 0; j < 40; ++j) {
@@ -169,19 +169,20 @@
       weight += maxBytesOf(f.placed.back());
     }
   }
-  EXPECT_LE(encodePage(r).size(), weight);
+  EXPECT_LE(encodePlacementPage(r).size(), weight);
 }
 
 TEST(Records, GroupFitsTheValueThatItsSizeWasChosenFor) {
   for (std::size_t bytes : {1024U, 4096U, 16384U}) {
-    GroupRecord g{ShardId{31}, Epoch{999'999}, "a-machine-type", Zone{"a-zone-name"}, true, WallTime{1}, {}};
+    MachineGroupRecord g{
+        ShardId{31}, Epoch{999'999}, "a-machine-type", Zone{"a-zone-name"}, true, WallTime{1}, {}};
     for (std::size_t i = 0; i < maxGroupMembers(bytes); ++i)
       g.members.push_back({MachineId{"host-000001"}, MachinePhase::Returning, "10.255.255.255:65535"});
-    auto text = encodeGroup(g);
+    auto text = encodeMachineGroup(g);
     EXPECT_LE(text.size(), bytes);
-    auto back = parseGroup(text);
+    auto back = parseMachineGroup(text);
     ASSERT_TRUE(back);
-    EXPECT_EQ(encodeGroup(*back), text);
+    EXPECT_EQ(encodeMachineGroup(*back), text);
   }
 }
 
