--- a/src/wire/cloud.h
+++ b/src/wire/cloud.h
@@ -1,4 +1,4 @@
-// The cloud's side of the protocol.
+// Messages exchanged with the cloud provider.
 #pragma once
 
 #include <optional>
@@ -9,12 +9,12 @@
 
 namespace cherryloft::wire {
 
-// Nothing when the body is no catalog or names no type.
+// Returns nullopt when the body is not a catalog or lists no machine types.
 std::optional<Catalog> parseCatalog(const std::string& body);
 std::string encodeCatalog(const Catalog& catalog);
 
-// So many machines of a type in a zone. `idempotencyKey`: an idempotency key, by which a repeated request is
-// known.
+// A request for `count` machines of a type in a zone. The cloud recognizes a repeated request by its
+// idempotency key.
 struct ProvisionRequest {
   std::string idempotencyKey;
   std::string type;
@@ -24,10 +24,10 @@
 };
 std::string encodeProvisionRequest(const ProvisionRequest& request);
 std::string encodeReturnRequest(const std::vector<MachineId>& machines);
-// The names in the answer to a provision request.
+// The machines' names, from the response to a provision request.
 std::optional<std::vector<MachineId>> parseProvisioned(const std::string& body);
 
-// A machine as the cloud lists it; `secondsSinceRequest`: seconds since it was requested.
+// A machine as listed by the cloud.
 struct ListedMachine {
   enum class State : std::uint8_t { Starting, Running, Failed };
   MachineId id;
@@ -38,7 +38,7 @@
   State state = State::Starting;
   double secondsSinceRequest = 0;
 };
-// A part of the list; truncated: there is more after the last one.
+// One page of the list. truncated: more machines follow after the last one.
 struct MachinePage {
   std::vector<ListedMachine> machines;
   bool truncated = false;
--- a/src/wire/kvstore.cpp
+++ b/src/wire/kvstore.cpp
@@ -5,10 +5,10 @@
 namespace cherryloft::wire {
 namespace {
 
-// What a write and its condition add to a body beside the key, which stands twice, and the value.
+// JSON overhead of a write and its condition, without the key (which appears twice) and the value.
 constexpr std::size_t kBytesPerWrite = 120;
 
-// Values are JSON text already, so documents are put together by hand rather than parsing them again.
+// Values are JSON text already; building the document as text avoids parsing them again.
 std::string encodeOperation(const Write& write) {
   if (!write.value) return "{\"drop\":" + dump(Json(write.key)) + "}";
   std::string text = "{\"write\":" + dump(Json(write.key)) + ",\"value\":" + *write.value;
@@ -34,22 +34,22 @@
   return "[" + text + "]";
 }
 
-std::optional<Version> revisionOf(const Json& document) {
+std::optional<Version> parseRevisionField(const Json& document) {
   auto revision = unsignedField(document, "ledger_rev");
   if (!revision) return std::nullopt;
   return Version{*revision};
 }
 
-// A key with its value.
-std::optional<KeyChange> entryOf(const Json& entry) {
+// Parses a key with its value.
+std::optional<KeyChange> parseEntryObject(const Json& entry) {
   auto key = stringField(entry, "path");
   auto version = unsignedField(entry, "stamp");
   if (!key || !version || !entry.contains("value")) return std::nullopt;
   return KeyChange{*key, dump(entry.at("value")), Version{*version}};
 }
 
-// A write or a deletion of a key.
-std::optional<KeyChange> changeOf(const Json& change) {
+// Parses a write or deletion of a key.
+std::optional<KeyChange> parseChangeObject(const Json& change) {
   auto version = unsignedField(change, "stamp");
   auto written = stringField(change, "write");
   auto deleted = stringField(change, "drop");
@@ -81,16 +81,16 @@
 
 std::optional<Version> parseRevision(const std::string& body) {
   auto document = parse(body);
-  return document ? revisionOf(*document) : std::nullopt;
+  return document ? parseRevisionField(*document) : std::nullopt;
 }
 
 std::optional<KeyPage> parseKeyPage(const std::string& body) {
   auto document = parse(body);
-  auto revision = document ? revisionOf(*document) : std::nullopt;
+  auto revision = document ? parseRevisionField(*document) : std::nullopt;
   if (!revision) return std::nullopt;
   KeyPage page{{}, boolField(*document, "truncated").value_or(false), *revision};
   for (const auto& item : arrayField(*document, "entries")) {
-    auto entry = entryOf(item);
+    auto entry = parseEntryObject(item);
     if (!entry) return std::nullopt;
     page.entries.push_back(std::move(*entry));
   }
@@ -99,11 +99,11 @@
 
 std::optional<KeyPage> parseChanges(const std::string& body) {
   auto document = parse(body);
-  auto revision = document ? revisionOf(*document) : std::nullopt;
+  auto revision = document ? parseRevisionField(*document) : std::nullopt;
   if (!revision) return std::nullopt;
   KeyPage page{{}, false, *revision};
   for (const auto& item : arrayField(*document, "news")) {
-    auto change = changeOf(item);
+    auto change = parseChangeObject(item);
     if (!change) return std::nullopt;
     page.entries.push_back(std::move(*change));
   }
@@ -112,7 +112,7 @@
 
 std::optional<KeyChange> parseEntry(const std::string& body) {
   auto document = parse(body);
-  return document ? entryOf(*document) : std::nullopt;
+  return document ? parseEntryObject(*document) : std::nullopt;
 }
 
 std::vector<std::string> parseConflictingKeys(const std::string& body) {
--- a/src/wire/records.cpp
+++ b/src/wire/records.cpp
@@ -8,23 +8,24 @@
 namespace cherryloft::wire {
 namespace {
 
-// The layout of pages and groups. Layout 1 had a key for each part of a job and for each machine.
-constexpr std::uint64_t kLayout = 2;
+// Layout version of pages and groups. Layout 1 had one key for each part of a job and for each machine.
+constexpr std::uint64_t kLayoutVersion = 2;
 
-std::optional<Json> parseLayout(const std::string& value) {
+// Returns nullopt for another layout version.
+std::optional<Json> parseVersioned(const std::string& value) {
   auto document = parse(value);
-  if (!document || unsignedField(*document, "v") != kLayout) return std::nullopt;
+  if (!document || unsignedField(*document, "v") != kLayoutVersion) return std::nullopt;
   return document;
 }
 
-// The enumerator of that number, or nothing beyond the last one.
+// The enumerator with that value; nullopt if it is beyond the last one.
 template <class Enum>
-std::optional<Enum> enumeratorOf(std::optional<std::uint64_t> number, Enum last) {
+std::optional<Enum> toEnumerator(std::optional<std::uint64_t> number, Enum last) {
   if (!number || *number > static_cast<std::uint64_t>(last)) return std::nullopt;
   return static_cast<Enum>(*number);
 }
 
-// Ascending numbers as the first and the last of each run of them.
+// Encodes ascending numbers as [first, last] pairs of consecutive ones.
 Json encodeRanges(const std::vector<std::uint32_t>& numbers) {
   Json ranges = Json::array();
   for (std::size_t first = 0; first < numbers.size();) {
@@ -103,8 +104,8 @@
 
 std::optional<JobSpec> parseSpec(const JobId& id, std::uint32_t tasks, const Json& json) {
   auto each = parseResources(arrayField(json, "each"));
-  auto priority = enumeratorOf(unsignedField(json, "rank"), PriorityClass::Production);
-  auto kind = enumeratorOf(unsignedField(json, "shape"), JobKind::Gang);
+  auto priority = toEnumerator(unsignedField(json, "rank"), PriorityClass::Production);
+  auto kind = toEnumerator(unsignedField(json, "shape"), JobKind::Gang);
   if (!each || !priority || !kind) return std::nullopt;
   JobSpec spec;
   spec.id = id;
@@ -147,7 +148,7 @@
 std::string encodeCancelledJob(JobRecord record, std::size_t maxValueBytes) {
   auto value = encodeJobRecord(record);
   if (value.size() <= maxValueBytes || !record.spec) return value;
-  // Nothing of it is placed any more: only the resources of its tasks are still asked for.
+  // No more tasks of the job will be placed; only their resources are still needed.
   record.spec->jobClass.clear();
   record.spec->image.value.clear();
   record.spec->types.reset();
@@ -166,7 +167,7 @@
 std::optional<JobRecord> parseJobRecord(const JobId& id, const std::string& value) {
   auto document = parse(value);
   if (!document) return std::nullopt;
-  auto status = enumeratorOf(unsignedField(*document, "st"), JobStatus::Cancelled);
+  auto status = toEnumerator(unsignedField(*document, "st"), JobStatus::Cancelled);
   auto shard = unsignedField(*document, "sh");
   auto tasks = unsignedField(*document, "n");
   auto doneRemotely = parseRanges(arrayField(*document, "done"));
@@ -176,14 +177,15 @@
   record.shard = ShardId{static_cast<std::uint32_t>(*shard)};
   record.tasks = static_cast<std::uint32_t>(*tasks);
   record.doneRemotely = std::move(*doneRemotely);
-  if (auto most = unsignedField(*document, "most")) record.maxConcurrent = static_cast<std::uint32_t>(*most);
+  if (auto maxConcurrent = unsignedField(*document, "most"))
+    record.maxConcurrent = static_cast<std::uint32_t>(*maxConcurrent);
   for (const auto& part : arrayField(*document, "parts")) {
-    // One that can't be read must not be taken for none: its tasks would be placed twice.
+    // Ignoring a malformed delegation would place its tasks twice.
     auto delegation = parseDelegation(part);
     if (!delegation) return std::nullopt;
     record.delegations.push_back(std::move(*delegation));
   }
-  // A cancelled job keeps its description: what it takes counts until its last task is known to be gone.
+  // A cancelled job keeps its description: its usage counts until its last task is known to have ended.
   bool hasSpec = document->contains("spec");
   if (record.status != JobStatus::Open && !hasSpec) return record;
   auto submitted = unsignedField(*document, "at");
@@ -232,7 +234,7 @@
 
 }  // namespace
 
-// The constants are the quotes, brackets, commas and member names around the variable parts, rounded up.
+// The constants cover quotes, brackets, commas and member names, rounded up.
 std::size_t maxBytesOfJob(const JobId& job) { return job.value.size() + 20; }
 std::size_t maxBytesOfDoneTask(std::uint32_t index) { return 2 * digits(index) + 4; }
 std::size_t maxBytesOf(const PlacementEntry& entry) {
@@ -242,11 +244,11 @@
 std::string encodePlacementPage(const PlacementPageRecord& record) {
   Json jobs = Json::object();
   for (const auto& [id, placements] : record.jobs) jobs[id.value] = encodePlacements(placements);
-  return dump(Json{{"v", kLayout}, {"j", std::move(jobs)}});
+  return dump(Json{{"v", kLayoutVersion}, {"j", std::move(jobs)}});
 }
 
 std::optional<PlacementPageRecord> parsePlacementPage(const std::string& value) {
-  auto document = parseLayout(value);
+  auto document = parseVersioned(value);
   if (!document || !document->contains("j") || !document->at("j").is_object()) return std::nullopt;
   PlacementPageRecord record;
   for (const auto& [id, json] : document->at("j").items()) {
@@ -265,7 +267,7 @@
   if (!json.is_array() || json.size() != 3 || !json[0].is_string() || !json[1].is_number_unsigned() ||
       !json[2].is_string())
     return std::nullopt;
-  auto phase = enumeratorOf<MachinePhase>(json[1].get<std::uint64_t>(), MachinePhase::Returning);
+  auto phase = toEnumerator<MachinePhase>(json[1].get<std::uint64_t>(), MachinePhase::Returning);
   if (!phase) return std::nullopt;
   return MachineGroupMember{MachineId{json[0].get<std::string>()}, *phase, json[2].get<std::string>()};
 }
@@ -276,7 +278,7 @@
   Json members = Json::array();
   for (const auto& member : record.members)
     members.push_back({member.id.value, static_cast<int>(member.phase), member.address});
-  return dump(Json{{"v", kLayout},
+  return dump(Json{{"v", kLayoutVersion},
                    {"sh", record.shard.value},
                    {"tk", record.token.value},
                    {"ty", record.type},
@@ -287,7 +289,7 @@
 }
 
 std::optional<MachineGroupRecord> parseMachineGroup(const std::string& value) {
-  auto document = parseLayout(value);
+  auto document = parseVersioned(value);
   if (!document) return std::nullopt;
   auto shard = unsignedField(*document, "sh");
   auto token = unsignedField(*document, "tk");
@@ -308,9 +310,9 @@
 }
 
 std::size_t maxGroupMembers(std::size_t maxValueBytes) {
-  constexpr std::size_t kFrameBytes = 200;  // what is common to all members, with room to spare
-  constexpr std::size_t kMemberBytes = 48;  // of a name, a phase and an address
-  return std::max<std::size_t>(1, (maxValueBytes - std::min(maxValueBytes, kFrameBytes)) / kMemberBytes);
+  constexpr std::size_t kCommonBytes = 200;  // fields common to all members, with a reserve
+  constexpr std::size_t kMemberBytes = 48;   // name, phase and address of a member
+  return std::max<std::size_t>(1, (maxValueBytes - std::min(maxValueBytes, kCommonBytes)) / kMemberBytes);
 }
 
 // --- ownership ---
--- a/src/wire/users.cpp
+++ b/src/wire/users.cpp
@@ -9,49 +9,50 @@
 namespace {
 
 constexpr std::uint32_t kMaxTasks = 100'000;
-constexpr double kMaxAmount = 1e9;  // of any quantity
-constexpr std::size_t kMaxName = 200;
+constexpr double kMaxAmount = 1e9;  // of any numeric field
+constexpr std::size_t kMaxNameBytes = 200;
 constexpr std::string_view kJobIdPrefix = "wk-";
-constexpr std::size_t kMaxJobId = 64;
+constexpr std::size_t kMaxJobIdBytes = 64;
 constexpr int kServiceUnavailable = 503;
 constexpr int kRetryAfterS = 1;
 
-// Collects the first thing wrong, so that the fields below read as a list.
-class Fields {
+// Reads fields of a submission and remembers the first invalid one, so that the caller checks for errors
+// once.
+class FieldReader {
  public:
-  explicit Fields(const Json& object) : object_(object) {}
+  explicit FieldReader(const Json& object) : object_(object) {}
 
   std::string name(const char* field, bool mayBeEmpty = false) {
     auto value = stringField(object_, field);
-    if (!value || (value->empty() && !mayBeEmpty) || value->size() > kMaxName) wrong(field);
+    if (!value || (value->empty() && !mayBeEmpty) || value->size() > kMaxNameBytes) reject(field);
     return value.value_or("");
   }
   double amount(const char* field, double low) {
     auto value = numberField(object_, field);
-    if (!value || *value < low || *value > kMaxAmount) wrong(field);
+    if (!value || *value < low || *value > kMaxAmount) reject(field);
     return value.value_or(0);
   }
   bool flag(const char* field) {
     auto value = boolField(object_, field);
-    if (!value) wrong(field);
+    if (!value) reject(field);
     return value.value_or(false);
   }
   bool absent(const char* field) const { return !object_.contains(field) || object_.at(field).is_null(); }
-  void wrong(const char* field) {
-    if (why_.empty()) why_ = std::string("field '") + field + "' is missing or invalid";
+  void reject(const char* field) {
+    if (error_.empty()) error_ = std::string("field '") + field + "' is missing or invalid";
   }
-  const std::string& why() const { return why_; }
+  const std::string& error() const { return error_; }
 
  private:
   const Json& object_;
-  std::string why_;
+  std::string error_;
 };
 
 }  // namespace
 
 bool isJobId(const std::string& id) {
   auto isDigit = [](char c) { return c >= '0' && c <= '9'; };
-  if (id.size() <= kJobIdPrefix.size() || id.size() > kMaxJobId || !id.starts_with(kJobIdPrefix))
+  if (id.size() <= kJobIdPrefix.size() || id.size() > kMaxJobIdBytes || !id.starts_with(kJobIdPrefix))
     return false;
   return std::all_of(id.begin() + kJobIdPrefix.size(), id.end(), isDigit);
 }
@@ -60,7 +61,7 @@
   auto doc = parse(body);
   if (!doc) return Malformed{"not JSON", {}};
   if (!doc->is_object()) return Malformed{"not an object", {}};
-  Fields fields(*doc);
+  FieldReader fields(*doc);
   JobSpec job;
   auto id = stringField(*doc, "name_id");
   if (!id || !isJobId(*id)) return Malformed{"field 'name_id' is missing or invalid", {}};
@@ -73,7 +74,7 @@
   else if (kind == "ensemble")
     job.kind = JobKind::Gang;
   else if (kind != "sweep")
-    fields.wrong("shape");
+    fields.reject("shape");
   auto priority = fields.name("rank");
   if (priority == "prod")
     job.priority = PriorityClass::Production;
@@ -84,22 +85,22 @@
   else if (priority == "best_effort")
     job.priority = PriorityClass::BestEffort;
   else
-    fields.wrong("rank");
+    fields.reject("rank");
   auto tasks = unsignedField(*doc, "pieces");
-  if (!tasks || *tasks < 1 || *tasks > kMaxTasks) fields.wrong("pieces");
+  if (!tasks || *tasks < 1 || *tasks > kMaxTasks) fields.reject("pieces");
   job.tasks = static_cast<std::uint32_t>(std::min<std::uint64_t>(tasks.value_or(1), kMaxTasks));
   job.each = {fields.amount("cores", 0), fields.amount("gpus", 0), fields.amount("ram_gb", 0)};
-  if (job.each.cores <= 0 && job.each.gpus <= 0) fields.wrong("cores");
+  if (job.each.cores <= 0 && job.each.gpus <= 0) fields.reject("cores");
   job.image = ImageId{fields.name("bundle")};
   job.imageGb = fields.amount("image_gb", 0);
   if (!fields.absent("flavours")) {
-    if (!doc->at("flavours").is_array()) fields.wrong("flavours");
+    if (!doc->at("flavours").is_array()) fields.reject("flavours");
     job.types.emplace();
     for (const auto& type : arrayField(*doc, "flavours")) {
       if (type.is_string())
         job.types->push_back(type.get<std::string>());
       else
-        fields.wrong("flavours");
+        fields.reject("flavours");
     }
   }
   if (!fields.absent("site")) job.zone = Zone{fields.name("site")};
@@ -110,7 +111,7 @@
   job.checkpointIntervalSeconds = fields.amount("snapshot_every_s", 0);
   job.checkpointSeconds = fields.amount("snapshot_s", 0);
   if (!fields.absent("due_s")) job.deadlineSeconds = fields.amount("due_s", 0);
-  if (!fields.why().empty()) return Malformed{fields.why(), job.id};
+  if (!fields.error().empty()) return Malformed{fields.error(), job.id};
   return job;
 }
 
--- a/src/wire/users.h
+++ b/src/wire/users.h
@@ -1,4 +1,4 @@
-// The users' side of the protocol.
+// Messages of the user API.
 #pragma once
 
 #include <optional>
@@ -10,31 +10,31 @@
 
 namespace cherryloft::wire {
 
-// Why a submission can't be read.
+// The reason why a submission was rejected as malformed.
 struct Malformed {
   std::string why;
-  std::optional<JobId> id;  // if the body names a job in the right form: it may be known already
+  std::optional<JobId> id;  // set if the body contains a valid job id: that job may be known already
 };
-// Names the first field that is missing or wrong; unknown fields are passed over.
+// The error names the first field that is missing or invalid; unknown fields are ignored.
 std::variant<JobSpec, Malformed> parseSubmission(const std::string& body);
-// "wk-" and digits.
+// "wk-" followed by digits.
 [[nodiscard]] bool isJobId(const std::string& id);
 
-// What a user is told of a job.
+// The status of a job as reported to users.
 struct JobProgress {
   JobStatus status = JobStatus::Open;
   std::uint32_t tasks = 0;
   std::uint32_t done = 0;
   std::uint32_t running = 0;
 };
-// The body that both submissions and polls answer with.
+// The response body for both submissions and polls.
 std::string encodeJobStatus(const JobId& id, const JobProgress& view);
-// Whether such a body tells that the job is over, and how it ended.
+// The final status in such a body; nullopt if the job has not ended.
 std::optional<JobStatus> parseFinalStatus(const std::string& body);
 
-// An answer with that status and a body that says why; `retryAfterS` seconds, 0 for no such header.
+// A response with that status and the reason in its body. retryAfterS 0: no Retry-After header.
 HttpResponse userError(int status, const std::string& why, int retryAfterS = 0);
-// 503, to be tried again after a second.
+// A 503 response that asks the client to retry after one second.
 HttpResponse userUnavailable(const std::string& why);
 
 }  // namespace cherryloft::wire
--- a/src/wire/workers.cpp
+++ b/src/wire/workers.cpp
@@ -7,7 +7,7 @@
 namespace cherryloft::wire {
 namespace {
 
-std::optional<ReportedTask> parseReported(const Json& entry) {
+std::optional<ReportedTask> parseReportedTask(const Json& entry) {
   auto task = stringField(entry, "piece");
   auto attempt = unsignedField(entry, "try");
   auto phase = stringField(entry, "status");
@@ -36,7 +36,7 @@
   return reported;
 }
 
-Json commandsJson(const std::vector<Command>& commands) {
+Json encodeCommandList(const std::vector<Command>& commands) {
   Json list = Json::array();
   for (const auto& command : commands) {
     Json object{{"piece", encodeTask(command.task)}, {"try", command.attempt.value}};
@@ -90,8 +90,8 @@
                             numberField(*doc, "reclaim_in_s"),
                             {}};
   for (const auto& entry : arrayField(*doc, "pieces")) {
-    auto task = parseReported(entry);
-    // A list that cannot be read in full proves nothing about what is absent from it.
+    auto task = parseReportedTask(entry);
+    // From a partly read list it would not follow that a task is absent.
     if (!task) return std::nullopt;
     heartbeat.tasks.push_back(std::move(*task));
   }
@@ -99,13 +99,13 @@
 }
 
 std::string encodeHeartbeatAnswer(FencingToken token, const std::vector<Command>& commands) {
-  return dump(Json{{"epoch", token.value}, {"orders", commandsJson(commands)}});
+  return dump(Json{{"epoch", token.value}, {"orders", encodeCommandList(commands)}});
 }
 
 std::string encodeCommands(FencingToken token, Incarnation incarnation,
                            const std::vector<Command>& commands) {
   return dump(
-      Json{{"epoch", token.value}, {"tenure", incarnation.value}, {"orders", commandsJson(commands)}});
+      Json{{"epoch", token.value}, {"tenure", incarnation.value}, {"orders", encodeCommandList(commands)}});
 }
 
 std::string encodeOwner(const ControllerId& owner) { return dump(Json{{"steward", owner.value}}); }
--- a/src/wire/workers.h
+++ b/src/wire/workers.h
@@ -1,4 +1,4 @@
-// The workers' side of the protocol: heartbeats and commands.
+// Messages exchanged with workers: heartbeats and commands.
 #pragma once
 
 #include <optional>
@@ -10,10 +10,10 @@
 namespace cherryloft::wire {
 
 enum class TaskPhase : std::uint8_t { Fetching, Running, Saving, Exited };
-// Peers: a member of a gang ended because the others were not there.
+// Peers: a gang member ended because other members were missing.
 enum class ExitCause : std::uint8_t { Done, Stopped, Error, NoRoom, Busy, Unknown, Peers };
 
-// A task as its worker tells of it.
+// A task as reported by its worker.
 struct ReportedTask {
   TaskId task;
   Attempt attempt;
@@ -22,8 +22,8 @@
   friend bool operator==(const ReportedTask&, const ReportedTask&) = default;
 };
 
-// What a worker says of itself at an interval, or when asked. `reclaimInS`: seconds until a spot machine is
-// taken.
+// A worker's periodic report, also sent on request. `reclaimInS`: seconds until the cloud reclaims the spot
+// machine.
 struct WorkerHeartbeat {
   MachineId machine;
   std::string address;
@@ -37,11 +37,11 @@
   std::vector<ReportedTask> tasks;
 };
 
-// Nothing when a field is missing or any task can't be read: an incomplete list proves nothing of what it
-// lacks.
+// Returns nullopt when a field is missing or any task is malformed: from an incomplete list it does not
+// follow that a task is absent.
 std::optional<WorkerHeartbeat> parseHeartbeat(const std::string& body);
 
-// What a worker is to do with a task; `graceS`: seconds that a stopped one may take to save.
+// An order to a worker about a task. `graceS`: seconds that a stopped task may take to save its state.
 struct Command {
   enum class Verb : std::uint8_t { Start, Stop, Forget };
   Verb verb = Verb::Start;
@@ -50,11 +50,11 @@
   double graceS = 0;
 };
 
-// The answer to a heartbeat.
+// The response to a heartbeat.
 std::string encodeHeartbeatAnswer(FencingToken token, const std::vector<Command>& commands);
-// The body of commands sent to a worker; refused by any other incarnation than this.
+// The body of a request with commands to a worker, which rejects it unless it has this incarnation.
 std::string encodeCommands(FencingToken token, Incarnation incarnation, const std::vector<Command>& commands);
-// The body of 421: to which controller the worker should go.
+// The body of a 421 response: the controller that the worker should connect to.
 std::string encodeOwner(const ControllerId& owner);
 
 // "<job>/<index>"
--- a/tests/unit/loopback_test.cpp
+++ b/tests/unit/loopback_test.cpp
@@ -1,4 +1,4 @@
-// The server and the client over real loopback sockets.
+// HttpServer and HttpClient over loopback TCP sockets.
 #include <gtest/gtest.h>
 #include <unistd.h>
 
@@ -14,12 +14,12 @@
 
 struct Loopback : testing::Test {
   Loop loop;
-  Address at{"127.0.0.1", 0};
+  Address address{"127.0.0.1", 0};
   int fd = -1;
   void SetUp() override {
     for (std::uint16_t port = 21000; port < 21200 && fd < 0; ++port) {
-      at.port = port;
-      fd = listenOn(at);
+      address.port = port;
+      fd = listenOn(address);
     }
     ASSERT_GE(fd, 0);
   }
@@ -27,7 +27,7 @@
 
 }  // namespace
 
-TEST_F(Loopback, KeepsConnectionsAndBoundsThem) {
+TEST_F(Loopback, ConnectionIsReusedAndUnansweredCallTimesOut) {
   HttpServer server(
       loop, silentLog(), fd, 3,
       [](HttpRequest r, Responder done) {
@@ -39,17 +39,18 @@
   int unanswered = 0;
   std::function<void(int)> next = [&](int left) {
     if (left == 0) {
-      client.call(at, {"GET", "/never", "", false}, Duration{50}, [&](HttpResult r) {
+      client.call(address, {"GET", "/never", "", false}, Duration{50}, [&](HttpResult r) {
         unanswered += r.outcome == HttpResult::Outcome::Unknown;
         loop.stop();
       });
       return;
     }
-    client.call(at, {"POST", "/x", std::to_string(left), false}, Duration{5000}, [&, left](HttpResult r) {
-      got.push_back(r.answered(200) ? r.response.body : "failed");
-      EXPECT_EQ(server.connections(), 1U);  // the same connection each time
-      next(left - 1);
-    });
+    client.call(address, {"POST", "/x", std::to_string(left), false}, Duration{5000},
+                [&, left](HttpResult r) {
+                  got.push_back(r.answered(200) ? r.response.body : "failed");
+                  EXPECT_EQ(server.connections(), 1U);  // the same connection each time
+                  next(left - 1);
+                });
   };
   next(3);
   loop.run();
@@ -57,14 +58,14 @@
   EXPECT_EQ(unanswered, 1);
 }
 
-TEST_F(Loopback, MalformedIsAnswered400AndClosed) {
+TEST_F(Loopback, MalformedRequestGets400AndClose) {
   HttpServer server(
       loop, silentLog(), fd, 10,
       [](HttpRequest, Responder done) {
         done({200, "{}", false, 0});
       },
       [](const HttpRequest&) { return false; });
-  auto raw = std::make_shared<Stream>(loop, connectTo(at), true);
+  auto raw = std::make_shared<Stream>(loop, connectTo(address), true);
   std::string text;
   raw->start([&](std::string_view b) { text.append(b); }, [&] { loop.stop(); });
   raw->send("NONSENSE\r\n\r\n");
@@ -73,7 +74,7 @@
   EXPECT_NE(text.find("Connection: close"), std::string::npos);
 }
 
-TEST_F(Loopback, RefusedConnectionWasNotSent) {
+TEST_F(Loopback, RefusedConnectionIsReportedAsNotSent) {
   HttpClient client(loop, 4, 8, 8, {});
   HttpResult result;
   client.call({"127.0.0.1", 1}, {"GET", "/", "", false}, Duration{2000}, [&](HttpResult r) {
@@ -84,31 +85,32 @@
   EXPECT_EQ(result.outcome, HttpResult::Outcome::NotSent);
 }
 
-// Machines that don't answer take no more sockets than are theirs; the vital addresses are always called.
-TEST_F(Loopback, CallsAreBoundedButForVitalAddresses) {
+// Unresponsive machines must not use up the sockets: concurrent calls are limited, except to exempt
+// addresses.
+TEST_F(Loopback, ConcurrentCallsAreLimitedExceptToExemptAddresses) {
   HttpServer server(
       loop, silentLog(), fd, 50, [](HttpRequest, Responder) {}, [](const HttpRequest&) { return false; });
-  for (bool vital : {false, true}) {
-    HttpClient client(loop, 4, 8, 3, vital ? std::set<Address>{at} : std::set<Address>{});
+  for (bool exempt : {false, true}) {
+    HttpClient client(loop, 4, 8, 3, exempt ? std::set<Address>{address} : std::set<Address>{});
     int notSent = 0, unknown = 0;
     for (int i = 0; i < 10; ++i)
-      client.call(at, {"GET", "/never", "", false}, Duration{50}, [&](HttpResult r) {
+      client.call(address, {"GET", "/never", "", false}, Duration{50}, [&](HttpResult r) {
         (r.outcome == HttpResult::Outcome::NotSent ? notSent : unknown) += 1;
         if (notSent + unknown == 10) loop.stop();
       });
     loop.run();
-    EXPECT_EQ(notSent, vital ? 0 : 7);
-    EXPECT_EQ(unknown, vital ? 10 : 3);
+    EXPECT_EQ(notSent, exempt ? 0 : 7);
+    EXPECT_EQ(unknown, exempt ? 10 : 3);
   }
 }
 
-// A port that somebody else holds for a moment does not end the process.
-TEST_F(Loopback, AnAddressInUseIsTriedAgain) {
+// A port that another process uses briefly must not make the controller exit.
+TEST_F(Loopback, ListeningIsRetriedWhileTheAddressIsInUse) {
   unsigned pauses = 0;
-  EXPECT_LT(listenWithRetries(at, 3, [&] { ++pauses; }), 0);
+  EXPECT_LT(listenWithRetries(address, 3, [&] { ++pauses; }), 0);
   EXPECT_EQ(pauses, 2U);
   pauses = 0;
-  int got = listenWithRetries(at, 5, [&] {
+  int got = listenWithRetries(address, 5, [&] {
     if (++pauses == 2) ::close(fd);
   });
   EXPECT_GE(got, 0);
@@ -116,52 +118,53 @@
   ::close(got);
 }
 
-// More workers than there are sockets: each is answered and asked to connect anew, none loses a request for
-// another's sake, and a user finds room. What is connectionsScanned for it does not grow with the
-// connections.
-TEST_F(Loopback, NearTheBoundWorkersConnectAnewAndNobodyIsLost) {
+// With more workers than sockets, each worker gets its response and is asked to reconnect, no request is lost
+// and a user can still connect. The steps taken to find connections to close do not grow with their
+// number.
+TEST_F(Loopback, NearTheLimitWorkersReconnectAndNoRequestIsLost) {
   constexpr int kWorkers = 60;
-  constexpr std::size_t kMost = 24;
+  constexpr std::size_t kMaxConnections = 24;
   HttpServer server(
-      loop, silentLog(), fd, kMost,
+      loop, silentLog(), fd, kMaxConnections,
       [&](HttpRequest r, Responder done) {
         loop.after(Duration{5}, [done, r] { done({200, r.target, false, 0}); });
       },
       [](const HttpRequest& r) { return r.target == "/checkin"; });
-  // Each worker keeps a connection of its own.
+  // Each worker has its own connection.
   std::deque<HttpClient> workers;
   for (int w = 0; w <= kWorkers; ++w) workers.emplace_back(loop, 1, 1, 1, std::set<Address>{});
   int answered = 0, lost = 0, closed = 0;
-  std::size_t most = 0;
-  bool user = false;
-  auto over = [&] {
-    if (answered + lost == kWorkers * 3 && user) loop.stop();
+  std::size_t mostConnections = 0;
+  bool userAnswered = false;
+  auto stopWhenComplete = [&] {
+    if (answered + lost == kWorkers * 3 && userAnswered) loop.stop();
   };
-  // A few at a time, each three times: reports are spread over their interval. A step begins once the one
-  // before is answered, so that a pause of the machine makes them late and not many at once.
+  // Three heartbeats per worker, sent by a few workers at a time, as real ones are spread over their
+  // interval. A step starts once the previous one is answered, so that a pause of the test machine does not
+  // cause a burst.
   constexpr int kSteps = 20;
-  int steps = 0, under = 0;
+  int steps = 0, pending = 0;
   std::function<void()> step;
   auto heartbeat = [&](int worker) {
-    auto& own = workers[static_cast<std::size_t>(worker)];
-    own.call(at, {"POST", "/checkin", "{}", false}, Duration{5000}, [&](HttpResult r) {
+    auto& client = workers[static_cast<std::size_t>(worker)];
+    client.call(address, {"POST", "/checkin", "{}", false}, Duration{5000}, [&](HttpResult r) {
       (r.answered(200) ? answered : lost) += 1;
       closed += r.response.close;
-      most = std::max(most, server.connections());
-      over();
-      if (--under == 0 && steps < 3 * kSteps) loop.after(Duration{10}, [&] { step(); });
+      mostConnections = std::max(mostConnections, server.connections());
+      stopWhenComplete();
+      if (--pending == 0 && steps < 3 * kSteps) loop.after(Duration{10}, [&] { step(); });
     });
   };
   step = [&] {
     int first = steps++ % kSteps;
-    for (int w = first; w < kWorkers; w += kSteps) ++under;
+    for (int w = first; w < kWorkers; w += kSteps) ++pending;
     for (int w = first; w < kWorkers; w += kSteps) heartbeat(w);
   };
   loop.after(Duration{0}, [&] { step(); });
   loop.after(Duration{150}, [&] {
-    workers.back().call(at, {"GET", "/up", "", false}, Duration{5000}, [&](HttpResult r) {
-      user = r.answered(200);
-      over();
+    workers.back().call(address, {"GET", "/up", "", false}, Duration{5000}, [&](HttpResult r) {
+      userAnswered = r.answered(200);
+      stopWhenComplete();
     });
   });
   loop.after(Duration{10'000}, [&] { loop.stop(); });
@@ -169,14 +172,14 @@
   EXPECT_EQ(answered, kWorkers * 3);
   EXPECT_EQ(lost, 0);
   EXPECT_GT(closed, 0);
-  EXPECT_TRUE(user);
-  EXPECT_LE(most, kMost);
+  EXPECT_TRUE(userAnswered);
+  EXPECT_LE(mostConnections, kMaxConnections);
   EXPECT_LE(server.connectionsScanned(), 8U);
 }
 
-// Where only idle connections are left to give way, the longest idle user goes, then the longest idle worker,
-// and nobody whose answer is under way.
-TEST_F(Loopback, WhoWaitsForNothingGivesWayFirst) {
+// At the limit the longest idle user connection is closed first, then the longest idle worker
+// connection, and none that awaits its response.
+TEST_F(Loopback, AtTheLimitIdleConnectionsAreClosedFirst) {
   std::vector<Responder> open;
   HttpServer server(
       loop, silentLog(), fd, 16,
@@ -188,9 +191,9 @@
   std::map<std::string, int> ended;
   std::vector<std::shared_ptr<Stream>> streams;
   auto connect = [&](const std::string& name, const std::string& target) {
-    auto s = std::make_shared<Stream>(loop, connectTo(at), true);
+    auto s = std::make_shared<Stream>(loop, connectTo(address), true);
     s->start([](std::string_view) {}, [&ended, name] { ++ended[name]; });
-    s->send(encodeRequest({"POST", target, "{}", false}, at.text()));
+    s->send(encodeRequest({"POST", target, "{}", false}, address.text()));
     streams.push_back(s);
   };
   connect("busy", "/slow");
@@ -206,33 +209,34 @@
   EXPECT_EQ(server.connections(), 16U);
 }
 
-// A peer that goes on sending while its answer is under way can't fill our memory.
-TEST_F(Loopback, WhatIsSentAheadIsBounded) {
+// A peer that keeps sending while its request is being handled must not exhaust the server's memory.
+TEST_F(Loopback, PipelinedBytesAreLimited) {
   HttpServer server(
       loop, silentLog(), fd, 10, [](HttpRequest, Responder) {}, [](const HttpRequest&) { return false; });
-  auto s = std::make_shared<Stream>(loop, connectTo(at), true);
+  auto s = std::make_shared<Stream>(loop, connectTo(address), true);
   bool ended = false;
   s->start([](std::string_view) {},
            [&] {
              ended = true;
              loop.stop();
            });
-  s->send(encodeRequest({"POST", "/x", "{}", false}, at.text()) + std::string(std::size_t{1024} * 1024, 'x'));
+  s->send(encodeRequest({"POST", "/x", "{}", false}, address.text()) +
+          std::string(std::size_t{1024} * 1024, 'x'));
   loop.after(Duration{2000}, [&] { loop.stop(); });
   loop.run();
   EXPECT_TRUE(ended);
   EXPECT_EQ(server.connections(), 0U);
 }
 
-// After a standstill what waits in sockets, even in connections not yet accepted, is read before overdue
-// timers run. Here every timer counts as overdue.
-TEST(Standstill, SocketsAreReadBeforeOverdueTimers) {
+// After the process was suspended, pending socket input, also on connections not accepted yet, is read before
+// overdue timers run. With a threshold of 0 every timer counts as overdue.
+TEST(LoopAfterSuspension, SocketsAreReadBeforeOverdueTimers) {
   Loop loop{Duration{0}};
-  Address at{"127.0.0.1", 0};
+  Address address{"127.0.0.1", 0};
   int fd = -1;
   for (std::uint16_t port = 21200; port < 21400 && fd < 0; ++port) {
-    at.port = port;
-    fd = listenOn(at);
+    address.port = port;
+    fd = listenOn(address);
   }
   ASSERT_GE(fd, 0);
   std::vector<std::string> order;
@@ -243,8 +247,8 @@
         done({200, "{}", false, 0});
       },
       [](const HttpRequest&) { return false; });
-  int raw = connectTo(at);
-  auto text = encodeRequest({"GET", "/waiting", "", false}, at.text());
+  int raw = connectTo(address);
+  auto text = encodeRequest({"GET", "/waiting", "", false}, address.text());
   ASSERT_EQ(::write(raw, text.data(), text.size()), static_cast<ssize_t>(text.size()));
   loop.after(Duration{0}, [&] {
     order.emplace_back("timer");
--- a/tests/unit/recorded_examples_test.cpp
+++ b/tests/unit/recorded_examples_test.cpp
@@ -1,6 +1,6 @@
-// Recorded examples of everything that is stored or passes between controllers. Guards against a rename or a
-// new field that changes a stored key, its order or a message, so that the versions before and after can't
-// read it.
+// Golden encodings of all stored records and messages between controllers. Guards against a rename or a new
+// field that changes a stored record or a message, so that older and newer versions could not read each
+// other's data.
 #include <gtest/gtest.h>
 
 #include <iomanip>
@@ -19,7 +19,7 @@
   return out.str();
 }
 
-// A frame from controller 1 to controller 2. The first twenty digits are the byte order, from and to.
+// A frame from controller 1 to controller 2. The first 18 digits are the byte order, `from` and `to`.
 std::string frameOf(mesh::Payload payload) { return hex(mesh::encode({1, 2, std::move(payload)})); }
 
 JobSpec spec() {
@@ -55,9 +55,9 @@
   migrated.maxConcurrent = 5;
   auto text = wire::encodeJobRecord(migrated);
   EXPECT_NE(text.find("\"most\":5"), std::string::npos) << text;
-  auto back = wire::parseJobRecord(JobId{"wk-000412"}, text);
-  ASSERT_TRUE(back);
-  EXPECT_EQ(back->maxConcurrent, 5U);
+  auto parsed = wire::parseJobRecord(JobId{"wk-000412"}, text);
+  ASSERT_TRUE(parsed);
+  EXPECT_EQ(parsed->maxConcurrent, 5U);
   EXPECT_FALSE(wire::parseJobRecord(JobId{"wk-000412"}, wire::encodeJobRecord(open))->maxConcurrent);
 }
 
@@ -72,16 +72,16 @@
                       "{\"sh\":0,\"t\":[[7,7]]}]"),
             std::string::npos)
       << text;
-  auto back = wire::parseJobRecord(JobId{"wk-000412"}, text);
-  ASSERT_TRUE(back);
-  EXPECT_EQ(wire::encodeJobRecord(*back), text);
-  EXPECT_EQ(back->delegations.front().tasks, (std::vector<std::uint32_t>{4, 5, 9}));
-  EXPECT_TRUE(back->delegations.front().recalled);
-  EXPECT_FALSE(back->delegations.back().zone);
+  auto parsed = wire::parseJobRecord(JobId{"wk-000412"}, text);
+  ASSERT_TRUE(parsed);
+  EXPECT_EQ(wire::encodeJobRecord(*parsed), text);
+  EXPECT_EQ(parsed->delegations.front().tasks, (std::vector<std::uint32_t>{4, 5, 9}));
+  EXPECT_TRUE(parsed->delegations.front().recalled);
+  EXPECT_FALSE(parsed->delegations.back().zone);
 }
 
-// A delegation that can't be read must not be taken for none: its tasks would be placed twice.
-TEST(Recorded, JobRecordWithUnreadableDelegationIsRefused) {
+// Ignoring a malformed delegation would place its tasks twice.
+TEST(Recorded, JobRecordWithMalformedDelegationIsRejected) {
   wire::JobRecord open{JobStatus::Open, ShardId{2}, 16, WallTime{1700}, spec(), {}};
   open.delegations.push_back({ShardId{1}, std::nullopt, {4}});
   auto text = wire::encodeJobRecord(open);
@@ -106,7 +106,7 @@
             "\"sp\":true,\"tk\":12,\"ty\":\"g8\",\"v\":2,\"zo\":\"a\"}");
 }
 
-TEST(Recorded, OwnersAndCounters) {
+TEST(Recorded, OwnerRecordsAndCounters) {
   EXPECT_EQ(wire::encodeOwnerRecord({ControllerId{"loftnode-0"}, Epoch{12}}),
             "{\"ep\":12,\"own\":\"loftnode-0\"}");
   EXPECT_EQ(wire::encodeEpochCounter(Epoch{12}), "{\"n\":12}");
@@ -125,7 +125,7 @@
             "{\"when\":[{\"path\":\"share/0\",\"stamp\":7}]}");
 }
 
-TEST(Recorded, FramesOfControllersThatAnswerEachOther) {
+TEST(Recorded, FramesOfHeartbeatsRequestsAndAnswers) {
   mesh::PeerHeartbeat heartbeat{5, true, 2900, {{1, 12, 412}}, 7, 100, 90, true, -1};
   EXPECT_EQ(frameOf(heartbeat),
             "010100000002000000000000000500000001540b0000000000000100000000000000010000000c000000000000009c01"
@@ -142,7 +142,7 @@
             "010100000002000000080000000900000000000000776b2d303030343132019c01000000000000");
 }
 
-TEST(Recorded, FramesAboutMachinesAndRoom) {
+TEST(Recorded, FramesAboutMachinesAndCapacity) {
   EXPECT_EQ(frameOf(mesh::UnrecordedMachineSeen{"{}"}), "0101000000020000000500000002000000000000007b7d");
   mesh::ShardLoad load{1, 12, {8, 4, 0.5, 0.25, 60, 2, 16, 4, {"g8"}, {"a"}}, {}, {}};
   load.machines.push_back({"host-000231", "g8", "a", true, 4, 1.5, true, false, true, false, 61.5});
