--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -20,7 +20,7 @@
   return [done = std::move(done)](const UserAnswer& answer) { done(toHttp(answer)); };
 }
 
-void rejectMethod(const Responder& done) { done(wire::userError(405, "method not allowed")); }
+void rejectMethod(const Responder& done) { done(wire::userErrorResponse(405, "method not allowed")); }
 
 // " what.name=count" for each, to end a log line.
 std::string countsByName(const std::string& what, const std::map<std::string, std::uint64_t>& counts) {
@@ -275,7 +275,7 @@
     return userApi_.submit(request.body, asHttp(std::move(done)));
   }
   if (path.starts_with(kJobPrefix)) return handleJobRequest(request, path.substr(kJobPrefix.size()), done);
-  done(wire::userError(404, "no such path"));
+  done(wire::userErrorResponse(404, "no such path"));
 }
 
 // jobPath: the job's id, with the cancel suffix if it is to be cancelled.
--- a/src/controller/user_answer.cpp
+++ b/src/controller/user_answer.cpp
@@ -14,15 +14,15 @@
   HttpResponse operator()(const JobState& state) const {
     return {200, wire::encodeJobStatus(state.id, state.view), false, kNoRetryAfter};
   }
-  HttpResponse operator()(const NoSuchJob&) const { return wire::userError(404, "no such job"); }
+  HttpResponse operator()(const NoSuchJob&) const { return wire::userErrorResponse(404, "no such job"); }
   HttpResponse operator()(const JobRejected& rejected) const {
-    return wire::userError(rejected.reason == Rejection::NeverRuns ? 422 : 400, rejected.why);
+    return wire::userErrorResponse(rejected.reason == Rejection::NeverRuns ? 422 : 400, rejected.why);
   }
   HttpResponse operator()(const Overloaded& overloaded) const {
-    return wire::userError(503, "more jobs come than can be kept", overloaded.retryAfterSeconds);
+    return wire::userErrorResponse(503, "more jobs come than can be kept", overloaded.retryAfterSeconds);
   }
   HttpResponse operator()(const Unavailable& unavailable) const {
-    return wire::userUnavailable(unavailable.why);
+    return wire::userUnavailableResponse(unavailable.why);
   }
   HttpResponse operator()(const OwnersAnswer& answer) const {
     return {answer.status, answer.body, false, answer.status == 503 ? kRetrySoonSeconds : kNoRetryAfter};
--- a/src/controller/worker_endpoint.cpp
+++ b/src/controller/worker_endpoint.cpp
@@ -16,7 +16,7 @@
 // One sent on to its owner that comes back sooner than this has not reached it.
 constexpr Duration kRedirectInterval{60'000};
 
-void refuse(const Responder& done, const char* why) { done(wire::userError(503, why)); }
+void refuse(const Responder& done, const char* why) { done(wire::userErrorResponse(503, why)); }
 
 }  // namespace
 
@@ -31,7 +31,7 @@
 
 void WorkerEndpoint::handleHeartbeat(const std::string& body, Responder done) {
   auto heartbeat = wire::parseHeartbeat(body);
-  if (!heartbeat) return done(wire::userError(400, "malformed report"));
+  if (!heartbeat) return done(wire::userErrorResponse(400, "malformed report"));
   const MachineEntry* machine = find(heartbeat->machine);
   if (!machine) {
     callbacks_.unrecordedMachineSeen(*heartbeat, body);
@@ -115,7 +115,7 @@
 // is final (invariant 16).
 HttpResponse WorkerEndpoint::answerInNameOf(const ControllerId& owner,
                                             const wire::WorkerHeartbeat& heartbeat) {
-  if (!mayAnswerInNameOf(owner, heartbeat)) return wire::userError(503, "the owner does not answer");
+  if (!mayAnswerInNameOf(owner, heartbeat)) return wire::userErrorResponse(503, "the owner does not answer");
   peers_.recordAnswerInNameOf(peers_.numberOf(owner));
   auto stops = view_.stopCommandsForCancelled(heartbeat);
   return {200, wire::encodeHeartbeatAnswer(heartbeat.token, stops), false, 0};
--- a/src/wire/users.cpp
+++ b/src/wire/users.cpp
@@ -132,12 +132,12 @@
   return std::nullopt;
 }
 
-HttpResponse userError(int status, const std::string& why, int retryAfterS) {
+HttpResponse userErrorResponse(int status, const std::string& why, int retryAfterS) {
   return {status, dump(Json{{"error", why}}), false, retryAfterS};
 }
 
-HttpResponse userUnavailable(const std::string& why) {
-  return userError(kServiceUnavailable, why, kRetryAfterS);
+HttpResponse userUnavailableResponse(const std::string& why) {
+  return userErrorResponse(kServiceUnavailable, why, kRetryAfterS);
 }
 
 }  // namespace cherryloft::wire
--- a/src/wire/users.h
+++ b/src/wire/users.h
@@ -33,8 +33,8 @@
 std::optional<JobStatus> parseFinalStatus(const std::string& body);
 
 // A response with that status and the reason in its body. retryAfterS 0: no Retry-After header.
-HttpResponse userError(int status, const std::string& why, int retryAfterS = 0);
+HttpResponse userErrorResponse(int status, const std::string& why, int retryAfterS = 0);
 // A 503 response that asks the client to retry after one second.
-HttpResponse userUnavailable(const std::string& why);
+HttpResponse userUnavailableResponse(const std::string& why);
 
 }  // namespace cherryloft::wire
