--- a/src/autoscaler/machine_inventory.cpp
+++ b/src/autoscaler/machine_inventory.cpp
@@ -78,7 +78,7 @@
 // sure, and of the others one waits until no list can be older than the first that named it.
 void MachineInventory::reviewNoLongerListed() {
   auto now = context_.runtime.now();
-  double lagS = context_.settings.maxListLagS;
+  double lagS = context_.settings.listLagS;
   const auto& machines = context_.clusterView.machines;
   for (auto it = seen_.begin(); it != seen_.end();) {
     const auto& [id, seen] = *it;
@@ -101,7 +101,7 @@
     if (machine.record.phase != wire::MachinePhase::InUse || seen_.count(id) > 0) continue;
     auto ageMs = context_.runtime.wall().value - machine.record.since.value;
     double ageAtListS = static_cast<double>(ageMs) / kMsPerSecond - listAgeS;
-    if (ageAtListS > 4 * context_.settings.maxListLagS + kNeverListedPlusS)
+    if (ageAtListS > 4 * context_.settings.listLagS + kNeverListedPlusS)
       scaleIn_.request(id, "was never listed");
   }
 }
--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -212,7 +212,7 @@
   applyStateLimits(object(deployment, "state"), s);
   const auto& cloud = object(deployment, "cloud");
   s.cloudRps = number(cloud, "rps", 0.01, maxAmount);
-  s.maxListLagS = number(cloud, "list_lag_s", 0, 3600);
+  s.listLagS = number(cloud, "list_lag_s", 0, 3600);
   s.fdLimit = static_cast<unsigned>(number(object(deployment, "machine_limits"), "fd_limit", 32, 1e6));
   s.clockErrorMs = number(deployment, "clock_error_ms", 0, 1e6);
   return s;
--- a/tests/world/cloud.cpp
+++ b/tests/world/cloud.cpp
@@ -164,8 +164,7 @@
 // As it was some time ago; now and then older than the list before it.
 HttpResponse Cloud::list(const HttpRequest& r) {
   auto q = queryOf(r.target);
-  Ms lag =
-      static_cast<Ms>(settings_.maxListLagS * 1000 * (clock_.chance(0.1) ? 2.0 : clock_.uniform(0.8, 1.0)));
+  Ms lag = static_cast<Ms>(settings_.listLagS * 1000 * (clock_.chance(0.1) ? 2.0 : clock_.uniform(0.8, 1.0)));
   Ms then = clock_.now() - lag;
   auto limit = std::stoul(q.count("limit") ? q["limit"] : "500");
   Json out = Json::array();
