--- a/src/config/settings.h
+++ b/src/config/settings.h
@@ -83,7 +83,7 @@
   std::size_t maxValueBytes = 4096;
   unsigned txnOps = 12;
   double cloudRps = 5;
-  double listLagS = 5;  // greatest age of the cloud's list of machines
+  double listLagS = 5;  // by how much the cloud's list of machines may lag behind
   unsigned fdLimit = 1024;
   double clockErrorMs = 250;
   Tuning tuning;
