--- a/tests/unit/autoscaling_test.cpp
+++ b/tests/unit/autoscaling_test.cpp
@@ -48,7 +48,7 @@
       mesh::ShardLoad l;
       l.onDemandOnly.waiting = 64;
       l.onDemandOnly.largestTask = 4;
-      l.onDemandOnly.runS = 30;
+      l.onDemandOnly.expectedRunS = 30;
       fleet.load(l);
       runtime.clock.run(runtime.clock.now() + 1000);
     }
@@ -97,7 +97,7 @@
   mesh::ShardLoad to;
   to.onDemandOnly.waiting = 60;
   to.onDemandOnly.largestTask = 4;
-  to.onDemandOnly.runS = 30;
+  to.onDemandOnly.expectedRunS = 30;
   fleet.leading(true);
   for (int s = 0; s < 20; ++s) {
     fleet.load(to);
