--- a/tests/world/checker.cpp
+++ b/tests/world/checker.cpp
@@ -21,37 +21,38 @@
   if (!j.accepted) {
     j.acceptedAt = clock_.now();
     auto why = j.wrong.empty() && j.spec ? whyWrong(*j.spec) : j.wrong;
-    if (!why.empty()) breaks("accepted_wrong", job + " was accepted: " + why);
+    if (!why.empty()) breaks("accepted_invalid", job + " was accepted: " + why);
   }
   j.accepted = true;
 }
 
 void Checker::asked404(const std::string& job) {
-  if (jobs_[job].accepted) breaks("forgotten", job + " was accepted and got 404");
+  if (jobs_[job].accepted) breaks("lost_job", job + " was accepted and got 404");
 }
 
 void Checker::refusedRetry(const std::string& job, int status) {
   if (jobs_[job].accepted)
-    breaks("forgotten", job + " was accepted and its retry got " + std::to_string(status));
+    breaks("lost_job", job + " was accepted and its retry got " + std::to_string(status));
 }
 
 void Checker::told(const std::string& job, const std::string& status, const Said& said) {
   auto it = jobs_.find(job);
-  if (it == jobs_.end() || !it->second.spec) return breaks("invented", job + " was never submitted");
+  if (it == jobs_.end() || !it->second.spec) return breaks("unknown_job", job + " was never submitted");
   auto& j = it->second;
-  if (status == "done" && !allDone(job)) breaks("not_done", job + " is called done before its tasks are");
+  if (status == "done" && !allDone(job))
+    breaks("done_too_early", job + " is called done before its tasks are");
   if (status == "aborted" && !j.cancelAsked)
-    breaks("went_back", job + " is called cancelled, which nobody asked for");
+    breaks("status_reverted", job + " is called cancelled, which nobody asked for");
   bool final = status == "done" || status == "aborted";
   if (!j.final.empty() && status != j.final && (final || said.askedAt >= j.finalAt))
-    breaks("went_back", job + " was " + j.final + " and is now " + status);
+    breaks("status_reverted", job + " was " + j.final + " and is now " + status);
   auto& given = final ? j.endGiven : j.lastOpenGiven;
   auto& at = given.emplace(said.by, said.givenAt).first->second;
   at = final ? std::min(at, said.givenAt) : std::max(at, said.givenAt);
   auto end = j.endGiven.find(said.by), open = j.lastOpenGiven.find(said.by);
   if (end != j.endGiven.end() && open != j.lastOpenGiven.end() && open->second > end->second) {
-    breaks("went_back", job + ": controller " + std::to_string(said.by) + " gave an older answer " +
-                            std::to_string(open->second - end->second) + " ms after its end");
+    breaks("status_reverted", job + ": controller " + std::to_string(said.by) + " gave an older answer " +
+                                  std::to_string(open->second - end->second) + " ms after its end");
     j.lastOpenGiven.erase(open);
   }
   if (j.final.empty() && final) {
@@ -63,30 +64,33 @@
 void Checker::started(const Machine& m, const std::string& job, std::uint32_t index, Ms givenAt) {
   trace_.taskStarted(clock_.now(), m.id, job, index);
   auto it = jobs_.find(job);
-  if (it == jobs_.end() || !it->second.spec) return breaks("invented", job + " runs and was never submitted");
+  if (it == jobs_.end() || !it->second.spec)
+    return breaks("unknown_job", job + " runs and was never submitted");
   auto& j = it->second;
   const auto& s = *j.spec;
   auto name = job + "/" + std::to_string(index);
   ++j.starts;
   j.roomSince = -1;  // it has its turns
   if (j.begunAt < 0) j.begunAt = clock_.now();
-  if (j.on.count(index)) breaks("ran_twice", name + " starts on " + m.id + " while on " + j.on[index].id);
+  if (j.on.count(index))
+    breaks("duplicate_execution", name + " starts on " + m.id + " while on " + j.on[index].id);
   if (j.final == "aborted" && clock_.now() - j.finalAt > static_cast<Ms>(settings_.cancelS * 1000))
-    breaks("ran_cancelled", name + " starts after its cancellation");
+    breaks("ran_after_cancel", name + " starts after its cancellation");
   if (j.final == "aborted") {
     ++startsAfterCancel_;
     if (givenAt > j.finalAt)
-      breaks("started_cancelled", name + " starts by a command given " + std::to_string(givenAt - j.finalAt) +
-                                      " ms after its cancellation");
+      breaks("started_after_cancel", name + " starts by a command given " +
+                                         std::to_string(givenAt - j.finalAt) + " ms after its cancellation");
   }
   if (!s.allowsType(m.type) || (m.spot && !s.spotAllowed) || (s.zone && s.zone->value != m.zone))
-    breaks("wrong_place", name + " on " + m.id);
+    breaks("placement_violated", name + " on " + m.id);
   std::map<std::string, unsigned> zones;
   for (const auto& [i, other] : j.on)
     if (i != index) ++zones[other.zone];
   if (s.oneZone && !zones.empty() && (zones.size() > 1 || zones.begin()->first != m.zone))
-    breaks("wrong_place", name + " in a second zone");
-  if (s.spread && zones[m.zone] + 1 > (s.tasks + 1) / 2) breaks("wrong_place", name + " crowds its zone");
+    breaks("placement_violated", name + " in a second zone");
+  if (s.spread && zones[m.zone] + 1 > (s.tasks + 1) / 2)
+    breaks("placement_violated", name + " crowds its zone");
   j.on[index] = m;
   const auto* team = settings_.team(s.team);
   double cores = 0;
@@ -94,7 +98,7 @@
     if (other.spec && other.spec->team == s.team)
       cores += other.spec->each.cores * static_cast<double>(other.on.size());
   if (team && cores > team->coreQuota + 1e-6)
-    breaks("quota", s.team.value + " uses " + std::to_string(cores));
+    breaks("quota_exceeded", s.team.value + " uses " + std::to_string(cores));
 }
 
 void Checker::left(const std::string& machine, const std::string& job, std::uint32_t index, bool done) {
@@ -110,11 +114,11 @@
     auto since = std::max({j.acceptedAt, j.answeredAt, troublesEnd_});
     if (j.accepted && !j.cancelAsked && !j.silent && clock_.now() - since > kForgotten) {
       j.silent = true;
-      breaks("forgotten", id + " was asked about in vain for " + std::to_string(kForgotten / 1000) + " s");
+      breaks("lost_job", id + " was asked about in vain for " + std::to_string(kForgotten / 1000) + " s");
     }
     if (j.final != "aborted" || j.on.empty()) continue;
     if (clock_.now() - j.finalAt <= static_cast<Ms>(settings_.cancelS * 1000)) continue;
-    breaks("ran_cancelled", id + " is still on " + j.on.begin()->second.id);
+    breaks("ran_after_cancel", id + " is still on " + j.on.begin()->second.id);
     j.on.clear();
   }
   reviewWaiting();
@@ -125,8 +129,8 @@
     return j->begunAt >= 0 && j->begunAt - j->submittedAt <= kToBegin;
   });
   if (2 * static_cast<std::size_t>(begun) < jobs.size())
-    breaks("unserved", whom + ": only " + std::to_string(begun) + " of " + std::to_string(jobs.size()) +
-                           " jobs began within four minutes");
+    breaks("delayed_start", whom + ": only " + std::to_string(begun) + " of " + std::to_string(jobs.size()) +
+                                " jobs began within four minutes");
 }
 
 // Of each class, of each team and of the largest tenth of each class, those that had four minutes to begin.
--- a/tests/world/checker_waiting.cpp
+++ b/tests/world/checker_waiting.cpp
@@ -95,7 +95,7 @@
       j.roomSince = now;
     } else if (now - j.roomSince > kLeftWaiting) {
       j.left = true;
-      breaks("left_waiting", id + " has " + std::to_string(waits) + " tasks waiting beside free room");
+      breaks("starved", id + " has " + std::to_string(waits) + " tasks waiting beside free room");
     }
   }
 }
--- a/tests/world/odd_users.cpp
+++ b/tests/world/odd_users.cpp
@@ -24,25 +24,25 @@
   auto doc = Json::parse(bodyOf(n));
   doc["jobclass"] = "plain";
   if (field.empty()) field = kFields[clock.rng() % kFields.size()];
-  if (kind == "nofit")
+  if (kind == "too-large")
     doc["cores"] = 100'000.0;
-  else if (kind == "noteam")
+  else if (kind == "unknown-team")
     doc["owner"] = "nobody";
-  else if (kind == "nozone")
+  else if (kind == "unknown-zone")
     doc["site"] = "nowhere";
-  else if (kind == "overlimit")
+  else if (kind == "over-limit")
     doc["shape"] = "service", doc["pieces"] = 50'000;
-  else if (kind == "apart")
+  else if (kind == "unspreadable")
     doc["pieces"] = 4, doc["spread"] = true, doc["one_zone"] = true;
-  else if (kind == "nofield")
+  else if (kind == "missing-field")
     doc.erase(field);
-  else if (kind == "badfield")
+  else if (kind == "invalid-field")
     doc[field] = Json::array({1});
-  else if (kind != "notjson")
+  else if (kind != "not-json")
     throw std::runtime_error("unknown kind '" + kind + "'");
-  auto body = kind == "notjson" ? doc.dump().substr(1) : doc.dump();
+  auto body = kind == "not-json" ? doc.dump().substr(1) : doc.dump();
   traces[id].id = id;
-  checker.submittedWrong(id, kind + (kind == "nofield" || kind == "badfield" ? " " + field : ""));
+  checker.submittedWrong(id, kind + (kind == "missing-field" || kind == "invalid-field" ? " " + field : ""));
   trySubmit(id, body);
 }
 
--- a/tests/world/scenario.cpp
+++ b/tests/world/scenario.cpp
@@ -98,7 +98,7 @@
   for (const auto& broken : world_->checker.broken()) {
     found |= broken.rule == planted;
     if (planted.empty())
-      complaints_.push_back("rule " + broken.rule + " broken at " + std::to_string(broken.at) +
+      complaints_.push_back("rule " + broken.rule + " violated at " + std::to_string(broken.at) +
                             " ms: " + broken.what);
   }
   if (!planted.empty() && !found)
--- a/tests/world/scenario_checker_actions.cpp
+++ b/tests/world/scenario_checker_actions.cpp
@@ -47,14 +47,14 @@
 
 const ActionTable& checkerActions() {
   static const ActionTable table{
-      {"plant-silence", {[](Context c) { c.world.trace(c.line.jobId(3)).plantedSilence = true; }}},
-      {"plant-start", {plantStart}},
-      {"plant-told", {plantTold}},
-      {"plant-stubborn", {plantStubborn}},
-      {"plant-unsent", {plantUnsent}},
-      {"plant-accepted", {[](Context c) { c.world.checker.accepted(c.line.jobId(3)); }}},
-      {"count-reports-lost", {[](Context c) { c.world.checker.countReportsLost(); }}},
-      {"require-on", {requireOnMachines}}};
+      {"inject-silence", {[](Context c) { c.world.trace(c.line.jobId(3)).plantedSilence = true; }}},
+      {"inject-start", {plantStart}},
+      {"inject-status", {plantTold}},
+      {"inject-ignored-kills", {plantStubborn}},
+      {"inject-unsent-job", {plantUnsent}},
+      {"inject-acceptance", {[](Context c) { c.world.checker.accepted(c.line.jobId(3)); }}},
+      {"reset-reports-lost", {[](Context c) { c.world.checker.countReportsLost(); }}},
+      {"require-tasks", {requireOnMachines}}};
   return table;
 }
 
--- a/tests/world/scenario_expectations.cpp
+++ b/tests/world/scenario_expectations.cpp
@@ -58,7 +58,7 @@
   forEachJob(check, [&](unsigned number, std::size_t next) {
     Ms end = check.world.trace(jobIdOf(number)).finalAt;
     if (!Check::inTime(end, check.line.number(next + 1)))
-      check.complain("job " + std::to_string(number) + " was over at " + std::to_string(end) + " ms");
+      check.complain("job " + std::to_string(number) + " was finished at " + std::to_string(end) + " ms");
   });
 }
 
@@ -127,25 +127,25 @@
       {"starts-after-cancel", [](const World& w) -> double { return w.checker.startsAfterCancel(); }},
       {"machines", [](const World& w) { return static_cast<double>(w.cloud.held()); }},
       {"rented", [](const World& w) { return static_cast<double>(w.cloud.rented()); }},
-      {"leases-ended", [](const World& w) -> double { return w.checker.leasesEnded(); }},
+      {"leases-expired", [](const World& w) -> double { return w.checker.leasesEnded(); }},
       {"reports-lost", [](const World& w) -> double { return w.checker.reportsLost(); }},
-      {"slowest-cancel", [](const World& w) { return secondsOf(w.slowestCancel); }},
-      {"store-refused", [](const World& w) { return static_cast<double>(w.store.overLimit()); }},
-      {"store-rejected", [](const World& w) { return static_cast<double>(w.store.rejected()); }},
+      {"max-cancel-latency", [](const World& w) { return secondsOf(w.slowestCancel); }},
+      {"store-throttled", [](const World& w) { return static_cast<double>(w.store.overLimit()); }},
+      {"store-oversized", [](const World& w) { return static_cast<double>(w.store.rejected()); }},
       {"gang-starts", [](const World& w) -> double { return w.cloud.gangs().starts; }},
-      {"gang-saves", [](const World& w) -> double { return w.cloud.gangs().saves; }},
-      {"gang-lost-saves", [](const World& w) -> double { return w.cloud.gangs().lostSaves; }},
-      {"gang-gave-up", [](const World& w) -> double { return w.cloud.gangs().gaveUp; }},
-      {"gang-starts-done", [](const World& w) -> double { return w.cloud.gangs().startsDone; }},
-      {"cloud-rate", [](const World& w) { return static_cast<double>(w.cloud.busiestSecond()); }},
+      {"gang-checkpoints", [](const World& w) -> double { return w.cloud.gangs().saves; }},
+      {"gang-lost-checkpoints", [](const World& w) -> double { return w.cloud.gangs().lostSaves; }},
+      {"gang-assembly-timeouts", [](const World& w) -> double { return w.cloud.gangs().gaveUp; }},
+      {"gang-starts-after-done", [](const World& w) -> double { return w.cloud.gangs().startsDone; }},
+      {"peak-cloud-rps", [](const World& w) { return static_cast<double>(w.cloud.busiestSecond()); }},
       {"writes", [](const World& w) { return static_cast<double>(w.store.writes()); }},
       {"epochs", [](const World& w) { return static_cast<double>(w.store.epochs()); }},
       {"largest-value", [](const World& w) { return static_cast<double>(w.store.largestValue()); }},
-      {"answers-lost", [](const World& w) { return static_cast<double>(w.store.answersLost()); }},
-      {"old-reports", [](const World& w) { return static_cast<double>(w.oldReports()); }},
-      {"outdated-commands", [](const World& w) -> double { return w.checker.commandsOutdated(); }},
-      {"given-up", [](const World& w) { return sumOfCounts(w, &cherryloft::ShardCounters::quarantined); }},
-      {"looked-per-start",
+      {"responses-lost", [](const World& w) { return static_cast<double>(w.store.answersLost()); }},
+      {"replayed-reports", [](const World& w) { return static_cast<double>(w.oldReports()); }},
+      {"fenced-commands", [](const World& w) -> double { return w.checker.commandsOutdated(); }},
+      {"quarantined", [](const World& w) { return sumOfCounts(w, &cherryloft::ShardCounters::quarantined); }},
+      {"examined-per-start",
        [](const World& w) {
          return perStart(w, sumOfCounts(w, &cherryloft::ShardCounters::machinesExamined));
        }},
@@ -157,11 +157,11 @@
 // The expectations with words of their own.
 const std::map<std::string, void (*)(const Check&)>& checks() {
   static const std::map<std::string, void (*)(const Check&)> table{
-      {"broken", [](const Check&) {}},  // judged with the rules that were broken
+      {"violated", [](const Check&) {}},  // judged with the rules that were broken
       {"done", checkStatus},
       {"aborted", checkStatus},
-      {"over", checkOver},
-      {"begun", checkBegun},
+      {"finished", checkOver},
+      {"started", checkBegun},
       {"accepted", checkAccepted},
       {"refused", checkRefused},
       {"up", checkUp},
@@ -183,6 +183,6 @@
   it->second(check);
 }
 
-std::string ruleExpectedBroken(const Line& line) { return line.word(1) == "broken" ? line.word(2) : ""; }
+std::string ruleExpectedBroken(const Line& line) { return line.word(1) == "violated" ? line.word(2) : ""; }
 
 }  // namespace world
--- a/tests/world/scenario_expectations.h
+++ b/tests/world/scenario_expectations.h
@@ -13,7 +13,7 @@
 // word.
 void checkExpectation(World& world, const Line& line, std::vector<std::string>& complaints);
 
-// The rule that a line "expect broken RULE" wants broken; empty for all other lines.
+// The rule that a line "expect violated RULE" wants broken; empty for all other lines.
 std::string ruleExpectedBroken(const Line& line);
 
 }  // namespace world
--- a/tests/world/scenario_setup.cpp
+++ b/tests/world/scenario_setup.cpp
@@ -51,8 +51,8 @@
   type.price = options.number("price", 1);
   type.spotPrice = options.number("spot", 0.45);
   type.boot = static_cast<Ms>(kMsPerSecond * options.number("boot", 5));
-  type.capacity = static_cast<unsigned>(options.number("cap", 4));
-  type.spotCapacity = static_cast<unsigned>(options.number("spotcap", 2));
+  type.capacity = static_cast<unsigned>(options.number("capacity", 4));
+  type.spotCapacity = static_cast<unsigned>(options.number("spot_capacity", 2));
   type.cacheGb = options.number("cache", 50);
   type.fetchGbPerS = options.number("fetch", 1);
   setup.deployment.types.push_back(type);
@@ -72,7 +72,7 @@
        [](const Line& line, ScenarioSetup& setup) { setup.deployment.controllers = line.count(1); }},
       {"zones", [](const Line& line, ScenarioSetup& setup) { setup.deployment.zones = line.wordsFrom(1); }},
       {"teams", applyTeams},
-      {"former-version", [](const Line&, ScenarioSetup& setup) { setup.deployment.beginsFormer = true; }},
+      {"previous-version", [](const Line&, ScenarioSetup& setup) { setup.deployment.beginsFormer = true; }},
       {"guest", [](const Line&, ScenarioSetup& setup) { setup.deployment.guest = true; }},
       {"workers", applyWorkers},
       {"store", applyStore},
@@ -109,19 +109,19 @@
   spec.id = cherryloft::JobId{id};
   spec.team = cherryloft::TeamId{"team-" + options.text("team", "0")};
   spec.jobClass = options.text("class", "plain");
-  spec.kind = parseShape(options.text("shape", "array"));
-  spec.priority = parseRank(options.text("rank", "normal"));
+  spec.kind = parseShape(options.text("kind", "array"));
+  spec.priority = parseRank(options.text("priority", "normal"));
   spec.tasks = static_cast<std::uint32_t>(options.number("tasks", 1));
   spec.each = {options.number("cores", 4), 0, options.number("ram", 4)};
   spec.image = cherryloft::ImageId{options.text("image", "img-1")};
   spec.imageGb = options.number("gb", 0.5);
   spec.expectedRunSeconds = options.number("expect", runS);
-  spec.checkpointIntervalSeconds = options.number("every", 0);
-  spec.checkpointSeconds = options.number("save", 0);
-  spec.spotAllowed = options.has("lendable");
+  spec.checkpointIntervalSeconds = options.number("checkpoint_every", 0);
+  spec.checkpointSeconds = options.number("checkpoint_time", 0);
+  spec.spotAllowed = options.has("spot_allowed");
   spec.spread = options.has("spread");
   spec.oneZone = options.has("one_zone");
-  if (options.has("site")) spec.zone = cherryloft::Zone{options.text("site")};
+  if (options.has("zone")) spec.zone = cherryloft::Zone{options.text("zone")};
   if (options.has("type")) spec.types = std::vector<std::string>{options.text("type")};
   for (int n = 0; n < options.number("more_types", 0); ++n)
     spec.types->push_back("a-type-that-does-not-exist-" + std::to_string(n));
--- a/tests/world/scenario_user_actions.cpp
+++ b/tests/world/scenario_user_actions.cpp
@@ -78,18 +78,18 @@
 const ActionTable& userActions() {
   static const ActionTable table{
       {"submit", {submit}},
-      {"burst", {submitMany}},
+      {"submit-many", {submitMany}},
       {"submit-wrong", {submitWrong}},
       {"resubmit", {[](Context c) { c.world.resubmit(c.line.jobId(3)); }}},
       {"resubmit-broken", {[](Context c) { c.world.resubmitBroken(c.line.jobId(3)); }}},
       {"cancel", {[](Context c) { c.world.cancel(c.line.jobId(3)); }}},
-      {"ask", {[](Context c) { c.world.askUnknown(c.line.jobId(3)); }}},
-      {"ask-many", {askMany}},
-      {"ask-up", {[](Context c) { c.world.askUp(c.line.count(3)); }}},
-      {"at-end", {actAtEnd}},
-      {"stream", {submitOneAfterTheOther}},
+      {"query", {[](Context c) { c.world.askUnknown(c.line.jobId(3)); }}},
+      {"query-many", {askMany}},
+      {"check-health", {[](Context c) { c.world.askUp(c.line.count(3)); }}},
+      {"on-completion", {actAtEnd}},
+      {"submit-stream", {submitOneAfterTheOther}},
       {"cancel-many", {cancelMany}},
-      {"close-looks", {[](Context c) { c.world.closeLooks(c.line.number(3), c.until(4)); }, 4}}};
+      {"intensive-polling", {[](Context c) { c.world.closeLooks(c.line.number(3), c.until(4)); }, 4}}};
   return table;
 }
 
