--- a/tests/unit/autoscaling_test.cpp
+++ b/tests/unit/autoscaling_test.cpp
@@ -18,7 +18,7 @@
 };
 
 struct Leader : testing::Test {
-  Settings settings = parseSettings(world::Deployment{}.settingsOf(0), {});
+  Settings settings = parseSettings(world::Deployment{}.settingsJson(0), {});
   LoneIo runtime;
   KeyValueStore store{settings, runtime, silentLog(), 1};
   ClusterView view;
--- a/tests/unit/delegated_tasks_test.cpp
+++ b/tests/unit/delegated_tasks_test.cpp
@@ -40,7 +40,7 @@
     return delegated_.addReturns(transaction, now);
   }
 
-  Settings settings_ = parseSettings(world::Deployment{}.settingsOf(1), {});
+  Settings settings_ = parseSettings(world::Deployment{}.settingsJson(1), {});
   ShardState state_{settings_};
   ClusterView view_;
   DelegatedTasks delegated_{
--- a/tests/unit/joined_controller_fixture.h
+++ b/tests/unit/joined_controller_fixture.h
@@ -11,7 +11,7 @@
 namespace cherryloft {
 
 struct JoinedControllerTest : testing::Test {
-  Settings settings = parseSettings(world::Deployment{}.settingsOf(0), {});
+  Settings settings = parseSettings(world::Deployment{}.settingsJson(0), {});
   FakeStateService service;
   KeyValueStore store{settings, service, silentLog(), 1};
   ClusterView view;
--- a/tests/unit/key_value_store_test.cpp
+++ b/tests/unit/key_value_store_test.cpp
@@ -28,7 +28,7 @@
 TEST(KeyValueStore, FailsUserReadsBeyondItsRateLimitAtOnce) {
   world::Deployment deployment;
   deployment.rps = 101;
-  auto settings = parseSettings(deployment.settingsOf(0), {});
+  auto settings = parseSettings(deployment.settingsJson(0), {});
   FrozenRuntime runtime;
   KeyValueStore store(settings, runtime, silentLog(), 1);
   int failed = 0;
--- a/tests/unit/load_reporter_test.cpp
+++ b/tests/unit/load_reporter_test.cpp
@@ -42,7 +42,7 @@
   }
   void wait(Duration time) { runtime_.clock.run(runtime_.clock.now() + time.count()); }
 
-  Settings settings_ = parseSettings(world::Deployment{}.settingsOf(0), {});
+  Settings settings_ = parseSettings(world::Deployment{}.settingsJson(0), {});
   HeldCallsRuntime runtime_;
   ShardState state_{settings_};
   FailureAttribution failures_{Duration{3'000}};
--- a/tests/unit/membership_test.cpp
+++ b/tests/unit/membership_test.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 struct MembershipTest : testing::Test {
-  Settings settings = parseSettings(world::Deployment{}.settingsOf(0), {});
+  Settings settings = parseSettings(world::Deployment{}.settingsJson(0), {});
   FakeStateService service;
   KeyValueStore store{settings, service, silentLog(), 1};
   ClusterView view;
--- a/tests/unit/placement_fixture.h
+++ b/tests/unit/placement_fixture.h
@@ -69,7 +69,7 @@
     return placement;
   }
 
-  Settings settings_ = parseSettings(world::Deployment{}.settingsOf(0), {});
+  Settings settings_ = parseSettings(world::Deployment{}.settingsJson(0), {});
   MachineType type_{"m", {8, 0, 32}, 100, 1, 1, 0.4, 5, {Zone{"a"}, Zone{"b"}}};
   Calls runtime_;
   ShardState state_{settings_};
--- a/tests/unit/policy_test.cpp
+++ b/tests/unit/policy_test.cpp
@@ -157,7 +157,7 @@
 TEST(Settings, SharesAndTimes) {
   world::Deployment d;
   d.types = {};
-  auto s = parseSettings(d.settingsOf(1), {});
+  auto s = parseSettings(d.settingsJson(1), {});
   EXPECT_EQ(s.controller.value, "loft-1");
   EXPECT_EQ(s.preferredShard(ControllerId{"loft-2"}).value, 2U);
   EXPECT_EQ(s.shardOfTeam(TeamId{"team-1"}).value, 1U);
@@ -166,7 +166,7 @@
   EXPECT_EQ(s.blindFor(), s.leaseTtl() + s.grace());
   // "A value of 0 means none": no guarantee, and no limit.
   d.guest = true;
-  auto guest = parseSettings(d.settingsOf(1), {}).team(TeamId{"team-guest"})->coreQuota;
+  auto guest = parseSettings(d.settingsJson(1), {}).team(TeamId{"team-guest"})->coreQuota;
   EXPECT_TRUE(std::isinf(guest));
   EXPECT_THROW(parseSettings("{}", {}), SettingsError);
   EXPECT_THROW(parseSettings("nonsense", {}), SettingsError);
@@ -180,14 +180,14 @@
   world::Deployment d;
   d.valueKb = 16, d.txnOps = 8, d.writeRps = 80;
   d.nextValueKb = 2, d.nextTxnOps = 24;
-  auto s = parseSettings(d.settingsOf(0), {});
+  auto s = parseSettings(d.settingsJson(0), {});
   EXPECT_EQ(s.valueBytes, 2048U);
   EXPECT_EQ(s.txnOps, 8U);
   EXPECT_EQ(s.stateWriteRps, 80);
   EXPECT_EQ(s.stateRps, d.rps);
-  EXPECT_EQ(parseSettings(d.settingsOf(0, false), {}).valueBytes, std::size_t{16} * 1024);
+  EXPECT_EQ(parseSettings(d.settingsJson(0, false), {}).valueBytes, std::size_t{16} * 1024);
   d.nextTxnOps = 1;
-  EXPECT_THROW(parseSettings(d.settingsOf(0), {}), SettingsError);
+  EXPECT_THROW(parseSettings(d.settingsJson(0), {}), SettingsError);
 }
 
 // Invariants 6 and 16, over deployments of many shapes: whatever a controller that does not know of a
@@ -202,7 +202,7 @@
         d.cancelS = lease + more;
         Tuning t;
         t.leaseTtl = Duration{ttlMs};
-        auto s = parseSettings(d.settingsOf(0), t);
+        auto s = parseSettings(d.settingsJson(0), t);
         SCOPED_TRACE(testing::Message() << "lease " << lease << " cancel " << d.cancelS << " ttl " << ttlMs);
         EXPECT_GE(s.leaseTtl(), Duration{500});
         EXPECT_LE(s.leaseTtl(), t.leaseTtl);
@@ -223,7 +223,7 @@
 
 TEST(Admission, WhatCanNeverRun) {
   world::Deployment d;
-  auto s = parseSettings(d.settingsOf(0), {});
+  auto s = parseSettings(d.settingsJson(0), {});
   Catalog catalog{{"m", {16, 0, 32}, 25, 1, 1, 0.4, 25, {Zone{"a"}, Zone{"b"}}}};
   JobSpec job;
   job.team = TeamId{"team-0"};
--- a/tests/unit/rate_limiter_test.cpp
+++ b/tests/unit/rate_limiter_test.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 struct RateLimiterTest : testing::Test {
-  Settings settings = parseSettings(world::Deployment{}.settingsOf(0), {});
+  Settings settings = parseSettings(world::Deployment{}.settingsJson(0), {});
   Time start{Duration{5'000}};
   RateLimiter limiter{settings, start};
 };
--- a/tests/unit/remote_usage_test.cpp
+++ b/tests/unit/remote_usage_test.cpp
@@ -35,7 +35,7 @@
   }
   std::size_t release(Time now = kNow) { return usage_.releaseEnded(view_, kOwnShard, now); }
 
-  Settings settings_ = parseSettings(world::Deployment{}.settingsOf(0), {});
+  Settings settings_ = parseSettings(world::Deployment{}.settingsJson(0), {});
   ShardState state_{settings_};
   ClusterView view_;
   JobSpec spec_;
--- a/tests/unit/request_queue_fixture.h
+++ b/tests/unit/request_queue_fixture.h
@@ -12,7 +12,7 @@
 namespace cherryloft {
 
 struct RequestQueueFixture : testing::Test {
-  Settings settings = parseSettings(world::Deployment{}.settingsOf(0), {});
+  Settings settings = parseSettings(world::Deployment{}.settingsJson(0), {});
   HeldCallsRuntime runtime;
   RateLimiter limiter{settings, runtime.now()};
   RequestTally tally;
--- a/tests/unit/scale_out_test.cpp
+++ b/tests/unit/scale_out_test.cpp
@@ -20,7 +20,7 @@
 };
 
 struct RentalsTest : testing::Test {
-  Settings settings = parseSettings(world::Deployment{}.settingsOf(0), {});
+  Settings settings = parseSettings(world::Deployment{}.settingsJson(0), {});
   CloudIo runtime;
   KeyValueStore store{settings, runtime, silentLog(), 1};
   ClusterView clusterView;
--- a/tests/unit/shard_recovery_test.cpp
+++ b/tests/unit/shard_recovery_test.cpp
@@ -42,7 +42,7 @@
   }
 
   static constexpr ShardId kShard{2};
-  Settings settings_ = parseSettings(world::Deployment{}.settingsOf(0), {});
+  Settings settings_ = parseSettings(world::Deployment{}.settingsJson(0), {});
   HeldCallsRuntime runtime_;
   KeyValueStore store_{settings_, runtime_, silentLog(), 1};
   ClusterView view_;
--- a/tests/unit/shard_state_test.cpp
+++ b/tests/unit/shard_state_test.cpp
@@ -27,7 +27,7 @@
 TEST(ShardState, APageWhoseFactsNoLongerFitStaysAsItIs) {
   world::Deployment d;
   d.valueKb = 1;
-  auto settings = parseSettings(d.settingsOf(0), {});
+  auto settings = parseSettings(d.settingsJson(0), {});
   ShardState state(settings);
   MachineType type{"m", {100, 0, 100}, 50, 1, 1, 0.4, 5, {Zone{"a"}}};
   MachineEntry record;
--- a/tests/unit/takeover_order_test.cpp
+++ b/tests/unit/takeover_order_test.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 struct TakeoverOrderTest : testing::Test {
-  Settings settings = parseSettings(world::Deployment{}.settingsOf(0), {});
+  Settings settings = parseSettings(world::Deployment{}.settingsJson(0), {});
   ClusterView view;
 
   TakeoverOrderTest() {
--- a/tests/unit/task_delegation_test.cpp
+++ b/tests/unit/task_delegation_test.cpp
@@ -49,7 +49,7 @@
     delegation_.committed(addPlanned().front(), Version{8});
   }
 
-  Settings settings_ = parseSettings(world::Deployment{}.settingsOf(0), {});
+  Settings settings_ = parseSettings(world::Deployment{}.settingsJson(0), {});
   ShardState state_{settings_};
   ClusterView view_;
   std::size_t allowedInZone_ = kTasks;
--- a/tests/unit/watch_cache_test.cpp
+++ b/tests/unit/watch_cache_test.cpp
@@ -30,7 +30,7 @@
 };
 
 struct WatchCacheTest : testing::Test {
-  Settings settings = parseSettings(world::Deployment{}.settingsOf(0), {});
+  Settings settings = parseSettings(world::Deployment{}.settingsJson(0), {});
   AnsweringRuntime runtime;
   KeyValueStore store{settings, runtime, silentLog(), 1};
   std::set<std::string> shown;
--- a/tests/unit/wire_test.cpp
+++ b/tests/unit/wire_test.cpp
@@ -15,7 +15,7 @@
 namespace {
 
 Json body() {
-  world::TaskNature n;
+  world::JobBehavior n;
   n.spec.id = JobId{"wk-000412"};
   n.spec.jobClass = "train";
   n.spec.team = TeamId{"t"};
@@ -23,7 +23,7 @@
   n.spec.each = {8, 1, 64};
   n.spec.image = ImageId{"img-07"};
   n.spec.imageGb = 6.2;
-  return Json::parse(world::World::bodyOf(n));
+  return Json::parse(world::World::submissionJson(n));
 }
 
 bool good(const Json& j) { return std::holds_alternative<JobSpec>(parseSubmission(j.dump())); }
--- a/tests/unit/worker_endpoint_test.cpp
+++ b/tests/unit/worker_endpoint_test.cpp
@@ -23,7 +23,7 @@
 
 // Controller 0, with one machine in a shard that controller 1 owns.
 struct WorkerEndpointTest : testing::Test {
-  Settings settings = parseSettings(world::Deployment{}.settingsOf(kSelf), {});
+  Settings settings = parseSettings(world::Deployment{}.settingsJson(kSelf), {});
   RecordingRuntime runtime;
   ClusterView view;
   Peers peers{
--- a/tests/world/cloud.cpp
+++ b/tests/world/cloud.cpp
@@ -10,7 +10,7 @@
 using Json = nlohmann::json;
 }
 
-Cloud::Cloud(Clock& clock, Net& net, Checker& checker, const Natures& natures,
+Cloud::Cloud(Clock& clock, Net& net, Checker& checker, const JobBehaviors& natures,
              const cherryloft::Settings& settings, std::vector<CloudType> types, unsigned controllers)
     : clock_(clock),
       net_(net),
--- a/tests/world/cloud.h
+++ b/tests/world/cloud.h
@@ -12,16 +12,16 @@
 namespace world {
 
 // How a task behaves, by the world's own knowledge of the job.
-struct TaskNature {
+struct JobBehavior {
   cherryloft::JobSpec spec;
   Ms run = 10'000;
   bool fails = false;
 };
-using Natures = std::map<std::string, TaskNature>;
+using JobBehaviors = std::map<std::string, JobBehavior>;
 
 class Worker {
  public:
-  Worker(Clock& clock, Net& net, Checker& checker, GangBoard& gangs, const Natures& natures,
+  Worker(Clock& clock, Net& net, Checker& checker, GangBoard& gangs, const JobBehaviors& natures,
          const cherryloft::Settings& settings, Machine machine, std::string address, double fetchGbPerS,
          cherryloft::Resources size, unsigned controllers);
   ~Worker() { die(); }
@@ -81,7 +81,7 @@
   Net& net_;
   Checker& checker_;
   GangBoard& gangs_;
-  const Natures& natures_;
+  const JobBehaviors& natures_;
   const cherryloft::Settings& settings_;
   Machine machine_;
   std::string address_;
@@ -110,7 +110,7 @@
 
 class Cloud {
  public:
-  Cloud(Clock& clock, Net& net, Checker& checker, const Natures& natures,
+  Cloud(Clock& clock, Net& net, Checker& checker, const JobBehaviors& natures,
         const cherryloft::Settings& settings, std::vector<CloudType> types, unsigned controllers);
   void addRunning(const std::string& type, const std::string& zone);
   void outage(Ms until) { outageUntil_ = until; }
@@ -150,7 +150,7 @@
   Clock& clock_;
   Net& net_;
   Checker& checker_;
-  const Natures& natures_;
+  const JobBehaviors& natures_;
   const cherryloft::Settings& settings_;
   std::vector<CloudType> types_;
   unsigned controllers_;
--- a/tests/world/gang_board.cpp
+++ b/tests/world/gang_board.cpp
@@ -10,7 +10,8 @@
 constexpr Ms kReviewEvery = 200;
 }  // namespace
 
-void GangBoard::gather(Worker& worker, const TaskNature& nature, std::uint32_t index, std::uint64_t attempt) {
+void GangBoard::gather(Worker& worker, const JobBehavior& nature, std::uint32_t index,
+                       std::uint64_t attempt) {
   const auto& job = nature.spec.id.value;
   Name name{job, attempt};
   if (done_[job]) {
--- a/tests/world/gang_board.h
+++ b/tests/world/gang_board.h
@@ -11,7 +11,7 @@
 namespace world {
 
 class Worker;
-struct TaskNature;
+struct JobBehavior;
 
 // What the gangs of a world did.
 struct GangCounts {
@@ -26,7 +26,7 @@
  public:
   GangBoard(Clock& clock, Ms wait, Ms peer) : clock_(clock), wait_(wait), peer_(peer) {}
   // The worker's task has its image and waits for the others.
-  void gather(Worker& worker, const TaskNature& nature, std::uint32_t index, std::uint64_t attempt);
+  void gather(Worker& worker, const JobBehavior& nature, std::uint32_t index, std::uint64_t attempt);
   // The task is no longer there, or its machine is gone.
   void left(const std::string& job, std::uint32_t index, std::uint64_t attempt, const Worker& worker);
   // A running task is told to stop, with time enough to save.
@@ -40,7 +40,7 @@
     bool told = false;
   };
   struct Gang {
-    const TaskNature* nature = nullptr;
+    const JobBehavior* nature = nullptr;
     std::map<std::uint32_t, Member> members;
     Ms startedAt = -1, progressBefore = 0;
     Ms firstToldAt = -1;
--- a/tests/world/odd_users.cpp
+++ b/tests/world/odd_users.cpp
@@ -16,12 +16,12 @@
 }  // namespace
 
 void World::submitWrong(const std::string& id, const std::string& kind, std::string field) {
-  TaskNature n;
+  JobBehavior n;
   n.spec.id = cherryloft::JobId{id};
   n.spec.team = cherryloft::TeamId{"team-0"};
   n.spec.each = {1, 0, 1};
   n.spec.image = cherryloft::ImageId{"img-1"};
-  auto doc = Json::parse(bodyOf(n));
+  auto doc = Json::parse(submissionJson(n));
   doc["jobclass"] = "plain";
   if (field.empty()) field = kFields[clock.rng() % kFields.size()];
   if (kind == "too-large")
@@ -54,7 +54,7 @@
     if (h.answered(400) || h.answered(422)) return checker.refusedRetry(id, h.response.status);
     clock.after(1000, [this, id] { resubmit(id); });
   };
-  request({"POST", "/v1/jobs", bodyOf(nature->second), false}, 5000, heard, node);
+  request({"POST", "/v1/jobs", submissionJson(nature->second), false}, 5000, heard, node);
 }
 
 void World::ended(const std::string& id) {
@@ -72,7 +72,7 @@
     });
 }
 
-void World::plantUnsent(const TaskNature& nature) {
+void World::plantUnsent(const JobBehavior& nature) {
   checker.submitted(nature.spec, nature.fails);
   checker.accepted(nature.spec.id.value);
 }
--- a/tests/world/scenario_setup.cpp
+++ b/tests/world/scenario_setup.cpp
@@ -102,8 +102,8 @@
   it->second(line, setup);
 }
 
-TaskNature parseJob(const std::string& id, const Options& options) {
-  TaskNature nature;
+JobBehavior parseJob(const std::string& id, const Options& options) {
+  JobBehavior nature;
   auto& spec = nature.spec;
   double runS = options.number("run", 10);
   spec.id = cherryloft::JobId{id};
--- a/tests/world/scenario_setup.h
+++ b/tests/world/scenario_setup.h
@@ -16,6 +16,6 @@
 void applySetup(const Line& line, ScenarioSetup& setup);
 
 // The job with that id as its options tell it, "cores=2 run=5 allowed on spot machines" and so on.
-TaskNature parseJob(const std::string& id, const Options& options);
+JobBehavior parseJob(const std::string& id, const Options& options);
 
 }  // namespace world
--- a/tests/world/worker.cpp
+++ b/tests/world/worker.cpp
@@ -9,7 +9,7 @@
 }
 }  // namespace
 
-Worker::Worker(Clock& clock, Net& net, Checker& checker, GangBoard& gangs, const Natures& natures,
+Worker::Worker(Clock& clock, Net& net, Checker& checker, GangBoard& gangs, const JobBehaviors& natures,
                const cherryloft::Settings& settings, Machine machine, std::string address, double fetchGbPerS,
                cherryloft::Resources size, unsigned controllers)
     : clock_(clock),
--- a/tests/world/world.cpp
+++ b/tests/world/world.cpp
@@ -29,7 +29,7 @@
 }
 }  // namespace
 
-std::string Deployment::settingsOf(unsigned node, bool announcesLimits) const {
+std::string Deployment::settingsJson(unsigned node, bool announcesLimits) const {
   auto name = [](unsigned n) { return "loft-" + std::to_string(n); };
   auto address = [](unsigned n, int port) {
     return "10.0.0." + std::to_string(n + 1) + ":" + std::to_string(port);
@@ -125,8 +125,8 @@
       number_(number),
       drift_(d.drift),
       mesh_(std::move(mesh)),
-      settings_(cherryloft::parseSettings(d.settingsOf(number, !d.beginsFormer), {})),
-      upgradedSettings_(cherryloft::parseSettings(d.settingsOf(number), {})) {}
+      settings_(cherryloft::parseSettings(d.settingsJson(number, !d.beginsFormer), {})),
+      upgradedSettings_(cherryloft::parseSettings(d.settingsJson(number), {})) {}
 
 ControllerProcess::~ControllerProcess() = default;
 
@@ -203,7 +203,7 @@
     : deployment(d),
       clock(d.seed),
       net(clock, eventTrace),
-      settings(cherryloft::parseSettings(d.settingsOf(0), {})),
+      settings(cherryloft::parseSettings(d.settingsJson(0), {})),
       checker(clock, settings, eventTrace),
       store(clock, net, static_cast<unsigned>(d.txnOps), static_cast<std::size_t>(d.valueKb * 1024), d.rps,
             d.writeRps),
@@ -229,7 +229,7 @@
   checker.review();
 }
 
-std::string World::bodyOf(const TaskNature& n) {
+std::string World::submissionJson(const JobBehavior& n) {
   const auto& s = n.spec;
   const char* ranks[] = {"best_effort", "normal", "high", "prod"};
   const char* shapes[] = {"sweep", "service", "ensemble"};
@@ -268,11 +268,11 @@
            });
 }
 
-void World::submit(const std::string& id, const TaskNature& nature) {
+void World::submit(const std::string& id, const JobBehavior& nature) {
   natures[id] = nature;
   checker.submitted(nature.spec, nature.fails);
   traces[id].id = id;
-  trySubmit(id, bodyOf(nature));
+  trySubmit(id, submissionJson(nature));
 }
 
 void World::trySubmit(const std::string& id, std::string body) {
--- a/tests/world/world.h
+++ b/tests/world/world.h
@@ -25,7 +25,7 @@
   bool beginsFormer = false;
   double drift = 0.0005;
   std::vector<CloudType> types;
-  std::string settingsOf(unsigned node, bool announcesLimits = true) const;
+  std::string settingsJson(unsigned node, bool announcesLimits = true) const;
 };
 
 // One controller process; crashes lose everything in it.
@@ -79,9 +79,9 @@
     bool plantedSilence = false;  // answers about it are kept from the checker
   };
   // A user who submits and retries, then polls until the end and now and then after it.
-  void submit(const std::string& id, const TaskNature& nature);
+  void submit(const std::string& id, const JobBehavior& nature);
   // The body a user would send for it.
-  static std::string bodyOf(const TaskNature& nature);
+  static std::string submissionJson(const JobBehavior& nature);
   void cancel(const std::string& id);
   // The same once its user has heard that it is accepted.
   void cancelAccepted(const std::string& id);
@@ -106,7 +106,7 @@
   void keepReports(const std::string& machines, Ms until);
   std::size_t oldReports() const { return oldReports_; }
   // A job that the checker takes for accepted though no controller has heard of it.
-  void plantUnsent(const TaskNature& nature);
+  void plantUnsent(const JobBehavior& nature);
   void askUp(unsigned n);
   // With the number of the controller that leads or, while the state service is away, of the last one known.
   void withLeader(std::function<void(unsigned)> f);
@@ -118,7 +118,7 @@
   Net net;
   cherryloft::Settings settings;
   Checker checker;
-  Natures natures;
+  JobBehaviors natures;
   Store store;
   Cloud cloud;
   std::vector<std::unique_ptr<ControllerProcess>> controllers;
