--- a/tests/run_scenario.cpp
+++ b/tests/run_scenario.cpp
@@ -10,8 +10,8 @@
 
 namespace {
 
-constexpr int kComplaints = 1;
-constexpr int kUnreadable = 2;
+constexpr int kExitExpectationsFailed = 1;
+constexpr int kExitUnreadable = 2;
 constexpr int kDigestDigits = 16;
 
 struct Options {
@@ -21,33 +21,33 @@
 };
 
 // "seed 7: with 40: ", as far as the scenario names them.
-std::string labelOf(const world::Play& play) {
-  return (play.seed.empty() ? "" : "seed " + play.seed + ": ") +
-         (play.value.empty() ? "" : "with " + play.value + ": ");
+std::string runLabel(const world::ScenarioRun& run) {
+  return (run.seed.empty() ? "" : "seed " + run.seed + ": ") +
+         (run.value.empty() ? "" : "with " + run.value + ": ");
 }
 
 // "quiet_day seed=7 value=- events=1234 digest=0123456789abcdef"
-void printDigest(const std::string& file, const world::Play& play) {
+void printDigest(const std::string& file, const world::ScenarioRun& run) {
   std::ostringstream line;
-  line << std::filesystem::path(file).stem().string() << " seed=" << (play.seed.empty() ? "-" : play.seed)
-       << " value=" << (play.value.empty() ? "-" : play.value) << " events=" << play.traceEvents
-       << " digest=" << std::hex << std::setw(kDigestDigits) << std::setfill('0') << play.traceDigest;
+  line << std::filesystem::path(file).stem().string() << " seed=" << (run.seed.empty() ? "-" : run.seed)
+       << " value=" << (run.value.empty() ? "-" : run.value) << " events=" << run.traceEvents
+       << " digest=" << std::hex << std::setw(kDigestDigits) << std::setfill('0') << run.traceDigest;
   std::cout << line.str() << std::endl;
 }
 
 // Plays one file; whether all went as it expects.
-bool playFile(const std::string& file, const Options& options, const world::TraceOptions& trace) {
+bool runFile(const std::string& file, const Options& options, const world::TraceOptions& trace) {
   std::ifstream in(file);
   if (!in) throw std::runtime_error("cannot be read");
-  bool good = true;
-  for (const auto& play : world::runScenario(in, trace)) {
-    for (const auto& complaint : play.complaints) {
-      std::cout << file << ": " << labelOf(play) << complaint << "\n";
-      good = false;
+  bool passed = true;
+  for (const auto& run : world::runScenario(in, trace)) {
+    for (const auto& failure : run.failures) {
+      std::cout << file << ": " << runLabel(run) << failure << "\n";
+      passed = false;
     }
-    if (options.traceDigest) printDigest(file, play);
+    if (options.traceDigest) printDigest(file, run);
   }
-  return good;
+  return passed;
 }
 
 }  // namespace
@@ -68,14 +68,14 @@
     events.open(options.traceFile);
     trace.events = &events;
   }
-  bool good = true;
+  bool passed = true;
   for (const auto& file : options.files) {
     try {
-      good = playFile(file, options, trace) && good;
+      passed = runFile(file, options, trace) && passed;
     } catch (const std::exception& error) {
       std::cerr << file << ": " << error.what() << "\n";
-      return kUnreadable;
+      return kExitUnreadable;
     }
   }
-  return good ? 0 : kComplaints;
+  return passed ? 0 : kExitExpectationsFailed;
 }
--- a/tests/world/checker.cpp
+++ b/tests/world/checker.cpp
@@ -5,8 +5,8 @@
 
 namespace world {
 namespace {
-constexpr Ms kForgotten = 75'000;  // without an answer, once all troubles are over
-constexpr Ms kToBegin = 240'000;   // within which half of every kind of job is to begin
+constexpr Ms kMaxUnanswered = 75'000;   // without an answer, once all troubles are over
+constexpr Ms kStartDeadline = 240'000;  // within which half of every kind of job is to begin
 }  // namespace
 
 void Checker::submitted(const cherryloft::JobSpec& spec, bool fails) {
@@ -20,40 +20,42 @@
   auto& j = jobs_[job];
   if (!j.accepted) {
     j.acceptedAt = clock_.now();
-    auto why = j.wrong.empty() && j.spec ? whyWrong(*j.spec) : j.wrong;
-    if (!why.empty()) breaks("accepted_invalid", job + " was accepted: " + why);
+    auto why = j.invalidReason.empty() && j.spec ? rejectionReason(*j.spec) : j.invalidReason;
+    if (!why.empty()) reportViolation("accepted_invalid", job + " was accepted: " + why);
   }
   j.accepted = true;
 }
 
-void Checker::asked404(const std::string& job) {
-  if (jobs_[job].accepted) breaks("lost_job", job + " was accepted and got 404");
+void Checker::answeredNotFound(const std::string& job) {
+  if (jobs_[job].accepted) reportViolation("lost_job", job + " was accepted and got 404");
 }
 
-void Checker::refusedRetry(const std::string& job, int status) {
+void Checker::retryRejected(const std::string& job, int status) {
   if (jobs_[job].accepted)
-    breaks("lost_job", job + " was accepted and its retry got " + std::to_string(status));
+    reportViolation("lost_job", job + " was accepted and its retry got " + std::to_string(status));
 }
 
-void Checker::told(const std::string& job, const std::string& status, const Said& said) {
+void Checker::statusReported(const std::string& job, const std::string& status, const AnswerSource& source) {
   auto it = jobs_.find(job);
-  if (it == jobs_.end() || !it->second.spec) return breaks("unknown_job", job + " was never submitted");
+  if (it == jobs_.end() || !it->second.spec)
+    return reportViolation("unknown_job", job + " was never submitted");
   auto& j = it->second;
   if (status == "done" && !allDone(job))
-    breaks("done_too_early", job + " is called done before its tasks are");
-  if (status == "aborted" && !j.cancelAsked)
-    breaks("status_reverted", job + " is called cancelled, which nobody asked for");
+    reportViolation("done_too_early", job + " is called done before its tasks are");
+  if (status == "aborted" && !j.cancelRequested)
+    reportViolation("status_reverted", job + " is called cancelled, which nobody asked for");
   bool final = status == "done" || status == "aborted";
-  if (!j.final.empty() && status != j.final && (final || said.askedAt >= j.finalAt))
-    breaks("status_reverted", job + " was " + j.final + " and is now " + status);
-  auto& given = final ? j.endGiven : j.lastOpenGiven;
-  auto& at = given.emplace(said.by, said.givenAt).first->second;
-  at = final ? std::min(at, said.givenAt) : std::max(at, said.givenAt);
-  auto end = j.endGiven.find(said.by), open = j.lastOpenGiven.find(said.by);
-  if (end != j.endGiven.end() && open != j.lastOpenGiven.end() && open->second > end->second) {
-    breaks("status_reverted", job + ": controller " + std::to_string(said.by) + " gave an older answer " +
-                                  std::to_string(open->second - end->second) + " ms after its end");
-    j.lastOpenGiven.erase(open);
+  if (!j.final.empty() && status != j.final && (final || source.requestedAt >= j.finalAt))
+    reportViolation("status_reverted", job + " was " + j.final + " and is now " + status);
+  auto& given = final ? j.finalSentAt : j.lastNonFinalSentAt;
+  auto& at = given.emplace(source.controller, source.sentAt).first->second;
+  at = final ? std::min(at, source.sentAt) : std::max(at, source.sentAt);
+  auto end = j.finalSentAt.find(source.controller), open = j.lastNonFinalSentAt.find(source.controller);
+  if (end != j.finalSentAt.end() && open != j.lastNonFinalSentAt.end() && open->second > end->second) {
+    reportViolation("status_reverted", job + ": controller " + std::to_string(source.controller) +
+                                           " gave an older answer " +
+                                           std::to_string(open->second - end->second) + " ms after its end");
+    j.lastNonFinalSentAt.erase(open);
   }
   if (j.final.empty() && final) {
     j.final = status;
@@ -61,93 +63,95 @@
   }
 }
 
-void Checker::started(const Machine& m, const std::string& job, std::uint32_t index, Ms givenAt) {
+void Checker::taskStarted(const Machine& m, const std::string& job, std::uint32_t index, Ms commandSentAt) {
   trace_.taskStarted(clock_.now(), m.id, job, index);
   auto it = jobs_.find(job);
   if (it == jobs_.end() || !it->second.spec)
-    return breaks("unknown_job", job + " runs and was never submitted");
+    return reportViolation("unknown_job", job + " runs and was never submitted");
   auto& j = it->second;
   const auto& s = *j.spec;
   auto name = job + "/" + std::to_string(index);
   ++j.starts;
-  j.roomSince = -1;  // it has its turns
-  if (j.begunAt < 0) j.begunAt = clock_.now();
-  if (j.on.count(index))
-    breaks("duplicate_execution", name + " starts on " + m.id + " while on " + j.on[index].id);
+  j.placeableSince = -1;  // it has its turns
+  if (j.firstStartAt < 0) j.firstStartAt = clock_.now();
+  if (j.running.count(index))
+    reportViolation("duplicate_execution", name + " starts on " + m.id + " while on " + j.running[index].id);
   if (j.final == "aborted" && clock_.now() - j.finalAt > static_cast<Ms>(settings_.cancelS * 1000))
-    breaks("ran_after_cancel", name + " starts after its cancellation");
+    reportViolation("ran_after_cancel", name + " starts after its cancellation");
   if (j.final == "aborted") {
     ++startsAfterCancel_;
-    if (givenAt > j.finalAt)
-      breaks("started_after_cancel", name + " starts by a command given " +
-                                         std::to_string(givenAt - j.finalAt) + " ms after its cancellation");
+    if (commandSentAt > j.finalAt)
+      reportViolation("started_after_cancel", name + " starts by a command given " +
+                                                  std::to_string(commandSentAt - j.finalAt) +
+                                                  " ms after its cancellation");
   }
   if (!s.allowsType(m.type) || (m.spot && !s.spotAllowed) || (s.zone && s.zone->value != m.zone))
-    breaks("placement_violated", name + " on " + m.id);
+    reportViolation("placement_violated", name + " on " + m.id);
   std::map<std::string, unsigned> zones;
-  for (const auto& [i, other] : j.on)
+  for (const auto& [i, other] : j.running)
     if (i != index) ++zones[other.zone];
   if (s.oneZone && !zones.empty() && (zones.size() > 1 || zones.begin()->first != m.zone))
-    breaks("placement_violated", name + " in a second zone");
+    reportViolation("placement_violated", name + " in a second zone");
   if (s.spread && zones[m.zone] + 1 > (s.tasks + 1) / 2)
-    breaks("placement_violated", name + " crowds its zone");
-  j.on[index] = m;
+    reportViolation("placement_violated", name + " crowds its zone");
+  j.running[index] = m;
   const auto* team = settings_.team(s.team);
   double cores = 0;
   for (const auto& [_, other] : jobs_)
     if (other.spec && other.spec->team == s.team)
-      cores += other.spec->each.cores * static_cast<double>(other.on.size());
+      cores += other.spec->each.cores * static_cast<double>(other.running.size());
   if (team && cores > team->coreQuota + 1e-6)
-    breaks("quota_exceeded", s.team.value + " uses " + std::to_string(cores));
+    reportViolation("quota_exceeded", s.team.value + " uses " + std::to_string(cores));
 }
 
-void Checker::left(const std::string& machine, const std::string& job, std::uint32_t index, bool done) {
-  trace_.taskLeft(clock_.now(), machine, job, index, done);
+void Checker::taskEnded(const std::string& machine, const std::string& job, std::uint32_t index, bool done) {
+  trace_.taskEnded(clock_.now(), machine, job, index, done);
   auto& j = jobs_[job];
-  auto it = j.on.find(index);
-  if (it != j.on.end() && it->second.id == machine) j.on.erase(it);
-  if (done && j.done.insert(index).second && whenAllDone_ && allDone(job)) whenAllDone_(job);
+  auto it = j.running.find(index);
+  if (it != j.running.end() && it->second.id == machine) j.running.erase(it);
+  if (done && j.done.insert(index).second && onAllTasksDone_ && allDone(job)) onAllTasksDone_(job);
 }
 
-void Checker::review() {
+void Checker::runPeriodicChecks() {
   for (auto& [id, j] : jobs_) {
-    auto since = std::max({j.acceptedAt, j.answeredAt, troublesEnd_});
-    if (j.accepted && !j.cancelAsked && !j.silent && clock_.now() - since > kForgotten) {
-      j.silent = true;
-      breaks("lost_job", id + " was asked about in vain for " + std::to_string(kForgotten / 1000) + " s");
+    auto since = std::max({j.acceptedAt, j.lastAnswerAt, faultsEnd_});
+    if (j.accepted && !j.cancelRequested && !j.lostReported && clock_.now() - since > kMaxUnanswered) {
+      j.lostReported = true;
+      reportViolation("lost_job",
+                      id + " was asked about in vain for " + std::to_string(kMaxUnanswered / 1000) + " s");
     }
-    if (j.final != "aborted" || j.on.empty()) continue;
+    if (j.final != "aborted" || j.running.empty()) continue;
     if (clock_.now() - j.finalAt <= static_cast<Ms>(settings_.cancelS * 1000)) continue;
-    breaks("ran_after_cancel", id + " is still on " + j.on.begin()->second.id);
-    j.on.clear();
+    reportViolation("ran_after_cancel", id + " is still on " + j.running.begin()->second.id);
+    j.running.clear();
   }
-  reviewWaiting();
+  checkStarvation();
 }
 
-void Checker::judge(const std::string& whom, const std::vector<const Job*>& jobs) {
-  auto begun = std::count_if(jobs.begin(), jobs.end(), [](const Job* j) {
-    return j->begunAt >= 0 && j->begunAt - j->submittedAt <= kToBegin;
+void Checker::checkStartShare(const std::string& group, const std::vector<const Job*>& jobs) {
+  auto startedInTime = std::count_if(jobs.begin(), jobs.end(), [](const Job* j) {
+    return j->firstStartAt >= 0 && j->firstStartAt - j->submittedAt <= kStartDeadline;
   });
-  if (2 * static_cast<std::size_t>(begun) < jobs.size())
-    breaks("delayed_start", whom + ": only " + std::to_string(begun) + " of " + std::to_string(jobs.size()) +
-                                " jobs began within four minutes");
+  if (2 * static_cast<std::size_t>(startedInTime) < jobs.size())
+    reportViolation("delayed_start", group + ": only " + std::to_string(startedInTime) + " of " +
+                                         std::to_string(jobs.size()) + " jobs began within four minutes");
 }
 
 // Of each class, of each team and of the largest tenth of each class, those that had four minutes to begin.
-void Checker::judgeService() {
+void Checker::checkStartDelays() {
   std::map<std::string, std::vector<const Job*>> classes, teams;
   for (const auto& [id, j] : jobs_) {
-    if (!j.accepted || j.cancelAsked || clock_.now() - j.submittedAt < kToBegin) continue;
+    if (!j.accepted || j.cancelRequested || clock_.now() - j.submittedAt < kStartDeadline) continue;
     classes["class " + j.spec->jobClass].push_back(&j);
     teams["team " + j.spec->team.value].push_back(&j);
   }
-  for (const auto& [name, jobs] : teams) judge(name, jobs);
+  for (const auto& [name, jobs] : teams) checkStartShare(name, jobs);
   for (auto& [name, jobs] : classes) {
-    judge(name, jobs);
+    checkStartShare(name, jobs);
     auto size = [](const Job* j) { return j->spec->each.cores * j->spec->tasks; };
     std::stable_sort(jobs.begin(), jobs.end(), [&](auto* a, auto* b) { return size(a) > size(b); });
     jobs.resize((jobs.size() + 9) / 10);
-    judge("largest of " + name, jobs);
+    checkStartShare("largest of " + name, jobs);
   }
 }
 
@@ -156,9 +160,9 @@
   return it == jobs_.end() ? 0 : it->second.starts;
 }
 
-Ms Checker::begunAt(const std::string& job) const {
+Ms Checker::firstStartAt(const std::string& job) const {
   auto it = jobs_.find(job);
-  return it == jobs_.end() ? -1 : it->second.begunAt;
+  return it == jobs_.end() ? -1 : it->second.firstStartAt;
 }
 
 bool Checker::allDone(const std::string& job) const {
@@ -166,15 +170,15 @@
   return it != jobs_.end() && it->second.spec && it->second.done.size() == it->second.spec->tasks;
 }
 
-double Checker::tasksOn(const std::string& job) const {
+double Checker::runningTasks(const std::string& job) const {
   auto it = jobs_.find(job);
-  return it == jobs_.end() ? 0 : static_cast<double>(it->second.on.size());
+  return it == jobs_.end() ? 0 : static_cast<double>(it->second.running.size());
 }
 
-std::set<std::string> Checker::machinesOf(const std::string& job) const {
+std::set<std::string> Checker::machinesRunning(const std::string& job) const {
   std::set<std::string> out;
   if (auto it = jobs_.find(job); it != jobs_.end())
-    for (const auto& [_, m] : it->second.on) out.insert(m.id);
+    for (const auto& [_, m] : it->second.running) out.insert(m.id);
   return out;
 }
 
--- a/tests/world/checker_waiting.cpp
+++ b/tests/world/checker_waiting.cpp
@@ -6,20 +6,20 @@
 
 namespace world {
 namespace {
-constexpr Ms kLeftWaiting = 90'000;  // beside room, once all troubles are over
-constexpr Ms kLookEvery = 1'000;
+constexpr Ms kStarvationLimit = 90'000;  // beside room, once all troubles are over
+constexpr Ms kStarvationCheckInterval = 1'000;
 
 using cherryloft::JobKind;
 
-std::uint32_t perZone(const cherryloft::JobSpec& s) { return s.spread ? (s.tasks + 1) / 2 : s.tasks; }
+std::uint32_t maxTasksPerZone(const cherryloft::JobSpec& s) { return s.spread ? (s.tasks + 1) / 2 : s.tasks; }
 
-bool mayUse(const cherryloft::JobSpec& s, const Machine& m) {
+bool isAllowedOn(const cherryloft::JobSpec& s, const Machine& m) {
   return s.allowsType(m.type) && (!m.spot || s.spotAllowed) && (!s.zone || s.zone->value == m.zone);
 }
 }  // namespace
 
 // By the protocol's words about 422, with the catalog as it is.
-std::string Checker::whyWrong(const cherryloft::JobSpec& s) const {
+std::string Checker::rejectionReason(const cherryloft::JobSpec& s) const {
   const auto* team = settings_.team(s.team);
   if (!team) return "its team is unknown";
   if (!types_.empty() && std::none_of(types_.begin(), types_.end(), [&](const TypeSize& t) {
@@ -29,28 +29,30 @@
   if (s.zone && std::none_of(settings_.zones.begin(), settings_.zones.end(),
                              [&](const auto& z) { return z.value == s.zone->value; }))
     return "its zone does not exist";
-  if (s.tasks > perZone(s) && (s.oneZone || s.zone)) return "its tasks can't be spread";
+  if (s.tasks > maxTasksPerZone(s) && (s.oneZone || s.zone)) return "its tasks can't be spread";
   double cores = s.each.cores * (s.kind == JobKind::Array ? 1.0 : s.tasks);
   if (cores > team->coreQuota + 1e-6) return "it needs more than its team's limit";
   return "";
 }
 
 // Whether one more task could start now or, of a gang that is nowhere, all of them at once.
-bool Checker::hasRoom(const Job& j, const Held& held, double teamUses, const std::vector<Room>& rooms) const {
+bool Checker::isPlaceable(const Job& j, const PlacedTasks& placed, double teamUses,
+                          const std::vector<MachineState>& states) const {
   const auto& s = *j.spec;
   bool whole = s.kind == JobKind::Gang;
   std::uint32_t need = whole ? s.tasks : 1;
-  if (whole && held.tasks > 0) return false;  // it ends, or is being stopped, as a whole
+  if (whole && placed.tasks > 0) return false;  // it ends, or is being stopped, as a whole
   if (teamUses + s.each.cores * need > settings_.team(s.team)->coreQuota + 1e-6) return false;
   std::map<std::string, std::uint32_t> fit;  // by zone
-  for (const auto& r : rooms) {
-    if (!r.takesWork || !mayUse(s, r.machine)) continue;
+  for (const auto& r : states) {
+    if (!r.schedulable || !isAllowedOn(s, r.machine)) continue;
     const auto& zone = r.machine.zone;
-    auto there = held.zones.find(zone);
-    std::uint32_t have = there == held.zones.end() ? 0 : there->second;
-    if (s.oneZone && held.tasks > have) continue;
+    auto there = placed.zones.find(zone);
+    std::uint32_t have = there == placed.zones.end() ? 0 : there->second;
+    if (s.oneZone && placed.tasks > have) continue;
     auto& n = fit[zone];
-    for (auto free = r.free; n + have < perZone(s) && n < need && s.each.fitsIn(free); free -= s.each) ++n;
+    for (auto free = r.free; n + have < maxTasksPerZone(s) && n < need && s.each.fitsIn(free); free -= s.each)
+      ++n;
   }
   std::uint32_t sum = 0, most = 0;
   for (const auto& [_, n] : fit) sum += n, most = std::max(most, n);
@@ -58,44 +60,46 @@
 }
 
 // A start of any of its tasks ends a job's wait: it has its turns. What fails everywhere may back off.
-void Checker::reviewWaiting() {
+void Checker::checkStarvation() {
   auto now = clock_.now();
-  if (!rooms_ || now < troublesEnd_ || now - waitingReviewedAt_ < kLookEvery) return;
-  waitingReviewedAt_ = now;
-  std::vector<Room> rooms;
-  HeldOf held;
+  if (!machineStates_ || now < faultsEnd_ || now - starvationCheckedAt_ < kStarvationCheckInterval) return;
+  starvationCheckedAt_ = now;
+  std::vector<MachineState> states;
+  PlacedTasksByJob placed;
   std::map<std::string, double> uses;
-  bool looked = false;
+  bool statesRead = false;
   for (auto& [id, j] : jobs_) {
-    bool open = j.accepted && !j.cancelAsked && !j.fails && !j.left && j.spec && j.final.empty();
-    if (!open || j.done.size() + j.on.size() >= j.spec->tasks) {
-      j.roomSince = -1;
+    bool open =
+        j.accepted && !j.cancelRequested && !j.fails && !j.starvationReported && j.spec && j.final.empty();
+    if (!open || j.done.size() + j.running.size() >= j.spec->tasks) {
+      j.placeableSince = -1;
       continue;
     }
-    if (!looked) {
-      looked = true;
-      rooms = rooms_();
-      for (const auto& r : rooms)
-        for (const auto& [job, index] : r.held) {
+    if (!statesRead) {
+      statesRead = true;
+      states = machineStates_();
+      for (const auto& r : states)
+        for (const auto& [job, index] : r.tasks) {
           auto it = jobs_.find(job);
           if (it == jobs_.end() || !it->second.spec) continue;
-          auto& h = held[job];
+          auto& h = placed[job];
           ++h.tasks, ++h.zones[r.machine.zone];
           uses[it->second.spec->team.value] += it->second.spec->each.cores;
         }
     }
-    const auto& h = held[id];
+    const auto& h = placed[id];
     auto there = static_cast<std::uint32_t>(j.done.size()) + h.tasks;
     auto waits = there < j.spec->tasks ? j.spec->tasks - there : 0;
-    bool beside = waits > 0 && waits >= j.waited && hasRoom(j, h, uses[j.spec->team.value], rooms);
-    j.waited = waits;
-    if (!beside) {
-      j.roomSince = -1;
-    } else if (j.roomSince < 0) {
-      j.roomSince = now;
-    } else if (now - j.roomSince > kLeftWaiting) {
-      j.left = true;
-      breaks("starved", id + " has " + std::to_string(waits) + " tasks waiting beside free room");
+    bool starving =
+        waits > 0 && waits >= j.previouslyWaiting && isPlaceable(j, h, uses[j.spec->team.value], states);
+    j.previouslyWaiting = waits;
+    if (!starving) {
+      j.placeableSince = -1;
+    } else if (j.placeableSince < 0) {
+      j.placeableSince = now;
+    } else if (now - j.placeableSince > kStarvationLimit) {
+      j.starvationReported = true;
+      reportViolation("starved", id + " has " + std::to_string(waits) + " tasks waiting beside free room");
     }
   }
 }
--- a/tests/world/clock.h
+++ b/tests/world/clock.h
@@ -36,36 +36,35 @@
 };
 
 // So much a second, in bursts of one second's worth.
-class Allowance {
+class TokenBucket {
  public:
-  explicit Allowance(double perSecond) : perSecond_(perSecond), migrationCleanups_(perSecond) {}
-  bool take(Ms now, double n) {
-    migrationCleanups_ =
-        std::min(migrationCleanups_ + static_cast<double>(now - at_) * perSecond_ / 1000, perSecond_);
+  explicit TokenBucket(double perSecond) : perSecond_(perSecond), tokens_(perSecond) {}
+  bool tryTake(Ms now, double n) {
+    tokens_ = std::min(tokens_ + static_cast<double>(now - at_) * perSecond_ / 1000, perSecond_);
     at_ = now;
-    if (migrationCleanups_ < n) return false;
-    migrationCleanups_ -= n;
+    if (tokens_ < n) return false;
+    tokens_ -= n;
     return true;
   }
 
  private:
-  double perSecond_, migrationCleanups_;
+  double perSecond_, tokens_;
   Ms at_ = 0;
 };
 
 // Counts what happens in any one second.
-class Busiest {
+class PeakRate {
  public:
   void add(Ms at) {
-    last_.push_back(at);
-    while (at - last_.front() >= 1000) last_.pop_front();
-    busiest_ = std::max(busiest_, last_.size());
+    recent_.push_back(at);
+    while (at - recent_.front() >= 1000) recent_.pop_front();
+    peak_ = std::max(peak_, recent_.size());
   }
-  std::size_t busiest() const { return busiest_; }
+  std::size_t peak() const { return peak_; }
 
  private:
-  std::deque<Ms> last_;
-  std::size_t busiest_ = 0;
+  std::deque<Ms> recent_;
+  std::size_t peak_ = 0;
 };
 
 }  // namespace world
--- a/tests/world/cloud.cpp
+++ b/tests/world/cloud.cpp
@@ -10,12 +10,12 @@
 using Json = nlohmann::json;
 }
 
-Cloud::Cloud(Clock& clock, Net& net, Checker& checker, const JobBehaviors& natures,
+Cloud::Cloud(Clock& clock, Net& net, Checker& checker, const JobBehaviors& behaviors,
              const cherryloft::Settings& settings, std::vector<CloudType> types, unsigned controllers)
     : clock_(clock),
       net_(net),
       checker_(checker),
-      natures_(natures),
+      behaviors_(behaviors),
       settings_(settings),
       types_(std::move(types)),
       controllers_(controllers),
@@ -30,7 +30,7 @@
   return "10.1." + std::to_string(n / 100) + "." + std::to_string(n % 100 + 1) + ":9000";
 }
 
-Cloud::Rented& Cloud::create(const std::string& type, const std::string& zone, bool spot) {
+Cloud::RentedMachine& Cloud::create(const std::string& type, const std::string& zone, bool spot) {
   char id[32];
   std::snprintf(id, sizeof id, "host-%06u", ++count_);
   auto& r = machines_[id];
@@ -39,24 +39,24 @@
   return r;
 }
 
-void Cloud::up(const std::string& id) {
+void Cloud::bootCompleted(const std::string& id) {
   auto& r = machines_.at(id);
   if (r.goneAt >= 0) return;
   r.upAt = clock_.now();
   auto t =
       std::find_if(types_.begin(), types_.end(), [&](const auto& x) { return x.name == r.machine.type; });
-  r.worker = std::make_unique<Worker>(clock_, net_, checker_, gangs_, natures_, settings_, r.machine,
+  r.worker = std::make_unique<Worker>(clock_, net_, checker_, gangs_, behaviors_, settings_, r.machine,
                                       addressOf(id), t->fetchGbPerS, t->size, controllers_);
 }
 
 void Cloud::addRunning(const std::string& type, const std::string& zone) {
   auto id = create(type, zone, false).machine.id;
-  up(id);
+  bootCompleted(id);
 }
 
-void Cloud::die(const std::string& machine) {
+void Cloud::failMachine(const std::string& machine) {
   auto& r = machines_.at(machine);
-  if (r.worker) r.worker->die();
+  if (r.worker) r.worker->terminate();
   clock_.after(30'000, [this, machine] {
     auto& gone = machines_.at(machine);
     if (gone.goneAt < 0) gone.failedAt = clock_.now();
@@ -65,17 +65,17 @@
 
 void Cloud::reclaim(const std::string& machine, Ms notice) {
   auto& r = machines_.at(machine);
-  if (notice > 0 && r.worker) r.worker->notice(clock_.now() + notice);
+  if (notice > 0 && r.worker) r.worker->announceReclaim(clock_.now() + notice);
   clock_.after(notice, [this, machine] {
     auto& gone = machines_.at(machine);
-    if (gone.worker) gone.worker->die();
+    if (gone.worker) gone.worker->terminate();
     if (gone.goneAt < 0) gone.goneAt = clock_.now();
   });
 }
 
 void Cloud::reboot(const std::string& machine, Ms after) {
-  if (auto& w = machines_.at(machine).worker) w->die();
-  clock_.after(after, [this, machine] { up(machine); });
+  if (auto& w = machines_.at(machine).worker) w->terminate();
+  clock_.after(after, [this, machine] { bootCompleted(machine); });
 }
 
 std::string Cloud::zoneOf(const std::string& machine) const {
@@ -90,10 +90,10 @@
   return out;
 }
 
-std::vector<Room> Cloud::rooms() const {
-  std::vector<Room> out;
+std::vector<MachineState> Cloud::machineStates() const {
+  std::vector<MachineState> out;
   for (const auto& [id, r] : machines_)
-    if (r.worker && r.worker->alive() && r.goneAt < 0 && r.failedAt < 0) out.push_back(r.worker->room());
+    if (r.worker && r.worker->alive() && r.goneAt < 0 && r.failedAt < 0) out.push_back(r.worker->state());
   return out;
 }
 
@@ -109,13 +109,13 @@
   return it == machines_.end() ? nullptr : it->second.worker.get();
 }
 
-Worker* Cloud::nth(unsigned n) {
+Worker* Cloud::nthUp(unsigned n) {
   for (auto& [_, r] : machines_)
     if (r.worker && r.goneAt < 0 && r.failedAt < 0 && n-- == 0) return r.worker.get();
   return nullptr;
 }
 
-std::size_t Cloud::held() const {
+std::size_t Cloud::machineCount() const {
   return static_cast<std::size_t>(
       std::count_if(machines_.begin(), machines_.end(), [](const auto& h) { return h.second.goneAt < 0; }));
 }
@@ -123,7 +123,7 @@
 HttpResponse Cloud::rent(const std::string& body) {
   auto doc = Json::parse(body);
   auto claim = doc["claim"].get<std::string>();
-  if (claims_.count(claim)) return claims_[claim];
+  if (rentResponses_.count(claim)) return rentResponses_[claim];
   auto type = doc["flavour"].get<std::string>();
   auto zone = doc["site"].get<std::string>();
   bool spot = doc["lendable"].get<bool>();
@@ -134,7 +134,7 @@
     return h.second.goneAt < 0 && m.type == type && m.zone == zone && m.spot == spot;
   });
   auto limit = static_cast<long>(spot ? t->spotCapacity : t->capacity);
-  if (clock_.now() < noCapacityUntil_) limit = 0;
+  if (clock_.now() < capacityDeniedUntil_) limit = 0;
   auto grant = std::min<long>(doc["count"].get<long>(), limit - have);
   if (grant <= 0) return {503, R"({"error":"no capacity"})", false, 0};
   Json names = Json::array();
@@ -142,19 +142,19 @@
     auto id = create(type, zone, spot).machine.id;
     ++rented_;
     names.push_back(id);
-    if (clock_.now() < noBootUntil_) continue;
+    if (clock_.now() < bootsFailUntil_) continue;
     clock_.after(static_cast<Ms>(static_cast<double>(t->boot) * clock_.uniform(0.6, 1.5)),
-                 [this, id] { up(id); });
+                 [this, id] { bootCompleted(id); });
   }
-  return claims_[claim] = {200, Json{{"hosts", names}}.dump(), false, 0};
+  return rentResponses_[claim] = {200, Json{{"hosts", names}}.dump(), false, 0};
 }
 
-HttpResponse Cloud::giveBack(const std::string& body) {
+HttpResponse Cloud::returnMachines(const std::string& body) {
   auto doc = Json::parse(body);
   for (const auto& name : doc["hosts"]) {
     auto it = machines_.find(name.get<std::string>());
     if (it == machines_.end()) continue;
-    if (it->second.worker) it->second.worker->die();
+    if (it->second.worker) it->second.worker->terminate();
     if (it->second.goneAt < 0) it->second.goneAt = clock_.now();
   }
   return {200, "{}", false, 0};
@@ -190,7 +190,7 @@
 }
 
 void Cloud::handle(HttpRequest r, Reply reply) {
-  calls_.add(clock_.now());
+  requestRate_.add(clock_.now());
   if (clock_.now() < outageUntil_) return reply({503, R"({"error":"trouble"})", false, 0});
   auto path = r.target.substr(0, r.target.find('?'));
   if (path == "/catalog") {
@@ -210,7 +210,7 @@
                       {"sites", zones}});
     return reply({200, Json{{"flavours", list}}.dump(), false, 0});
   }
-  if (path == "/hosts/return") return reply(giveBack(r.body));
+  if (path == "/hosts/return") return reply(returnMachines(r.body));
   if (path == "/hosts" && r.method == "POST") return reply(rent(r.body));
   if (path == "/hosts") return reply(list(r));
   reply({404, "{}", false, 0});
--- a/tests/world/cloud.h
+++ b/tests/world/cloud.h
@@ -14,45 +14,45 @@
 // How a task behaves, by the world's own knowledge of the job.
 struct JobBehavior {
   cherryloft::JobSpec spec;
-  Ms run = 10'000;
+  Ms runTime = 10'000;
   bool fails = false;
 };
 using JobBehaviors = std::map<std::string, JobBehavior>;
 
 class Worker {
  public:
-  Worker(Clock& clock, Net& net, Checker& checker, GangBoard& gangs, const JobBehaviors& natures,
+  Worker(Clock& clock, Net& net, Checker& checker, GangRendezvous& gangs, const JobBehaviors& behaviors,
          const cherryloft::Settings& settings, Machine machine, std::string address, double fetchGbPerS,
          cherryloft::Resources size, unsigned controllers);
-  ~Worker() { die(); }
-  void die();
+  ~Worker() { terminate(); }
+  void terminate();
   bool alive() const { return alive_ != nullptr; }
-  void hang(Ms until) { hungUntil_ = until; }
-  void notice(Ms takenAt) { takenAt_ = takenAt; }
+  void hangUntil(Ms until) { hungUntil_ = until; }
+  void announceReclaim(Ms reclaimAt) { reclaimAt_ = reclaimAt; }
   // Runs a task on nobody's order, to prove that the checker sees it.
-  void plant(const std::string& job, std::uint32_t index);
+  void injectTask(const std::string& job, std::uint32_t index);
   // From now on every task fails here soon after it began.
-  void breakDown() { faulty_ = true; }
+  void failAllTasks() { faulty_ = true; }
   // From now on it obeys no kill and no lease, to prove the same.
-  void plantStubborn() { stubborn_ = true; }
+  void ignoreKills() { ignoresKills_ = true; }
   const Machine& machine() const { return machine_; }
-  Room room() const;
-  bool hangs() const { return clock_.now() < hungUntil_; }
+  MachineState state() const;
+  bool isHung() const { return clock_.now() < hungUntil_; }
   // Its member of a gang begins to run, or ends.
-  void memberRuns(const std::string& job, std::uint32_t index, std::uint64_t attempt);
+  void memberStarted(const std::string& job, std::uint32_t index, std::uint64_t attempt);
   void endMember(const std::string& job, std::uint32_t index, std::uint64_t attempt,
                  const std::string& cause);
 
  private:
   using Json = nlohmann::json;
-  struct Held {
+  struct HeldTask {
     std::uint64_t attempt = 0;
     std::string state, cause;
     bool onMachine = false;
-    Ms givenAt = 0;         // when the command to start it was sent
+    Ms commandSentAt = 0;   // when the command to start it was sent
     std::uint64_t run = 0;  // distinguishes timers of earlier tasks
   };
-  using Key = std::pair<std::string, std::uint32_t>;
+  using TaskKey = std::pair<std::string, std::uint32_t>;
 
   template <class F>
   void later(Ms d, F f) {
@@ -60,42 +60,42 @@
       if (alive.lock()) f();
     });
   }
-  void awake(std::function<void()> f);
-  void schedule(Ms d);
+  void runUnlessHung(std::function<void()> f);
+  void scheduleReport(Ms d);
   void report();
-  void answered(Ms sentAt, std::uint64_t incarnation, const HttpResult& r, Ms givenAt);
-  void handle(HttpRequest r, Reply reply, Ms givenAt);
-  void execute(const Json& commands, Ms givenAt);
-  void start(const Key& k, std::uint64_t attempt, Ms givenAt);
-  void fetched(const Key& k, std::uint64_t run);
-  void kill(const Key& k, double graceS);
-  void end(const Key& k, const std::string& cause);
-  Held* member(const std::string& job, std::uint32_t index, std::uint64_t attempt);
-  void leaveGang(const Key& k, const Held& held);
+  void handleReportResponse(Ms sentAt, std::uint64_t incarnation, const HttpResult& r, Ms commandSentAt);
+  void handle(HttpRequest r, Reply reply, Ms commandSentAt);
+  void execute(const Json& commands, Ms commandSentAt);
+  void start(const TaskKey& k, std::uint64_t attempt, Ms commandSentAt);
+  void imageFetched(const TaskKey& k, std::uint64_t run);
+  void kill(const TaskKey& k, double graceS);
+  void end(const TaskKey& k, const std::string& cause);
+  HeldTask* findMember(const std::string& job, std::uint32_t index, std::uint64_t attempt);
+  void notifyGangOfExit(const TaskKey& k, const HeldTask& held);
   void checkLease();
   void dropTasks();
-  void changed();
-  Json body();
+  void reportSoon();
+  Json reportBody();
 
   Clock& clock_;
   Net& net_;
   Checker& checker_;
-  GangBoard& gangs_;
-  const JobBehaviors& natures_;
+  GangRendezvous& gangs_;
+  const JobBehaviors& behaviors_;
   const cherryloft::Settings& settings_;
   Machine machine_;
   std::string address_;
-  double fetch_;
+  double fetchGbPerS_;
   cherryloft::Resources size_;
   unsigned controllers_;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
-  std::uint64_t session_ = 1, serial_ = 0, token_ = 0, runs_ = 0;
+  std::uint64_t session_ = 1, serial_ = 0, token_ = 0, lastTimerRun_ = 0;
   Ms leaseFrom_, lastReport_ = -10'000, hungUntil_ = 0;
-  std::optional<Ms> takenAt_;
+  std::optional<Ms> reclaimAt_;
   unsigned target_ = 0;
-  bool reporting_ = false, stubborn_ = false, faulty_ = false;
+  bool reporting_ = false, ignoresKills_ = false, faulty_ = false;
   std::uint64_t timer_ = 0;
-  std::map<Key, Held> tasks_;
+  std::map<TaskKey, HeldTask> tasks_;
   std::set<std::string> images_;
 };
 
@@ -110,57 +110,57 @@
 
 class Cloud {
  public:
-  Cloud(Clock& clock, Net& net, Checker& checker, const JobBehaviors& natures,
+  Cloud(Clock& clock, Net& net, Checker& checker, const JobBehaviors& behaviors,
         const cherryloft::Settings& settings, std::vector<CloudType> types, unsigned controllers);
   void addRunning(const std::string& type, const std::string& zone);
   void outage(Ms until) { outageUntil_ = until; }
-  void noBoot(Ms until) { noBootUntil_ = until; }
-  void noCapacity(Ms until) { noCapacityUntil_ = until; }
-  void die(const std::string& machine);
+  void failBoots(Ms until) { bootsFailUntil_ = until; }
+  void denyCapacity(Ms until) { capacityDeniedUntil_ = until; }
+  void failMachine(const std::string& machine);
   void reclaim(const std::string& machine, Ms notice);
   // Its worker ends with all it has, and another one begins from the start.
   void reboot(const std::string& machine, Ms after);
   std::string zoneOf(const std::string& machine) const;
   std::vector<std::string> allUp() const;
-  std::vector<Room> rooms() const;
+  std::vector<MachineState> machineStates() const;
   std::vector<std::string> inZone(const std::string& zone) const;
   Worker* worker(const std::string& machine);
   // The n-th machine that is up, in order of names; null if there are fewer.
-  Worker* nth(unsigned n);
+  Worker* nthUp(unsigned n);
   const GangCounts& gangs() const { return gangs_.counts(); }
-  std::size_t held() const;
-  std::size_t rented() const { return rented_; }
+  std::size_t machineCount() const;
+  std::size_t totalRented() const { return rented_; }
   // The most requests within one second.
-  std::size_t busiestSecond() const { return calls_.busiest(); }
+  std::size_t peakRequestRate() const { return requestRate_.peak(); }
 
  private:
-  struct Rented {
+  struct RentedMachine {
     Machine machine;
     Ms since = 0, upAt = -1, failedAt = -1, goneAt = -1;
     std::unique_ptr<Worker> worker;
   };
   void handle(HttpRequest r, Reply reply);
   HttpResponse rent(const std::string& body);
-  HttpResponse giveBack(const std::string& body);
+  HttpResponse returnMachines(const std::string& body);
   HttpResponse list(const HttpRequest& r);
-  Rented& create(const std::string& type, const std::string& zone, bool spot);
-  void up(const std::string& id);
+  RentedMachine& create(const std::string& type, const std::string& zone, bool spot);
+  void bootCompleted(const std::string& id);
   std::string addressOf(const std::string& id) const;
 
   Clock& clock_;
   Net& net_;
   Checker& checker_;
-  const JobBehaviors& natures_;
+  const JobBehaviors& behaviors_;
   const cherryloft::Settings& settings_;
   std::vector<CloudType> types_;
   unsigned controllers_;
-  GangBoard gangs_;
-  std::map<std::string, Rented> machines_;
-  std::map<std::string, HttpResponse> claims_;
+  GangRendezvous gangs_;
+  std::map<std::string, RentedMachine> machines_;
+  std::map<std::string, HttpResponse> rentResponses_;
   unsigned count_ = 0;
   std::size_t rented_ = 0;
-  Busiest calls_;
-  Ms outageUntil_ = 0, noBootUntil_ = 0, noCapacityUntil_ = 0;
+  PeakRate requestRate_;
+  Ms outageUntil_ = 0, bootsFailUntil_ = 0, capacityDeniedUntil_ = 0;
 };
 
 }  // namespace world
--- a/tests/world/gang_board.cpp
+++ b/tests/world/gang_board.cpp
@@ -7,126 +7,126 @@
 
 namespace world {
 namespace {
-constexpr Ms kReviewEvery = 200;
+constexpr Ms kCheckInterval = 200;
 }  // namespace
 
-void GangBoard::gather(Worker& worker, const JobBehavior& nature, std::uint32_t index,
-                       std::uint64_t attempt) {
-  const auto& job = nature.spec.id.value;
-  Name name{job, attempt};
+void GangRendezvous::memberReady(Worker& worker, const JobBehavior& behavior, std::uint32_t index,
+                                 std::uint64_t attempt) {
+  const auto& job = behavior.spec.id.value;
+  GangKey key{job, attempt};
   if (done_[job]) {
-    ++counts_.startsDone;
+    ++counts_.startsAfterDone;
     return worker.endMember(job, index, attempt, "done");
   }
-  auto& gang = gangs_[name];
-  gang.nature = &nature;
+  auto& gang = gangs_[key];
+  gang.behavior = &behavior;
   gang.members[index] = {&worker};
-  clock_.after(wait_, [this, name, index, who = &worker] {
-    auto it = gangs_.find(name);
+  clock_.after(assemblyTimeout_, [this, key, index, who = &worker] {
+    auto it = gangs_.find(key);
     if (it == gangs_.end() || it->second.startedAt >= 0) return;
     auto member = it->second.members.find(index);
     if (member == it->second.members.end() || member->second.worker != who) return;
-    ++counts_.gaveUp;
-    who->endMember(name.first, index, name.second, "alone");
+    ++counts_.assemblyTimeouts;
+    who->endMember(key.first, index, key.second, "alone");
   });
-  if (gang.startedAt < 0 && gang.members.size() == nature.spec.tasks) start(name);
+  if (gang.startedAt < 0 && gang.members.size() == behavior.spec.tasks) start(key);
 }
 
-void GangBoard::start(const Name& name) {
-  auto& gang = gangs_.at(name);
+void GangRendezvous::start(const GangKey& key) {
+  auto& gang = gangs_.at(key);
   gang.startedAt = clock_.now();
-  gang.progressBefore = kept_[name.first];
+  gang.progressBefore = savedProgress_[key.first];
   ++counts_.starts;
-  for (auto& [index, member] : gang.members) member.worker->memberRuns(name.first, index, name.second);
-  clock_.after(kReviewEvery, [this, name] { review(name); });
+  for (auto& [index, member] : gang.members) member.worker->memberStarted(key.first, index, key.second);
+  clock_.after(kCheckInterval, [this, key] { checkProgress(key); });
 }
 
-Ms GangBoard::progress(const Gang& gang) const {
-  auto until = gang.firstToldAt >= 0 ? gang.firstToldAt : clock_.now();
+Ms GangRendezvous::progress(const Gang& gang) const {
+  auto until = gang.firstNotifiedAt >= 0 ? gang.firstNotifiedAt : clock_.now();
   return gang.progressBefore + until - gang.startedAt;
 }
 
 // A machine that hangs counts as a lost member.
-void GangBoard::review(const Name& name) {
-  auto it = gangs_.find(name);
-  if (it == gangs_.end() || it->second.over) return;
+void GangRendezvous::checkProgress(const GangKey& key) {
+  auto it = gangs_.find(key);
+  if (it == gangs_.end() || it->second.ended) return;
   auto& gang = it->second;
   bool hangs = std::any_of(gang.members.begin(), gang.members.end(),
-                           [](const auto& m) { return m.second.worker->hangs(); });
-  if (hangs) return taskLost(name);
-  if (gang.firstToldAt < 0 && progress(gang) >= gang.nature->run) return finish(name);
-  clock_.after(kReviewEvery, [this, name] { review(name); });
+                           [](const auto& m) { return m.second.worker->isHung(); });
+  if (hangs) return memberLost(key);
+  if (gang.firstNotifiedAt < 0 && progress(gang) >= gang.behavior->runTime) return finish(key);
+  clock_.after(kCheckInterval, [this, key] { checkProgress(key); });
 }
 
-void GangBoard::finish(const Name& name) {
-  done_[name.first] = true;
-  endAll(name, "done");
+void GangRendezvous::finish(const GangKey& key) {
+  done_[key.first] = true;
+  endMembers(key, "done");
 }
 
 // Progress falls back to a multiple of the checkpoint interval.
-void GangBoard::fallBack(const Name& name) {
-  auto& gang = gangs_.at(name);
-  auto every = static_cast<Ms>(gang.nature->spec.checkpointIntervalSeconds * 1000);
-  auto& kept = kept_[name.first];
-  if (every > 0) kept = std::max(kept, progress(gang) / every * every);
+void GangRendezvous::keepLastCheckpoint(const GangKey& key) {
+  auto& gang = gangs_.at(key);
+  auto interval = static_cast<Ms>(gang.behavior->spec.checkpointIntervalSeconds * 1000);
+  auto& saved = savedProgress_[key.first];
+  if (interval > 0) saved = std::max(saved, progress(gang) / interval * interval);
 }
 
-void GangBoard::taskLost(const Name& name) {
-  auto& gang = gangs_.at(name);
-  gang.over = true;
-  fallBack(name);
-  auto within = static_cast<Ms>(clock_.uniform(0, static_cast<double>(peer_)));
-  clock_.after(within, [this, name] { endAll(name, "peers"); });
+void GangRendezvous::memberLost(const GangKey& key) {
+  auto& gang = gangs_.at(key);
+  gang.ended = true;
+  keepLastCheckpoint(key);
+  auto within = static_cast<Ms>(clock_.uniform(0, static_cast<double>(peerTimeout_)));
+  clock_.after(within, [this, key] { endMembers(key, "peers"); });
 }
 
-void GangBoard::left(const std::string& job, std::uint32_t index, std::uint64_t attempt,
-                     const Worker& worker) {
+void GangRendezvous::memberLeft(const std::string& job, std::uint32_t index, std::uint64_t attempt,
+                                const Worker& worker) {
   auto it = gangs_.find({job, attempt});
   if (it == gangs_.end()) return;
   auto& gang = it->second;
   auto member = gang.members.find(index);
   if (member == gang.members.end() || member->second.worker != &worker) return;
   gang.members.erase(member);
-  if (gang.startedAt < 0 || gang.over) return;
-  if (gang.firstToldAt >= 0) ++counts_.lostSaves;
-  taskLost(it->first);
+  if (gang.startedAt < 0 || gang.ended) return;
+  if (gang.firstNotifiedAt >= 0) ++counts_.lostCheckpoints;
+  memberLost(it->first);
 }
 
-void GangBoard::told(const std::string& job, std::uint32_t index, std::uint64_t attempt) {
-  Name name{job, attempt};
-  auto it = gangs_.find(name);
-  if (it == gangs_.end() || it->second.over) return;
+void GangRendezvous::memberNotified(const std::string& job, std::uint32_t index, std::uint64_t attempt) {
+  GangKey key{job, attempt};
+  auto it = gangs_.find(key);
+  if (it == gangs_.end() || it->second.ended) return;
   auto& gang = it->second;
-  if (auto member = gang.members.find(index); member != gang.members.end()) member->second.told = true;
-  if (gang.firstToldAt >= 0) return;
-  gang.firstToldAt = clock_.now();
-  auto saveMs = static_cast<Ms>(gang.nature->spec.checkpointSeconds * 1000);
-  clock_.after(std::max(peer_, saveMs), [this, name] { settleStop(name); });
+  if (auto member = gang.members.find(index); member != gang.members.end()) member->second.notified = true;
+  if (gang.firstNotifiedAt >= 0) return;
+  gang.firstNotifiedAt = clock_.now();
+  auto saveMs = static_cast<Ms>(gang.behavior->spec.checkpointSeconds * 1000);
+  clock_.after(std::max(peerTimeout_, saveMs), [this, key] { completeStop(key); });
 }
 
 // All were told in time, or the save fails.
-void GangBoard::settleStop(const Name& name) {
-  auto it = gangs_.find(name);
-  if (it == gangs_.end() || it->second.over) return;
+void GangRendezvous::completeStop(const GangKey& key) {
+  auto it = gangs_.find(key);
+  if (it == gangs_.end() || it->second.ended) return;
   auto& gang = it->second;
   bool all =
-      std::all_of(gang.members.begin(), gang.members.end(), [](const auto& m) { return m.second.told; });
+      std::all_of(gang.members.begin(), gang.members.end(), [](const auto& m) { return m.second.notified; });
   if (!all) {
-    ++counts_.lostSaves;
-    return taskLost(name);
+    ++counts_.lostCheckpoints;
+    return memberLost(key);
   }
-  ++counts_.saves;
-  kept_[name.first] = progress(gang);
-  endAll(name, "halted");
+  ++counts_.checkpoints;
+  savedProgress_[key.first] = progress(gang);
+  endMembers(key, "halted");
 }
 
-void GangBoard::endAll(const Name& name, const std::string& cause) {
-  auto it = gangs_.find(name);
+void GangRendezvous::endMembers(const GangKey& key, const std::string& cause) {
+  auto it = gangs_.find(key);
   if (it == gangs_.end()) return;
-  it->second.over = true;
+  it->second.ended = true;
   auto members = std::move(it->second.members);
   gangs_.erase(it);
-  for (auto& [index, member] : members) member.worker->endMember(name.first, index, name.second, cause);
+  for (auto& [index, member] : members) member.worker->endMember(key.first, index, key.second, cause);
 }
 
 }  // namespace world
--- a/tests/world/key_value_store.cpp
+++ b/tests/world/key_value_store.cpp
@@ -19,78 +19,79 @@
   return q;
 }
 
-Store::Store(Clock& clock, Net& net, unsigned txnOps, std::size_t valueBytes, double rps, double writeRps)
-    : clock_(clock), txnOps_(txnOps), valueBytes_(valueBytes), requests_(rps), changes_(writeRps) {
+StateService::StateService(Clock& clock, Net& net, unsigned txnOps, std::size_t valueBytes, double rps,
+                           double writeRps)
+    : clock_(clock), txnOps_(txnOps), valueBytes_(valueBytes), requestBudget_(rps), writeBudget_(writeRps) {
   net.serve("store", [this](const std::string& from, HttpRequest r, Reply reply) {
     handle(from, std::move(r), std::move(reply));
   });
-  expire();
+  expireLeases();
 }
 
-bool Store::down(const std::string& who) const {
+bool StateService::isUnavailableTo(const std::string& who) const {
   auto it = refused_.find(who);
   return clock_.now() < outageUntil_ || (it != refused_.end() && clock_.now() < it->second);
 }
 
-void Store::limit(unsigned txnOps, std::size_t valueBytes, double writeRps) {
+void StateService::setLimits(unsigned txnOps, std::size_t valueBytes, double writeRps) {
   txnOps_ = txnOps;
   valueBytes_ = valueBytes;
-  changes_ = Allowance(writeRps);
+  writeBudget_ = TokenBucket(writeRps);
 }
 
-void Store::outage(Ms until) {
+void StateService::outage(Ms until) {
   outageUntil_ = until;
   clock_.at(until, [this] {
-    for (auto& [_, h] : holds_) h.ends = clock_.now() + h.ttl;  // full time again
-    wakeWatches();
+    for (auto& [_, h] : leases_) h.ends = clock_.now() + h.ttl;  // full time again
+    notifyWatches();
   });
 }
 
-std::uint64_t Store::epochs() const {
+std::uint64_t StateService::epochs() const {
   auto it = data_.find("share/epoch");
   return it == data_.end() ? 0 : it->second.value.value("n", std::uint64_t{0});
 }
 
-void Store::expire() {
-  clock_.after(20, [this] { expire(); });
+void StateService::expireLeases() {
+  clock_.after(20, [this] { expireLeases(); });
   if (clock_.now() < outageUntil_) return;
-  for (auto it = holds_.begin(); it != holds_.end();) {
+  for (auto it = leases_.begin(); it != leases_.end();) {
     if (clock_.now() < it->second.ends + 50) {
       ++it;
       continue;
     }
-    std::vector<std::string> gone;
+    std::vector<std::string> expiredKeys;
     for (const auto& [k, e] : data_)
-      if (e.hold == it->first) gone.push_back(k);
-    if (!gone.empty()) ++rev_;
-    for (const auto& k : gone) put(k, std::nullopt, 0);
-    it = holds_.erase(it);
-    wakeWatches();
+      if (e.lease == it->first) expiredKeys.push_back(k);
+    if (!expiredKeys.empty()) ++rev_;
+    for (const auto& k : expiredKeys) put(k, std::nullopt, 0);
+    it = leases_.erase(it);
+    notifyWatches();
   }
 }
 
-void Store::put(const std::string& key, std::optional<Json> value, std::uint64_t hold) {
+void StateService::put(const std::string& key, std::optional<Json> value, std::uint64_t lease) {
   if (value) {
     largestValue_ = std::max(largestValue_, value->dump().size());
-    data_[key] = {*value, rev_, hold};
-    if (key == "share/leader" && leaderBegins_) leaderBegins_();
+    data_[key] = {*value, rev_, lease};
+    if (key == "share/leader" && onLeaderElected_) onLeaderElected_();
   } else if (data_.erase(key) == 0) {
     return;
   }
   log_.push_back({rev_, key, std::move(value)});
 }
 
-HttpResponse Store::txn(const std::string& body) {
+HttpResponse StateService::txn(const std::string& body) {
   auto doc = Json::parse(body);
   auto apply = doc.value("apply", Json::array());
   if (apply.size() > txnOps_ || doc["when"].size() > std::size_t{4} * txnOps_ ||
       body.size() > std::size_t{64} * 1024)
-    return tooLarge();
-  if (!changes_.take(clock_.now(), static_cast<double>(apply.size()))) return tooMany();
-  return carryOut(doc);
+    return rejectOversized();
+  if (!writeBudget_.tryTake(clock_.now(), static_cast<double>(apply.size()))) return rejectThrottled();
+  return applyTransaction(doc);
 }
 
-HttpResponse Store::carryOut(const Json& doc) {
+HttpResponse StateService::applyTransaction(const Json& doc) {
   auto apply = doc.value("apply", Json::array());
   Json failed = Json::array();
   for (const auto& c : doc.value("when", Json::array())) {
@@ -100,9 +101,9 @@
   }
   writes_ += apply.size();
   for (const auto& a : apply) {
-    if (a.contains("tenancy") && holds_.count(a["tenancy"].get<std::uint64_t>()) == 0)
+    if (a.contains("tenancy") && leases_.count(a["tenancy"].get<std::uint64_t>()) == 0)
       return {400, R"({"error":"no such lease"})", false, 0};
-    if (a.contains("write") && a["value"].dump().size() > valueBytes_) return tooLarge();
+    if (a.contains("write") && a["value"].dump().size() > valueBytes_) return rejectOversized();
   }
   if (!failed.empty()) return {409, Json{{"failed", failed}, {"ledger_rev", rev_}}.dump(), false, 0};
   if (!apply.empty()) ++rev_;
@@ -112,33 +113,33 @@
     else
       put(a["drop"].get<std::string>(), std::nullopt, 0);
   }
-  wakeWatches();
+  notifyWatches();
   return {200, Json{{"ledger_rev", rev_}}.dump(), false, 0};
 }
 
-HttpResponse Store::tooMany() {
-  ++overLimit_;
+HttpResponse StateService::rejectThrottled() {
+  ++throttled_;
   return {429, "{}", false, 0};
 }
 
-HttpResponse Store::tooLarge() {
-  ++rejected_;
+HttpResponse StateService::rejectOversized() {
+  ++oversized_;
   return {400, R"({"error":"too large"})", false, 0};
 }
 
-HttpResponse Store::holds(const HttpRequest& r) {
+HttpResponse StateService::handleLease(const HttpRequest& r) {
   if (r.target == "/holds") {
     Ms ttl = Json::parse(r.body)["ttl_ms"].get<Ms>();
-    holds_[++holdCount_] = {ttl, clock_.now() + ttl};
-    return {200, Json{{"tenancy", holdCount_}}.dump(), false, 0};
+    leases_[++leaseCount_] = {ttl, clock_.now() + ttl};
+    return {200, Json{{"tenancy", leaseCount_}}.dump(), false, 0};
   }
-  auto it = holds_.find(std::stoull(r.target.substr(7)));
-  if (it == holds_.end()) return {404, "{}", false, 0};
+  auto it = leases_.find(std::stoull(r.target.substr(7)));
+  if (it == leases_.end()) return {404, "{}", false, 0};
   it->second.ends = clock_.now() + it->second.ttl;
   return {200, "{}", false, 0};
 }
 
-HttpResponse Store::list(const std::map<std::string, std::string>& q) const {
+HttpResponse StateService::list(const std::map<std::string, std::string>& q) const {
   const auto& prefix = q.at("prefix");
   auto limit = q.count("limit") ? std::stoul(q.at("limit")) : 1000;
   auto it = q.count("since") ? data_.upper_bound(q.at("since")) : data_.lower_bound(prefix);
@@ -156,7 +157,7 @@
   return {200, Json{{"entries", entries}, {"truncated", truncated}, {"ledger_rev", rev_}}.dump(), false, 0};
 }
 
-bool Store::news(Watch& w, bool evenEmpty) {
+bool StateService::sendEvents(Watch& w, bool sendEmpty) {
   Json events = Json::array();
   std::map<std::string, Json> last;
   auto from =
@@ -168,61 +169,63 @@
                      : Json{{"drop", c.key}, {"stamp", c.rev}};
     events.push_back(std::move(e));
   }
-  if (events.empty() && !evenEmpty) return false;
-  w.over = true;
+  if (events.empty() && !sendEmpty) return false;
+  w.answered = true;
   w.reply({200, Json{{"ledger_rev", rev_}, {"news", events}}.dump(), false, 0});
   return true;
 }
 
-void Store::wakeWatches() {
+void StateService::notifyWatches() {
   auto all = watches_;
   for (auto& w : all)
-    if (!w->over && !down(w->from)) news(*w, false);
-  std::erase_if(watches_, [](const auto& w) { return w->over; });
+    if (!w->answered && !isUnavailableTo(w->from)) sendEvents(*w, false);
+  std::erase_if(watches_, [](const auto& w) { return w->answered; });
 }
 
-void Store::follow(const std::string& from, const std::map<std::string, std::string>& q, Reply reply) {
+void StateService::watch(const std::string& from, const std::map<std::string, std::string>& q, Reply reply) {
   auto w = std::make_shared<Watch>(Watch{from, q.at("prefix"), std::stoull(q.at("since")), std::move(reply)});
   Ms wait = q.count("wait_ms") ? std::stoll(q.at("wait_ms")) : 0;
-  if (news(*w, wait == 0)) return;
+  if (sendEvents(*w, wait == 0)) return;
   watches_.push_back(w);
   clock_.after(wait, [this, w] {
-    if (!w->over && !down(w->from)) news(*w, true);
+    if (!w->answered && !isUnavailableTo(w->from)) sendEvents(*w, true);
   });
 }
 
 // A transaction whose sender gives up on it long before it is carried out.
-bool Store::postpone(const HttpRequest& r) {
-  if (clock_.now() >= lateUntil_ || r.target != "/txn" || !clock_.chance(lateShare_)) return false;
-  auto late = static_cast<Ms>(clock_.uniform(2'000, 12'000));
-  clock_.after(late, [this, doc = Json::parse(r.body)] { carryOutLate(doc); });
+bool StateService::delayWrite(const HttpRequest& r) {
+  if (clock_.now() >= writesDelayedUntil_ || r.target != "/txn" || !clock_.chance(delayedShare_))
+    return false;
+  auto delay = static_cast<Ms>(clock_.uniform(2'000, 12'000));
+  clock_.after(delay, [this, doc = Json::parse(r.body)] { applyDelayed(doc); });
   return true;
 }
 
 // A transaction that is carried out at once, and whose sender never hears of it.
-bool Store::loseAnswer(const std::string& from, const HttpRequest& r) {
-  if (clock_.now() >= lostUntil_ || r.target != "/txn" || !clock_.chance(lostShare_)) return false;
-  answer(from, r, [this](HttpResponse response) { answersLost_ += response.status == 200; });
+bool StateService::dropResponse(const std::string& from, const HttpRequest& r) {
+  if (clock_.now() >= responsesDroppedUntil_ || r.target != "/txn" || !clock_.chance(droppedShare_))
+    return false;
+  answer(from, r, [this](HttpResponse response) { responsesDropped_ += response.status == 200; });
   return true;
 }
 
 // Nothing changes in an outage.
-void Store::carryOutLate(const Json& doc) {
+void StateService::applyDelayed(const Json& doc) {
   if (clock_.now() < outageUntil_)
-    clock_.at(outageUntil_ + 1, [this, doc] { carryOutLate(doc); });
+    clock_.at(outageUntil_ + 1, [this, doc] { applyDelayed(doc); });
   else
-    carryOut(doc);
+    applyTransaction(doc);
 }
 
-void Store::handle(const std::string& from, HttpRequest r, Reply reply) {
-  if (!requests_.take(clock_.now(), 1)) return reply(tooMany());
-  if (down(from)) return reply({503, "{}", false, 0});
-  if (postpone(r) || loseAnswer(from, r)) return;
-  if (clock_.now() >= slowUntil_) return answer(from, std::move(r), std::move(reply));
-  auto wait = static_cast<Ms>(clock_.uniform(0, static_cast<double>(slowest_)));
+void StateService::handle(const std::string& from, HttpRequest r, Reply reply) {
+  if (!requestBudget_.tryTake(clock_.now(), 1)) return reply(rejectThrottled());
+  if (isUnavailableTo(from)) return reply({503, "{}", false, 0});
+  if (delayWrite(r) || dropResponse(from, r)) return;
+  if (clock_.now() >= latencyUntil_) return answer(from, std::move(r), std::move(reply));
+  auto wait = static_cast<Ms>(clock_.uniform(0, static_cast<double>(maxLatency_)));
   if (clock_.chance(0.5)) {
     clock_.after(wait, [this, from, r = std::move(r), reply = std::move(reply)] {
-      if (down(from)) return reply({503, "{}", false, 0});
+      if (isUnavailableTo(from)) return reply({503, "{}", false, 0});
       answer(from, r, reply);
     });
   } else {
@@ -232,11 +235,11 @@
   }
 }
 
-void Store::answer(const std::string& from, HttpRequest r, Reply reply) {
+void StateService::answer(const std::string& from, HttpRequest r, Reply reply) {
   auto path = r.target.substr(0, r.target.find('?'));
   if (path == "/txn") return reply(txn(r.body));
-  if (path.compare(0, 6, "/holds") == 0) return reply(holds(r));
-  if (path == "/follow") return follow(from, queryOf(r.target), std::move(reply));
+  if (path.compare(0, 6, "/holds") == 0) return reply(handleLease(r));
+  if (path == "/follow") return watch(from, queryOf(r.target), std::move(reply));
   if (path == "/keys") return reply(list(queryOf(r.target)));
   if (path.compare(0, 6, "/keys/") == 0) {
     auto it = data_.find(path.substr(6));
--- a/tests/world/net.cpp
+++ b/tests/world/net.cpp
@@ -11,16 +11,16 @@
   return pattern == name;
 }
 
-void Net::cut(const std::string& a, const std::string& b, Ms until, bool hold) {
-  cuts_.push_back({a, b, until, hold});
+void Net::partition(const std::string& a, const std::string& b, Ms until, bool hold) {
+  partitions_.push_back({a, b, until, hold});
 }
 
-void Net::mute(const std::string& a, const std::string& b, Ms until, bool hold) {
-  cuts_.push_back({a, b, until, hold, true});
+void Net::partitionOneWay(const std::string& a, const std::string& b, Ms until, bool hold) {
+  partitions_.push_back({a, b, until, hold, true});
 }
 
-void Net::noOpen(const std::string& a, const std::string& b, Ms until) {
-  cuts_.push_back({a, b, until, false, true, {}, true});
+void Net::refuseConnections(const std::string& a, const std::string& b, Ms until) {
+  partitions_.push_back({a, b, until, false, true, {}, true});
 }
 
 void Net::delay(const std::string& a, const std::string& b, const std::string& path, bool answers, Ms until,
@@ -37,21 +37,22 @@
   return sum;
 }
 
-void Net::cutOff(std::function<bool(const std::string&)> inside, Ms until, bool hold) {
-  cuts_.push_back({"", "", until, hold, false, std::move(inside)});
+void Net::partitionGroup(std::function<bool(const std::string&)> inside, Ms until, bool hold) {
+  partitions_.push_back({"", "", until, hold, false, std::move(inside)});
 }
 
-void Net::copies(const std::string& from, const std::string& path, std::vector<std::string> to, Ms until,
-                 Ms lateFrom, Ms lateTo) {
-  copies_.push_back({from, path, std::move(to), until, lateFrom, lateTo});
+void Net::duplicateRequests(const std::string& from, const std::string& path, std::vector<std::string> to,
+                            Ms until, Ms minDelay, Ms maxDelay) {
+  duplications_.push_back({from, path, std::move(to), until, minDelay, maxDelay});
 }
 
-void Net::copy(const std::string& from, const HttpRequest& r) {
-  for (const auto& c : copies_) {
+void Net::duplicate(const std::string& from, const HttpRequest& r) {
+  for (const auto& c : duplications_) {
     if (clock_.now() >= c.until || r.target != c.path || !matches(c.from, from)) continue;
-    auto late =
-        static_cast<Ms>(clock_.uniform(static_cast<double>(c.lateFrom), static_cast<double>(c.lateTo)));
-    clock_.after(late, [this, from, r, to = c.to[clock_.rng() % c.to.size()]] { deliverCopy(from, to, r); });
+    auto requestDelay =
+        static_cast<Ms>(clock_.uniform(static_cast<double>(c.minDelay), static_cast<double>(c.maxDelay)));
+    clock_.after(requestDelay,
+                 [this, from, r, to = c.to[clock_.rng() % c.to.size()]] { deliverCopy(from, to, r); });
   }
 }
 
@@ -61,10 +62,11 @@
   if (auto h = handlers_.find(to); h != handlers_.end()) h->second(from, r, [](HttpResponse) {});
 }
 
-const Net::Cut* Net::cutBetween(const std::string& x, const std::string& y, bool opening) const {
-  const Cut* longest = nullptr;
-  for (const auto& c : cuts_) {
-    if (c.onlyOpening && !opening) continue;
+const Net::Partition* Net::partitionBetween(const std::string& x, const std::string& y,
+                                            bool newConnection) const {
+  const Partition* longest = nullptr;
+  for (const auto& c : partitions_) {
+    if (c.onlyNewConnections && !newConnection) continue;
     if (c.until <= clock_.now() || (longest && c.until <= longest->until)) continue;
     bool between =
         c.inside ? c.inside(x) != c.inside(y)
@@ -74,15 +76,15 @@
   return longest;
 }
 
-std::optional<Ms> Net::arrival(const std::string& from, const std::string& to, bool opening) {
+std::optional<Ms> Net::arrival(const std::string& from, const std::string& to, bool newConnection) {
   Ms delay = static_cast<Ms>(clock_.uniform(1, 5));
-  const Cut* c = cutBetween(from, to, opening);
+  const Partition* c = partitionBetween(from, to, newConnection);
   if (!c) return clock_.now() + delay;
   if (!c->hold) return std::nullopt;
   return c->until + delay;
 }
 
-void Net::tell(const std::string& from, const std::string& to, std::function<void()> deliver) {
+void Net::sendOneWay(const std::string& from, const std::string& to, std::function<void()> deliver) {
   if (auto t = arrival(from, to)) clock_.at(*t, std::move(deliver));
 }
 
@@ -95,25 +97,26 @@
   };
   clock_.after(deadline, [settle, sent] { settle({*sent ? Outcome::Unknown : Outcome::NotSent, {}}); });
   trace_.request(clock_.now(), from, to, r);
-  if (!copies_.empty()) copy(from, r);
-  if (heard_) heard_(from, r);
-  bool lost = losing_.erase({from, to}) > 0;
+  if (!duplications_.empty()) duplicate(from, r);
+  if (requestObserver_) requestObserver_(from, r);
+  bool dropResponse = droppedResponses_.erase({from, to}) > 0;
   auto t = arrival(from, to, true);
   if (!t) return;  // the connection never comes about
   *sent = true;
-  auto late = delayOf(from, to, r.target, false);
-  clock_.at(*t + late, [this, from, to, r = std::move(r), settle, lost, at = clock_.now()]() mutable {
+  auto requestDelay = delayOf(from, to, r.target, false);
+  clock_.at(*t + requestDelay, [this, from, to, r = std::move(r), settle, dropResponse,
+                                at = clock_.now()]() mutable {
     auto h = handlers_.find(to);
     if (h == handlers_.end()) return settle({Outcome::NotSent, {}});
     auto handler = h->second;
     auto path = r.target;
     sentAt_ = at;
-    handler(from, std::move(r), [this, from, to, settle, lost, path](HttpResponse response) {
+    handler(from, std::move(r), [this, from, to, settle, dropResponse, path](HttpResponse response) {
       trace_.response(clock_.now(), to, from, response);
       auto back = arrival(to, from);
-      if (lost || !back) return;
-      auto slow = delayOf(from, to, path, true);
-      clock_.at(*back + slow, [this, settle, response = std::move(response), given = clock_.now()] {
+      if (dropResponse || !back) return;
+      auto responseDelay = delayOf(from, to, path, true);
+      clock_.at(*back + responseDelay, [this, settle, response = std::move(response), given = clock_.now()] {
         sentAt_ = given;
         settle({Outcome::Answered, response});
       });
--- a/tests/world/odd_users.cpp
+++ b/tests/world/odd_users.cpp
@@ -15,7 +15,7 @@
 }
 }  // namespace
 
-void World::submitWrong(const std::string& id, const std::string& kind, std::string field) {
+void World::submitInvalid(const std::string& id, const std::string& kind, std::string field) {
   JobBehavior n;
   n.spec.id = cherryloft::JobId{id};
   n.spec.team = cherryloft::TeamId{"team-0"};
@@ -41,26 +41,27 @@
   else if (kind != "not-json")
     throw std::runtime_error("unknown kind '" + kind + "'");
   auto body = kind == "not-json" ? doc.dump().substr(1) : doc.dump();
-  traces[id].id = id;
-  checker.submittedWrong(id, kind + (kind == "missing-field" || kind == "invalid-field" ? " " + field : ""));
+  observations[id].id = id;
+  checker.submittedInvalid(id,
+                           kind + (kind == "missing-field" || kind == "invalid-field" ? " " + field : ""));
   trySubmit(id, body);
 }
 
 void World::resubmit(const std::string& id, Node node) {
-  auto nature = natures.find(id);
-  if (nature == natures.end()) return;
-  auto heard = [this, id](HttpResult h) {
-    if (h.answered(200) || h.answered(201)) return checker.told(id, statusIn(h), said_);
-    if (h.answered(400) || h.answered(422)) return checker.refusedRetry(id, h.response.status);
+  auto behavior = behaviors.find(id);
+  if (behavior == behaviors.end()) return;
+  auto onResponse = [this, id](HttpResult h) {
+    if (h.answered(200) || h.answered(201)) return checker.statusReported(id, statusIn(h), answerSource_);
+    if (h.answered(400) || h.answered(422)) return checker.retryRejected(id, h.response.status);
     clock.after(1000, [this, id] { resubmit(id); });
   };
-  request({"POST", "/v1/jobs", submissionJson(nature->second), false}, 5000, heard, node);
+  request({"POST", "/v1/jobs", submissionJson(behavior->second), false}, 5000, onResponse, node);
 }
 
-void World::ended(const std::string& id) {
-  lookClosely(id);
-  auto it = atEnd_.find(id);
-  if (it == atEnd_.end()) return;
+void World::jobCompleted(const std::string& id) {
+  pollIntensively(id);
+  auto it = completionActions_.find(id);
+  if (it == completionActions_.end()) return;
   for (const auto& a : it->second)
     clock.after(static_cast<Ms>(clock.uniform(0, static_cast<double>(a.within))), [this, id, what = a.what] {
       if (what == "cancel")
@@ -72,9 +73,9 @@
     });
 }
 
-void World::plantUnsent(const JobBehavior& nature) {
-  checker.submitted(nature.spec, nature.fails);
-  checker.accepted(nature.spec.id.value);
+void World::injectUnsentJob(const JobBehavior& behavior) {
+  checker.submitted(behavior.spec, behavior.fails);
+  checker.accepted(behavior.spec.id.value);
 }
 
 }  // namespace world
--- a/tests/world/old_reports.cpp
+++ b/tests/world/old_reports.cpp
@@ -5,32 +5,33 @@
 
 namespace world {
 namespace {
-constexpr Ms kOld = 2'000;          // the least age of a report that is delivered again
-constexpr double kWithinMs = 1500;  // of the moment at which the new leader's record is written
+constexpr Ms kMinReplayAge = 2'000;       // the least age of a report that is delivered again
+constexpr double kReplayWindowMs = 1500;  // of the moment at which the new leader's record is written
 }  // namespace
 
-void World::keepReports(const std::string& machines, Ms until) {
-  net.overhear([this, machines, until](const std::string& from, const HttpRequest& r) {
+void World::recordReports(const std::string& machines, Ms until) {
+  net.observeRequests([this, machines, until](const std::string& from, const HttpRequest& r) {
     if (clock.now() < until && r.target == "/checkin" && Net::matches(machines, from))
-      keptReports_[from].push_back({clock.now(), r});
+      recordedReports_[from].push_back({clock.now(), r});
   });
-  store.whenLeaderBegins([this] { deliverOldReports(); });
+  stateService.onLeaderElected([this] { replayReports(); });
 }
 
 // Of each machine one of its reports, the same to every controller, each copy at its own moment.
-void World::deliverOldReports() {
-  for (const auto& entry : keptReports_) {
+void World::replayReports() {
+  for (const auto& entry : recordedReports_) {
     const auto& machine = entry.first;
-    const auto& kept = entry.second;
-    auto old = std::count_if(kept.begin(), kept.end(),
-                             [&](const KeptReport& k) { return clock.now() - k.sentAt >= kOld; });
-    if (old == 0) continue;
-    const auto& report = kept[clock.rng() % static_cast<std::size_t>(old)].request;
+    const auto& reports = entry.second;
+    auto oldEnough = std::count_if(reports.begin(), reports.end(), [&](const RecordedReport& k) {
+      return clock.now() - k.sentAt >= kMinReplayAge;
+    });
+    if (oldEnough == 0) continue;
+    const auto& report = reports[clock.rng() % static_cast<std::size_t>(oldEnough)].request;
     for (const auto& node : settings.controllers) {
       auto to = "node" + std::to_string(&node - settings.controllers.data());
-      clock.after(static_cast<Ms>(clock.uniform(0, kWithinMs)),
+      clock.after(static_cast<Ms>(clock.uniform(0, kReplayWindowMs)),
                   [this, machine, to, report] { net.deliverCopy(machine, to, report); });
-      ++oldReports_;
+      ++replayedReports_;
     }
   }
 }
--- a/tests/world/scenario.cpp
+++ b/tests/world/scenario.cpp
@@ -22,19 +22,19 @@
  public:
   void read(std::istream& in);
   // Its seed and value are left for the caller to fill in.
-  Play run(const TraceOptions& trace);
+  ScenarioRun run(const TraceOptions& trace);
 
  private:
   void readLine(const Line& line);
   void prepareWorld(const TraceOptions& trace);
-  void judgeRules();
+  void checkRules();
 
   ScenarioSetup setup_;
   std::vector<Line> machinesUp_;
   std::vector<Line> actions_;
   std::vector<Line> expectations_;
   std::unique_ptr<World> world_;
-  std::vector<std::string> complaints_;
+  std::vector<std::string> failures_;
 };
 
 void Scenario::read(std::istream& in) {
@@ -63,18 +63,18 @@
     applySetup(line, setup_);
 }
 
-Play Scenario::run(const TraceOptions& trace) {
+ScenarioRun Scenario::run(const TraceOptions& trace) {
   prepareWorld(trace);
   world_->run(setup_.until);
   world_->eventTrace.finish();
-  world_->checker.judgeService();
-  judgeRules();
-  for (const auto& line : expectations_) checkExpectation(*world_, line, complaints_);
-  Play play;
-  play.complaints = std::move(complaints_);
-  play.traceDigest = world_->eventTrace.digest();
-  play.traceEvents = world_->eventTrace.events();
-  return play;
+  world_->checker.checkStartDelays();
+  checkRules();
+  for (const auto& line : expectations_) checkExpectation(*world_, line, failures_);
+  ScenarioRun run;
+  run.failures = std::move(failures_);
+  run.traceDigest = world_->eventTrace.digest();
+  run.traceEvents = world_->eventTrace.events();
+  return run;
 }
 
 void Scenario::prepareWorld(const TraceOptions& trace) {
@@ -84,25 +84,25 @@
   for (const auto& line : machinesUp_)
     for (int i = 0; i < line.number(3); ++i) world_->cloud.addRunning(line.word(1), line.word(2));
   for (const auto& line : actions_) {
-    world_->clock.at(line.duration(1), [this, &line] { performAction({*world_, line, complaints_}); });
-    world_->checker.troublesEnd(troubleEnd(line));
+    world_->clock.at(line.duration(1), [this, &line] { performAction({*world_, line, failures_}); });
+    world_->checker.faultsEnd(faultEnd(line));
   }
 }
 
 // Every broken rule is a complaint; a planted violation must be found, and draws others after it.
-void Scenario::judgeRules() {
-  std::string planted;
+void Scenario::checkRules() {
+  std::string expected;
   for (const auto& line : expectations_)
-    if (auto rule = ruleExpectedBroken(line); !rule.empty()) planted = rule;
+    if (auto rule = expectedViolation(line); !rule.empty()) expected = rule;
   bool found = false;
-  for (const auto& broken : world_->checker.broken()) {
-    found |= broken.rule == planted;
-    if (planted.empty())
-      complaints_.push_back("rule " + broken.rule + " violated at " + std::to_string(broken.at) +
-                            " ms: " + broken.what);
+  for (const auto& violation : world_->checker.violations()) {
+    found |= violation.rule == expected;
+    if (expected.empty())
+      failures_.push_back("rule " + violation.rule + " violated at " + std::to_string(violation.at) +
+                          " ms: " + violation.what);
   }
-  if (!planted.empty() && !found)
-    complaints_.push_back("the planted violation of " + planted + " was not found");
+  if (!expected.empty() && !found)
+    failures_.push_back("the planted violation of " + expected + " was not found");
 }
 
 // How often a scenario is played: with each seed, and with each value for every "$" in it. An empty one is
@@ -129,7 +129,7 @@
   return text;
 }
 
-Play playOnce(const std::string& text, const std::string& seed, const TraceOptions& trace) {
+ScenarioRun runOnce(const std::string& text, const std::string& seed, const TraceOptions& trace) {
   Scenario scenario;
   std::istringstream in(text + (seed.empty() ? "" : "\nseed " + seed + "\n"));
   scenario.read(in);
@@ -138,22 +138,22 @@
 
 }  // namespace
 
-std::vector<Play> runScenario(std::istream& in, const TraceOptions& trace) {
+std::vector<ScenarioRun> runScenario(std::istream& in, const TraceOptions& trace) {
   std::stringstream buffer;
   buffer << in.rdbuf();
   auto text = buffer.str();
   auto variations = readVariations(text);
-  std::vector<Play> plays;
+  std::vector<ScenarioRun> runs;
   for (const auto& value : variations.values) {
     auto varied = substitute(text, value);
     for (const auto& seed : variations.seeds) {
-      auto play = playOnce(varied, seed, trace);
-      play.seed = seed;
-      play.value = value;
-      plays.push_back(std::move(play));
+      auto run = runOnce(varied, seed, trace);
+      run.seed = seed;
+      run.value = value;
+      runs.push_back(std::move(run));
     }
   }
-  return plays;
+  return runs;
 }
 
 }  // namespace world
--- a/tests/world/scenario.h
+++ b/tests/world/scenario.h
@@ -16,16 +16,16 @@
 
 // One play of a scenario: with one seed, and one value for every "$" in it. Both are empty where the file
 // names none.
-struct Play {
+struct ScenarioRun {
   std::string seed;
   std::string value;
-  std::vector<std::string> complaints;  // what went against expectations; empty if all is well
-  std::uint64_t traceDigest = 0;        // where traces are enabled
+  std::vector<std::string> failures;  // what went against expectations; empty if all is well
+  std::uint64_t traceDigest = 0;      // where traces are enabled
   std::size_t traceEvents = 0;
 };
 
 // Plays a scenario: "seeds 1 2 3" once with each, "vary 40 41.5 43" once more with each for every "$" in it.
 // Throws std::runtime_error on a file that can't be read.
-std::vector<Play> runScenario(std::istream& in, const TraceOptions& trace = {});
+std::vector<ScenarioRun> runScenario(std::istream& in, const TraceOptions& trace = {});
 
 }  // namespace world
--- a/tests/world/scenario_actions.cpp
+++ b/tests/world/scenario_actions.cpp
@@ -23,13 +23,13 @@
   action->perform(context);
 }
 
-Ms troubleEnd(const Line& line) {
+Ms faultEnd(const Line& line) {
   Ms end = line.duration(kTimeWord);
   const auto* action = findAction(line.word(kVerbWord));
   if (!action) return end;
-  if (action->lasts > 0) end += line.duration(action->lasts);
-  if (action->trailing > 0) end += line.duration(action->trailing);
-  return end + action->settle;
+  if (action->durationWord > 0) end += line.duration(action->durationWord);
+  if (action->trailingWord > 0) end += line.duration(action->trailingWord);
+  return end + action->settleTime;
 }
 
 }  // namespace world
--- a/tests/world/scenario_actions.h
+++ b/tests/world/scenario_actions.h
@@ -15,7 +15,7 @@
 struct ActionContext {
   World& world;
   const Line& line;
-  std::vector<std::string>& complaints;
+  std::vector<std::string>& failures;
 
   Ms now() const { return world.clock.now(); }
   // The moment so long from now as that word says.
@@ -25,9 +25,9 @@
 // What a verb does, and how long the trouble that it brings lasts.
 struct Action {
   void (*perform)(const ActionContext&);
-  std::size_t lasts = 0;     // the word that tells how long; 0: over at once, or never
-  std::size_t trailing = 0;  // the word that tells how much longer its effects arrive; 0: none do
-  Ms settle = 0;             // and how long what it did takes to be put right
+  std::size_t durationWord = 0;  // the word that tells how long; 0: over at once, or never
+  std::size_t trailingWord = 0;  // the word that tells how much longer its effects arrive; 0: none do
+  Ms settleTime = 0;             // and how long what it did takes to be put right
 };
 using ActionTable = std::map<std::string, Action>;
 
@@ -44,6 +44,6 @@
 void performAction(const ActionContext& context);
 
 // When the trouble that an event brings is over; what never ends counts as over at once.
-Ms troubleEnd(const Line& line);
+Ms faultEnd(const Line& line);
 
 }  // namespace world
--- a/tests/world/scenario_checker_actions.cpp
+++ b/tests/world/scenario_checker_actions.cpp
@@ -8,53 +8,53 @@
 
 using Context = const ActionContext&;
 
-constexpr unsigned kOtherTask = 99;  // one that the job does not have
+constexpr unsigned kNonexistentTask = 99;  // one that the job does not have
 
 // plant-start JOB MACHINE [other]
-void plantStart(Context context) {
+void injectStart(Context context) {
   auto* worker = context.world.cloud.worker(machineNamed(context.world, context.line.word(4)));
   bool other = context.line.size() > 5;
-  if (worker) worker->plant(context.line.jobId(3), other ? kOtherTask : 0);
+  if (worker) worker->injectTask(context.line.jobId(3), other ? kNonexistentTask : 0);
 }
 
 // plant-told JOB STATUS
-void plantTold(Context context) {
-  Said said{context.now(), context.now(), 0};
-  context.world.checker.told(context.line.jobId(3), context.line.word(4), said);
+void injectStatus(Context context) {
+  AnswerSource source{context.now(), context.now(), 0};
+  context.world.checker.statusReported(context.line.jobId(3), context.line.word(4), source);
 }
 
 // plant-stubborn MACHINE
-void plantStubborn(Context context) {
+void injectIgnoredKills(Context context) {
   auto* worker = context.world.cloud.worker(machineNamed(context.world, context.line.word(3)));
-  if (worker) worker->plantStubborn();
+  if (worker) worker->ignoreKills();
 }
 
 // plant-unsent JOB options...
-void plantUnsent(Context context) {
-  context.world.plantUnsent(parseJob(context.line.jobId(3), context.line.optionsFrom(4)));
+void injectUnsentJob(Context context) {
+  context.world.injectUnsentJob(parseJob(context.line.jobId(3), context.line.optionsFrom(4)));
 }
 
 // require-on JOB COUNT: so many of its tasks at least are on machines now
-void requireOnMachines(Context context) {
+void requireTasks(Context context) {
   const auto& line = context.line;
-  auto tasks = context.world.checker.tasksOn(line.jobId(3));
+  auto tasks = context.world.checker.runningTasks(line.jobId(3));
   if (tasks >= line.number(4)) return;
-  context.complaints.push_back("job " + line.word(3) + " has " + std::to_string(tasks) +
-                               " tasks on machines at " + line.word(1));
+  context.failures.push_back("job " + line.word(3) + " has " + std::to_string(tasks) +
+                             " tasks on machines at " + line.word(1));
 }
 
 }  // namespace
 
 const ActionTable& checkerActions() {
   static const ActionTable table{
-      {"inject-silence", {[](Context c) { c.world.trace(c.line.jobId(3)).plantedSilence = true; }}},
-      {"inject-start", {plantStart}},
-      {"inject-status", {plantTold}},
-      {"inject-ignored-kills", {plantStubborn}},
-      {"inject-unsent-job", {plantUnsent}},
+      {"inject-silence", {[](Context c) { c.world.observation(c.line.jobId(3)).hiddenFromChecker = true; }}},
+      {"inject-start", {injectStart}},
+      {"inject-status", {injectStatus}},
+      {"inject-ignored-kills", {injectIgnoredKills}},
+      {"inject-unsent-job", {injectUnsentJob}},
       {"inject-acceptance", {[](Context c) { c.world.checker.accepted(c.line.jobId(3)); }}},
-      {"reset-reports-lost", {[](Context c) { c.world.checker.countReportsLost(); }}},
-      {"require-tasks", {requireOnMachines}}};
+      {"reset-reports-lost", {[](Context c) { c.world.checker.resetReportsLost(); }}},
+      {"require-tasks", {requireTasks}}};
   return table;
 }
 
--- a/tests/world/scenario_expectations.cpp
+++ b/tests/world/scenario_expectations.cpp
@@ -16,9 +16,9 @@
 struct Check {
   World& world;
   const Line& line;
-  std::vector<std::string>& complaints;
+  std::vector<std::string>& failures;
 
-  void complain(const std::string& why) const { complaints.push_back(line.text() + "- but " + why); }
+  void fail(const std::string& why) const { failures.push_back(line.text() + "- but " + why); }
   void compare(double actual, const std::string& comparison, double bound) const;
   // It happened, and within so many seconds.
   static bool inTime(Ms at, double byS) { return at >= 0 && secondsOf(at) <= byS; }
@@ -27,7 +27,7 @@
 void Check::compare(double actual, const std::string& comparison, double bound) const {
   bool met = (comparison == "==" && actual == bound) || (comparison == "<=" && actual <= bound) ||
              (comparison == ">=" && actual >= bound);
-  if (!met) complain("it is " + std::to_string(actual));
+  if (!met) fail("it is " + std::to_string(actual));
 }
 
 // Calls with the number and the trace of each job of the range in word 2, and the place behind it.
@@ -43,44 +43,43 @@
   forEachJob(check, [&](unsigned number, std::size_t next) {
     bool bounded = check.line.size() > next && check.line.word(next) == "by";
     double byS = bounded ? check.line.number(next + 1) : kAnyTimeS;
-    const auto& trace = check.world.trace(jobIdOf(number));
+    const auto& trace = check.world.observation(jobIdOf(number));
     bool cancelled = status == "aborted" && trace.cancelledAt >= 0;
     Ms end = cancelled ? trace.cancelledAt : trace.finalAt;
     if (trace.status == status && Check::inTime(end, byS)) return;
-    check.complain("job " + std::to_string(number) + " is " +
-                   (trace.status.empty() ? "unheard of" : trace.status) + ", at " + std::to_string(end) +
-                   " ms");
+    check.fail("job " + std::to_string(number) + " is " +
+               (trace.status.empty() ? "unheard of" : trace.status) + ", at " + std::to_string(end) + " ms");
   });
 }
 
 // expect over 1 [to 5] by 100: done or cancelled
-void checkOver(const Check& check) {
+void checkFinished(const Check& check) {
   forEachJob(check, [&](unsigned number, std::size_t next) {
-    Ms end = check.world.trace(jobIdOf(number)).finalAt;
+    Ms end = check.world.observation(jobIdOf(number)).finalAt;
     if (!Check::inTime(end, check.line.number(next + 1)))
-      check.complain("job " + std::to_string(number) + " was finished at " + std::to_string(end) + " ms");
+      check.fail("job " + std::to_string(number) + " was finished at " + std::to_string(end) + " ms");
   });
 }
 
 // expect begun 1 [to 5] by 30
-void checkBegun(const Check& check) {
+void checkStarted(const Check& check) {
   forEachJob(check, [&](unsigned number, std::size_t next) {
-    Ms begun = check.world.checker.begunAt(jobIdOf(number));
-    if (!Check::inTime(begun, check.line.number(next + 1)))
-      check.complain("job " + std::to_string(number) + " began at " + std::to_string(begun) + " ms");
+    Ms started = check.world.checker.firstStartAt(jobIdOf(number));
+    if (!Check::inTime(started, check.line.number(next + 1)))
+      check.fail("job " + std::to_string(number) + " began at " + std::to_string(started) + " ms");
   });
 }
 
 // expect accepted JOB by 100
 void checkAccepted(const Check& check) {
-  Ms accepted = check.world.trace(check.line.jobId(2)).acceptedAt;
+  Ms accepted = check.world.observation(check.line.jobId(2)).acceptedAt;
   if (!Check::inTime(accepted, check.line.number(4)))
-    check.complain("accepted at " + std::to_string(accepted) + " ms");
+    check.fail("accepted at " + std::to_string(accepted) + " ms");
 }
 
 // expect refused JOB STATUS
 void checkRefused(const Check& check) {
-  check.compare(check.world.trace(check.line.jobId(2)).refused, "==", check.line.number(3));
+  check.compare(check.world.observation(check.line.jobId(2)).refused, "==", check.line.number(3));
 }
 
 // expect up CONTROLLER STATUS
@@ -90,7 +89,7 @@
 
 // expect on JOB <=|==|>= NUMBER: machines with a task of the job now
 void checkMachinesOfJob(const Check& check) {
-  auto machines = check.world.checker.machinesOf(check.line.jobId(2)).size();
+  auto machines = check.world.checker.machinesRunning(check.line.jobId(2)).size();
   check.compare(static_cast<double>(machines), check.line.word(3), check.line.number(4));
 }
 
@@ -103,7 +102,7 @@
 void checkCancelledBetween(const Check& check) {
   Ms from = check.line.duration(2), to = check.line.duration(3);
   auto confirmed = std::count_if(
-      check.world.traces.begin(), check.world.traces.end(),
+      check.world.observations.begin(), check.world.observations.end(),
       [&](const auto& trace) { return trace.second.cancelledAt >= from && trace.second.cancelledAt < to; });
   check.compare(static_cast<double>(confirmed), check.line.word(4), check.line.number(5));
 }
@@ -125,32 +124,33 @@
 const std::map<std::string, Measure>& measures() {
   static const std::map<std::string, Measure> table{
       {"starts-after-cancel", [](const World& w) -> double { return w.checker.startsAfterCancel(); }},
-      {"machines", [](const World& w) { return static_cast<double>(w.cloud.held()); }},
-      {"rented", [](const World& w) { return static_cast<double>(w.cloud.rented()); }},
-      {"leases-expired", [](const World& w) -> double { return w.checker.leasesEnded(); }},
+      {"machines", [](const World& w) { return static_cast<double>(w.cloud.machineCount()); }},
+      {"rented", [](const World& w) { return static_cast<double>(w.cloud.totalRented()); }},
+      {"leases-expired", [](const World& w) -> double { return w.checker.leasesExpired(); }},
       {"reports-lost", [](const World& w) -> double { return w.checker.reportsLost(); }},
-      {"max-cancel-latency", [](const World& w) { return secondsOf(w.slowestCancel); }},
-      {"store-throttled", [](const World& w) { return static_cast<double>(w.store.overLimit()); }},
-      {"store-oversized", [](const World& w) { return static_cast<double>(w.store.rejected()); }},
+      {"max-cancel-latency", [](const World& w) { return secondsOf(w.maxCancelLatency); }},
+      {"store-throttled", [](const World& w) { return static_cast<double>(w.stateService.throttled()); }},
+      {"store-oversized", [](const World& w) { return static_cast<double>(w.stateService.oversized()); }},
       {"gang-starts", [](const World& w) -> double { return w.cloud.gangs().starts; }},
-      {"gang-checkpoints", [](const World& w) -> double { return w.cloud.gangs().saves; }},
-      {"gang-lost-checkpoints", [](const World& w) -> double { return w.cloud.gangs().lostSaves; }},
-      {"gang-assembly-timeouts", [](const World& w) -> double { return w.cloud.gangs().gaveUp; }},
-      {"gang-starts-after-done", [](const World& w) -> double { return w.cloud.gangs().startsDone; }},
-      {"peak-cloud-rps", [](const World& w) { return static_cast<double>(w.cloud.busiestSecond()); }},
-      {"writes", [](const World& w) { return static_cast<double>(w.store.writes()); }},
-      {"epochs", [](const World& w) { return static_cast<double>(w.store.epochs()); }},
-      {"largest-value", [](const World& w) { return static_cast<double>(w.store.largestValue()); }},
-      {"responses-lost", [](const World& w) { return static_cast<double>(w.store.answersLost()); }},
-      {"replayed-reports", [](const World& w) { return static_cast<double>(w.oldReports()); }},
-      {"fenced-commands", [](const World& w) -> double { return w.checker.commandsOutdated(); }},
+      {"gang-checkpoints", [](const World& w) -> double { return w.cloud.gangs().checkpoints; }},
+      {"gang-lost-checkpoints", [](const World& w) -> double { return w.cloud.gangs().lostCheckpoints; }},
+      {"gang-assembly-timeouts", [](const World& w) -> double { return w.cloud.gangs().assemblyTimeouts; }},
+      {"gang-starts-after-done", [](const World& w) -> double { return w.cloud.gangs().startsAfterDone; }},
+      {"peak-cloud-rps", [](const World& w) { return static_cast<double>(w.cloud.peakRequestRate()); }},
+      {"writes", [](const World& w) { return static_cast<double>(w.stateService.writes()); }},
+      {"epochs", [](const World& w) { return static_cast<double>(w.stateService.epochs()); }},
+      {"largest-value", [](const World& w) { return static_cast<double>(w.stateService.largestValue()); }},
+      {"responses-lost",
+       [](const World& w) { return static_cast<double>(w.stateService.responsesDropped()); }},
+      {"replayed-reports", [](const World& w) { return static_cast<double>(w.replayedReports()); }},
+      {"fenced-commands", [](const World& w) -> double { return w.checker.fencedCommands(); }},
       {"quarantined", [](const World& w) { return sumOfCounts(w, &cherryloft::ShardCounters::quarantined); }},
       {"examined-per-start",
        [](const World& w) {
          return perStart(w, sumOfCounts(w, &cherryloft::ShardCounters::machinesExamined));
        }},
       {"writes-per-start",
-       [](const World& w) { return perStart(w, static_cast<double>(w.store.writes())); }}};
+       [](const World& w) { return perStart(w, static_cast<double>(w.stateService.writes())); }}};
   return table;
 }
 
@@ -160,8 +160,8 @@
       {"violated", [](const Check&) {}},  // judged with the rules that were broken
       {"done", checkStatus},
       {"aborted", checkStatus},
-      {"finished", checkOver},
-      {"started", checkBegun},
+      {"finished", checkFinished},
+      {"started", checkStarted},
       {"accepted", checkAccepted},
       {"refused", checkRefused},
       {"up", checkUp},
@@ -173,9 +173,9 @@
 
 }  // namespace
 
-void checkExpectation(World& world, const Line& line, std::vector<std::string>& complaints) {
+void checkExpectation(World& world, const Line& line, std::vector<std::string>& failures) {
   const auto& what = line.word(1);
-  Check check{world, line, complaints};
+  Check check{world, line, failures};
   if (auto it = measures().find(what); it != measures().end())
     return check.compare(it->second(world), line.word(2), line.number(3));
   auto it = checks().find(what);
@@ -183,6 +183,6 @@
   it->second(check);
 }
 
-std::string ruleExpectedBroken(const Line& line) { return line.word(1) == "violated" ? line.word(2) : ""; }
+std::string expectedViolation(const Line& line) { return line.word(1) == "violated" ? line.word(2) : ""; }
 
 }  // namespace world
--- a/tests/world/scenario_expectations.h
+++ b/tests/world/scenario_expectations.h
@@ -11,9 +11,9 @@
 
 // Adds to the complaints if the world is not as the line expects. Throws std::runtime_error on an unknown
 // word.
-void checkExpectation(World& world, const Line& line, std::vector<std::string>& complaints);
+void checkExpectation(World& world, const Line& line, std::vector<std::string>& failures);
 
 // The rule that a line "expect violated RULE" wants broken; empty for all other lines.
-std::string ruleExpectedBroken(const Line& line);
+std::string expectedViolation(const Line& line);
 
 }  // namespace world
--- a/tests/world/scenario_fault_actions.cpp
+++ b/tests/world/scenario_fault_actions.cpp
@@ -7,7 +7,7 @@
 
 using Context = const ActionContext&;
 
-constexpr Ms kLateWritesSettle = 12'000;
+constexpr Ms kDelayedWritesSettleTime = 12'000;
 constexpr double kBytesPerKb = 1024;
 const std::string kHold = "hold";      // what is sent meanwhile is held back and comes later, not lost
 const std::string kAnswer = "answer";  // it concerns answers, not requests
@@ -29,8 +29,9 @@
   const auto& deployment = context.world.deployment;
   auto valueKb = deployment.nextValueKb.value_or(deployment.valueKb);
   auto txnOps = deployment.nextTxnOps.value_or(deployment.txnOps);
-  context.world.store.limit(static_cast<unsigned>(txnOps), static_cast<std::size_t>(valueKb * kBytesPerKb),
-                            deployment.nextWriteRps.value_or(deployment.writeRps));
+  context.world.stateService.setLimits(static_cast<unsigned>(txnOps),
+                                       static_cast<std::size_t>(valueKb * kBytesPerKb),
+                                       deployment.nextWriteRps.value_or(deployment.writeRps));
 }
 
 // freeze CONTROLLER FOR
@@ -40,45 +41,47 @@
 }
 
 // leader crash|refuse|freeze FOR
-void troubleLeader(Context context) {
+void disruptLeader(Context context) {
   auto& world = context.world;
   world.withLeader([&world, what = context.line.word(3), last = context.line.duration(4)](unsigned number) {
     Ms until = world.clock.now() + last;
     if (what == "crash")
       world.controllers[number]->crash(last);
     else if (what == "refuse")
-      world.store.refuse("node" + std::to_string(number), until);
+      world.stateService.refuseRequests("node" + std::to_string(number), until);
     else if (what == "freeze")
       world.controllers[number]->freeze(until);
   });
 }
 
 // cut FROM TO FOR hold|lose
-void cut(Context context) {
+void partition(Context context) {
   auto from = partyNamed(context.world, context.line.word(3));
   auto to = partyNamed(context.world, context.line.word(4));
-  context.world.net.cut(from, to, context.until(5), context.line.word(6) == kHold);
+  context.world.net.partition(from, to, context.until(5), context.line.word(6) == kHold);
 }
 
 // cut-zone ZONE FOR hold|lose
-void cutZone(Context context) {
+void partitionZone(Context context) {
   auto& world = context.world;
   auto inZone = [&world, zone = context.line.word(3)](const std::string& party) {
     return world.zoneOf(party) == zone;
   };
-  world.net.cutOff(inZone, context.until(4), context.line.word(5) == kHold);
+  world.net.partitionGroup(inZone, context.until(4), context.line.word(5) == kHold);
 }
 
 // mute FROM TO FOR hold|lose
-void mute(Context context) {
+void partitionOneWay(Context context) {
   for (const auto& to : partiesNamed(context.world, context.line.word(4)))
-    context.world.net.mute(context.line.word(3), to, context.until(5), context.line.word(6) == kHold);
+    context.world.net.partitionOneWay(context.line.word(3), to, context.until(5),
+                                      context.line.word(6) == kHold);
 }
 
 // no-open FROM TO FOR
 void refuseConnections(Context context) {
   for (const auto& from : partiesNamed(context.world, context.line.word(3)))
-    context.world.net.noOpen(from, partyNamed(context.world, context.line.word(4)), context.until(5));
+    context.world.net.refuseConnections(from, partyNamed(context.world, context.line.word(4)),
+                                        context.until(5));
 }
 
 // delay A B PATH FOR FROM TO request|answer
@@ -91,23 +94,23 @@
 }
 
 // copies MACHINE FOR FROM TO
-void copyReports(Context context) {
+void duplicateReports(Context context) {
   std::vector<std::string> nodes;
   for (unsigned number = 0; number < context.world.controllers.size(); ++number)
     nodes.push_back("node" + std::to_string(number));
-  context.world.net.copies(partyNamed(context.world, context.line.word(3)), "/checkin", nodes,
-                           context.until(4), context.line.duration(5), context.line.duration(6));
+  context.world.net.duplicateRequests(partyNamed(context.world, context.line.word(3)), "/checkin", nodes,
+                                      context.until(4), context.line.duration(5), context.line.duration(6));
 }
 
 // lose PATH MACHINE
-void loseAnswer(Context context) {
-  context.world.net.loseAnswer(context.line.word(3), partyNamed(context.world, context.line.word(4)));
+void dropResponse(Context context) {
+  context.world.net.dropNextResponse(context.line.word(3), partyNamed(context.world, context.line.word(4)));
 }
 
 // outage store|cloud FOR
 void outage(Context context) {
   if (context.line.word(3) == "store")
-    context.world.store.outage(context.until(4));
+    context.world.stateService.outage(context.until(4));
   else
     context.world.cloud.outage(context.until(4));
 }
@@ -120,24 +123,27 @@
       {"upgrade", {upgrade, 4}},
       {"state-limits", {changeStateLimits}},
       {"freeze", {freeze, 4}},
-      {"leader", {troubleLeader, 4}},
-      {"partition", {cut, 5}},
-      {"partition-zone", {cutZone, 4}},
-      {"partition-one-way", {mute, 5}},
+      {"leader", {disruptLeader, 4}},
+      {"partition", {partition, 5}},
+      {"partition-zone", {partitionZone, 4}},
+      {"partition-one-way", {partitionOneWay, 5}},
       {"refuse-connections", {refuseConnections, 5}},
       {"delay", {delay, 6, 8}},
-      {"duplicate-reports", {copyReports, 4, 6}},
-      {"drop-response", {loseAnswer}},
+      {"duplicate-reports", {duplicateReports, 4, 6}},
+      {"drop-response", {dropResponse}},
       {"outage", {outage, 4}},
-      {"refuse", {[](Context c) { c.world.store.refuse(c.line.word(3), c.until(4)); }, 4}},
+      {"refuse", {[](Context c) { c.world.stateService.refuseRequests(c.line.word(3), c.until(4)); }, 4}},
       {"delayed-writes",
-       {[](Context c) { c.world.store.lateWrites(c.line.number(3), c.until(4)); }, 4, 0, kLateWritesSettle}},
-      {"lost-responses", {[](Context c) { c.world.store.loseAnswers(c.line.number(3), c.until(4)); }, 4}},
+       {[](Context c) { c.world.stateService.delayWrites(c.line.number(3), c.until(4)); }, 4, 0,
+        kDelayedWritesSettleTime}},
+      {"lost-responses",
+       {[](Context c) { c.world.stateService.dropResponses(c.line.number(3), c.until(4)); }, 4}},
       {"replay-reports",
-       {[](Context c) { c.world.keepReports(partyNamed(c.world, c.line.word(3)), c.until(4)); }, 4}},
-      {"store-latency", {[](Context c) { c.world.store.slow(c.line.duration(3), c.until(4)); }, 4, 3}},
-      {"boot-failure", {[](Context c) { c.world.cloud.noBoot(c.until(3)); }, 3}},
-      {"no-capacity", {[](Context c) { c.world.cloud.noCapacity(c.until(3)); }, 3}}};
+       {[](Context c) { c.world.recordReports(partyNamed(c.world, c.line.word(3)), c.until(4)); }, 4}},
+      {"store-latency",
+       {[](Context c) { c.world.stateService.addLatency(c.line.duration(3), c.until(4)); }, 4, 3}},
+      {"boot-failure", {[](Context c) { c.world.cloud.failBoots(c.until(3)); }, 3}},
+      {"no-capacity", {[](Context c) { c.world.cloud.denyCapacity(c.until(3)); }, 3}}};
   return table;
 }
 
--- a/tests/world/scenario_line.cpp
+++ b/tests/world/scenario_line.cpp
@@ -36,14 +36,14 @@
   }
 }
 
-std::string Options::text(const std::string& name, const std::string& otherwise) const {
+std::string Options::text(const std::string& name, const std::string& fallback) const {
   auto it = values_.find(name);
-  return it == values_.end() ? otherwise : it->second;
+  return it == values_.end() ? fallback : it->second;
 }
 
-double Options::number(const std::string& name, double otherwise) const {
+double Options::number(const std::string& name, double fallback) const {
   auto it = values_.find(name);
-  return it == values_.end() ? otherwise : parseNumber(it->second);
+  return it == values_.end() ? fallback : parseNumber(it->second);
 }
 
 Line::Line(const std::string& text) {
--- a/tests/world/scenario_line.h
+++ b/tests/world/scenario_line.h
@@ -22,8 +22,8 @@
  public:
   Options(const std::vector<std::string>& words, std::size_t from);
   bool has(const std::string& name) const { return values_.count(name) > 0; }
-  std::string text(const std::string& name, const std::string& otherwise = "") const;
-  double number(const std::string& name, double otherwise) const;
+  std::string text(const std::string& name, const std::string& fallback = "") const;
+  double number(const std::string& name, double fallback) const;
 
  private:
   std::map<std::string, std::string> values_;
--- a/tests/world/scenario_machine_actions.cpp
+++ b/tests/world/scenario_machine_actions.cpp
@@ -10,66 +10,68 @@
 using Context = const ActionContext&;
 
 // The machine that word 3 names; empty if there is none.
-std::string machineOf(Context context) { return machineNamed(context.world, context.line.word(3)); }
+std::string machineArgument(Context context) { return machineNamed(context.world, context.line.word(3)); }
 
 // VERB FIRST COUNT: machines that are up.
-std::vector<std::string> machinesOf(Context context) {
+std::vector<std::string> machineArguments(Context context) {
   return machinesUp(context.world, static_cast<std::size_t>(context.line.number(3)),
                     static_cast<std::size_t>(context.line.number(4)));
 }
 
 // reboot MACHINE FOR
 void reboot(Context context) {
-  auto machine = machineOf(context);
+  auto machine = machineArgument(context);
   if (!machine.empty()) context.world.cloud.reboot(machine, context.line.duration(4));
 }
 
 // reclaim MACHINE NOTICE
 void reclaim(Context context) {
-  auto machine = machineOf(context);
+  auto machine = machineArgument(context);
   if (!machine.empty()) context.world.cloud.reclaim(machine, context.line.duration(4));
 }
 
 // die MACHINE
 void die(Context context) {
-  auto machine = machineOf(context);
-  if (!machine.empty()) context.world.cloud.die(machine);
+  auto machine = machineArgument(context);
+  if (!machine.empty()) context.world.cloud.failMachine(machine);
 }
 
 // die-many FIRST COUNT
 void dieMany(Context context) {
-  for (const auto& machine : machinesOf(context)) context.world.cloud.die(machine);
+  for (const auto& machine : machineArguments(context)) context.world.cloud.failMachine(machine);
 }
 
 // die-scattered COUNT: evenly among those that are up
 void dieScattered(Context context) {
   auto all = context.world.cloud.allUp();
   auto count = std::min(all.size(), static_cast<std::size_t>(context.line.number(3)));
-  for (std::size_t i = 0; i < count; ++i) context.world.cloud.die(all[i * all.size() / count]);
+  for (std::size_t i = 0; i < count; ++i) context.world.cloud.failMachine(all[i * all.size() / count]);
 }
 
 // hang MACHINE FOR
 void hang(Context context) {
-  if (auto* worker = context.world.cloud.worker(machineOf(context))) worker->hang(context.until(4));
+  if (auto* worker = context.world.cloud.worker(machineArgument(context)))
+    worker->hangUntil(context.until(4));
 }
 
 // hang-many FIRST COUNT FOR
 void hangMany(Context context) {
-  for (const auto& machine : machinesOf(context)) context.world.cloud.worker(machine)->hang(context.until(5));
+  for (const auto& machine : machineArguments(context))
+    context.world.cloud.worker(machine)->hangUntil(context.until(5));
 }
 
 // faulty MACHINE: every task fails on it from then on
-void breakDown(Context context) {
-  if (auto* worker = context.world.cloud.worker(machineOf(context))) worker->breakDown();
+void failAllTasks(Context context) {
+  if (auto* worker = context.world.cloud.worker(machineArgument(context))) worker->failAllTasks();
 }
 
 }  // namespace
 
 const ActionTable& machineActions() {
-  static const ActionTable table{{"reboot", {reboot, 4}}, {"reclaim", {reclaim}},
-                                 {"faulty", {breakDown}}, {"die", {die}},
-                                 {"die-many", {dieMany}}, {"die-scattered", {dieScattered}},
-                                 {"hang", {hang, 4}},     {"hang-many", {hangMany, 5}}};
+  static const ActionTable table{{"reboot", {reboot, 4}},    {"reclaim", {reclaim}},
+                                 {"faulty", {failAllTasks}}, {"die", {die}},
+                                 {"die-many", {dieMany}},    {"die-scattered", {dieScattered}},
+                                 {"hang", {hang, 4}},        {"hang-many", {hangMany, 5}}};
   return table;
 }
 
--- a/tests/world/scenario_parties.cpp
+++ b/tests/world/scenario_parties.cpp
@@ -17,11 +17,11 @@
 
 std::string machineNamed(World& world, const std::string& word) {
   if (word.starts_with(kJobPrefix)) {
-    auto machines = world.checker.machinesOf(jobIdOf(word.substr(kJobPrefix.size())));
+    auto machines = world.checker.machinesRunning(jobIdOf(word.substr(kJobPrefix.size())));
     return machines.empty() ? "" : *machines.begin();
   }
   if (word.starts_with(kMachinePrefix)) return word;
-  auto* worker = world.cloud.nth(static_cast<unsigned>(parseNumber(word)));
+  auto* worker = world.cloud.nthUp(static_cast<unsigned>(parseNumber(word)));
   return worker ? worker->machine().id : "";
 }
 
--- a/tests/world/scenario_setup.cpp
+++ b/tests/world/scenario_setup.cpp
@@ -58,12 +58,12 @@
   setup.deployment.types.push_back(type);
 }
 
-void applyNothing(const Line&, ScenarioSetup&) {}
+void ignore(const Line&, ScenarioSetup&) {}
 
-const std::map<std::string, Apply>& setupWords() {
+const std::map<std::string, Apply>& setupDirectives() {
   static const std::map<std::string, Apply> words{
-      {"seeds", applyNothing},  // read by runScenario
-      {"vary", applyNothing},   // the same
+      {"seeds", ignore},  // read by runScenario
+      {"vary", ignore},   // the same
       {"seed",
        [](const Line& line, ScenarioSetup& setup) {
          setup.deployment.seed = static_cast<std::uint64_t>(line.number(1));
@@ -72,7 +72,8 @@
        [](const Line& line, ScenarioSetup& setup) { setup.deployment.controllers = line.count(1); }},
       {"zones", [](const Line& line, ScenarioSetup& setup) { setup.deployment.zones = line.wordsFrom(1); }},
       {"teams", applyTeams},
-      {"previous-version", [](const Line&, ScenarioSetup& setup) { setup.deployment.beginsFormer = true; }},
+      {"previous-version",
+       [](const Line&, ScenarioSetup& setup) { setup.deployment.startsOnPreviousVersion = true; }},
       {"guest", [](const Line&, ScenarioSetup& setup) { setup.deployment.guest = true; }},
       {"workers", applyWorkers},
       {"store", applyStore},
@@ -81,13 +82,13 @@
   return words;
 }
 
-cherryloft::JobKind parseShape(const std::string& word) {
+cherryloft::JobKind parseKind(const std::string& word) {
   if (word == "service") return cherryloft::JobKind::Service;
   if (word == "gang") return cherryloft::JobKind::Gang;
   return cherryloft::JobKind::Array;
 }
 
-cherryloft::PriorityClass parseRank(const std::string& word) {
+cherryloft::PriorityClass parsePriority(const std::string& word) {
   if (word == "prod") return cherryloft::PriorityClass::Production;
   if (word == "high") return cherryloft::PriorityClass::High;
   if (word == "normal") return cherryloft::PriorityClass::Normal;
@@ -97,20 +98,20 @@
 }  // namespace
 
 void applySetup(const Line& line, ScenarioSetup& setup) {
-  auto it = setupWords().find(line.word(0));
-  if (it == setupWords().end()) throw std::runtime_error("unknown word '" + line.word(0) + "'");
+  auto it = setupDirectives().find(line.word(0));
+  if (it == setupDirectives().end()) throw std::runtime_error("unknown word '" + line.word(0) + "'");
   it->second(line, setup);
 }
 
 JobBehavior parseJob(const std::string& id, const Options& options) {
-  JobBehavior nature;
-  auto& spec = nature.spec;
+  JobBehavior behavior;
+  auto& spec = behavior.spec;
   double runS = options.number("run", 10);
   spec.id = cherryloft::JobId{id};
   spec.team = cherryloft::TeamId{"team-" + options.text("team", "0")};
   spec.jobClass = options.text("class", "plain");
-  spec.kind = parseShape(options.text("kind", "array"));
-  spec.priority = parseRank(options.text("priority", "normal"));
+  spec.kind = parseKind(options.text("kind", "array"));
+  spec.priority = parsePriority(options.text("priority", "normal"));
   spec.tasks = static_cast<std::uint32_t>(options.number("tasks", 1));
   spec.each = {options.number("cores", 4), 0, options.number("ram", 4)};
   spec.image = cherryloft::ImageId{options.text("image", "img-1")};
@@ -125,9 +126,9 @@
   if (options.has("type")) spec.types = std::vector<std::string>{options.text("type")};
   for (int n = 0; n < options.number("more_types", 0); ++n)
     spec.types->push_back("a-type-that-does-not-exist-" + std::to_string(n));
-  nature.run = static_cast<Ms>(runS * kMsPerSecond);
-  nature.fails = options.has("fails");
-  return nature;
+  behavior.runTime = static_cast<Ms>(runS * kMsPerSecond);
+  behavior.fails = options.has("fails");
+  return behavior;
 }
 
 }  // namespace world
--- a/tests/world/scenario_user_actions.cpp
+++ b/tests/world/scenario_user_actions.cpp
@@ -9,8 +9,8 @@
 
 // submit JOB options...
 void submit(Context context) {
-  auto nature = parseJob(context.line.jobId(3), context.line.optionsFrom(4));
-  context.world.submit(nature.spec.id.value, nature);
+  auto behavior = parseJob(context.line.jobId(3), context.line.optionsFrom(4));
+  context.world.submit(behavior.spec.id.value, behavior);
 }
 
 // burst FIRST COUNT options...
@@ -18,33 +18,33 @@
   auto first = context.line.count(3);
   auto options = context.line.optionsFrom(5);
   for (unsigned i = 0; i < context.line.number(4); ++i) {
-    auto nature = parseJob(jobIdOf(first + i), options);
-    context.world.submit(nature.spec.id.value, nature);
+    auto behavior = parseJob(jobIdOf(first + i), options);
+    context.world.submit(behavior.spec.id.value, behavior);
   }
 }
 
 // submit-wrong JOB kind=KIND field=FIELD
-void submitWrong(Context context) {
+void submitInvalid(Context context) {
   auto options = context.line.optionsFrom(4);
-  context.world.submitWrong(context.line.jobId(3), options.text("kind"), options.text("field"));
+  context.world.submitInvalid(context.line.jobId(3), options.text("kind"), options.text("field"));
 }
 
 // ask-many FIRST COUNT
-void askMany(Context context) {
+void queryMany(Context context) {
   auto first = context.line.count(3);
-  for (unsigned i = 0; i < context.line.number(4); ++i) context.world.askUnknown(jobIdOf(first + i));
+  for (unsigned i = 0; i < context.line.number(4); ++i) context.world.queryOnce(jobIdOf(first + i));
 }
 
 // at-end FIRST COUNT cancel|resubmit|poll WITHIN
-void actAtEnd(Context context) {
+void onCompletion(Context context) {
   auto first = context.line.count(3);
   for (unsigned i = 0; i < context.line.number(4); ++i)
-    context.world.atEnd(jobIdOf(first + i), context.line.word(5), context.line.duration(6));
+    context.world.onCompletion(jobIdOf(first + i), context.line.word(5), context.line.duration(6));
 }
 
 // stream FIRST COUNT PER_SECOND options... cancel=SHARE: one after the other, and that share is called off
 // while it waits or runs
-void submitOneAfterTheOther(Context context) {
+void submitStream(Context context) {
   constexpr double kEarliestCancelMs = 50;
   constexpr double kLatestCancelMs = 1000;  // after the run time
   auto& world = context.world;
@@ -52,13 +52,13 @@
   auto options = line.optionsFrom(6);
   double cancelled = options.number("cancel", 0);
   for (unsigned i = 0; i < line.number(4); ++i) {
-    auto nature = parseJob(jobIdOf(line.count(3) + i), options);
+    auto behavior = parseJob(jobIdOf(line.count(3) + i), options);
     auto at = static_cast<Ms>(1000 * i / line.number(5));
-    world.clock.after(at, [&world, nature] { world.submit(nature.spec.id.value, nature); });
+    world.clock.after(at, [&world, behavior] { world.submit(behavior.spec.id.value, behavior); });
     if (!world.clock.chance(cancelled)) continue;
-    auto latest = static_cast<double>(nature.run) + kLatestCancelMs;
+    auto latest = static_cast<double>(behavior.runTime) + kLatestCancelMs;
     auto later = static_cast<Ms>(world.clock.uniform(kEarliestCancelMs, latest));
-    world.clock.after(at + later, [&world, id = nature.spec.id.value] { world.cancelAccepted(id); });
+    world.clock.after(at + later, [&world, id = behavior.spec.id.value] { world.cancelOnceAccepted(id); });
   }
 }
 
@@ -79,17 +79,18 @@
   static const ActionTable table{
       {"submit", {submit}},
       {"submit-many", {submitMany}},
-      {"submit-wrong", {submitWrong}},
+      {"submit-wrong", {submitInvalid}},
       {"resubmit", {[](Context c) { c.world.resubmit(c.line.jobId(3)); }}},
-      {"resubmit-broken", {[](Context c) { c.world.resubmitBroken(c.line.jobId(3)); }}},
+      {"resubmit-broken", {[](Context c) { c.world.resubmitInvalid(c.line.jobId(3)); }}},
       {"cancel", {[](Context c) { c.world.cancel(c.line.jobId(3)); }}},
-      {"query", {[](Context c) { c.world.askUnknown(c.line.jobId(3)); }}},
-      {"query-many", {askMany}},
-      {"check-health", {[](Context c) { c.world.askUp(c.line.count(3)); }}},
-      {"on-completion", {actAtEnd}},
-      {"submit-stream", {submitOneAfterTheOther}},
+      {"query", {[](Context c) { c.world.queryOnce(c.line.jobId(3)); }}},
+      {"query-many", {queryMany}},
+      {"check-health", {[](Context c) { c.world.checkHealth(c.line.count(3)); }}},
+      {"on-completion", {onCompletion}},
+      {"submit-stream", {submitStream}},
       {"cancel-many", {cancelMany}},
-      {"intensive-polling", {[](Context c) { c.world.closeLooks(c.line.number(3), c.until(4)); }, 4}}};
+      {"intensive-polling",
+       {[](Context c) { c.world.startIntensivePolling(c.line.number(3), c.until(4)); }, 4}}};
   return table;
 }
 
--- a/tests/world/trace.cpp
+++ b/tests/world/trace.cpp
@@ -43,8 +43,8 @@
   record(at, {"started", machine, job, std::to_string(index)});
 }
 
-void Trace::taskLeft(Ms at, const std::string& machine, const std::string& job, std::uint32_t index,
-                     bool done) {
+void Trace::taskEnded(Ms at, const std::string& machine, const std::string& job, std::uint32_t index,
+                      bool done) {
   record(at, {"left", machine, job, std::to_string(index), done ? "done" : ""});
 }
 
@@ -58,13 +58,13 @@
     add(part.size());
     digest_.process_bytes(part.data(), part.size());
   }
-  if (!callbacks_) return;
-  *callbacks_ << at;
+  if (!eventOutput_) return;
+  *eventOutput_ << at;
   for (auto part : parts) {
-    *callbacks_ << ' ';
-    writeQuoted(*callbacks_, part);
+    *eventOutput_ << ' ';
+    writeQuoted(*eventOutput_, part);
   }
-  *callbacks_ << '\n';
+  *eventOutput_ << '\n';
 }
 
 }  // namespace world
--- a/tests/world/trace.h
+++ b/tests/world/trace.h
@@ -19,7 +19,7 @@
   // Records nothing until it is enabled, as a digest costs time.
   void enable() { enabled_ = true; }
   // Also writes each event to `out`, one a line, to find the first that differs.
-  void writeEventsTo(std::ostream* out) { callbacks_ = out; }
+  void writeEventsTo(std::ostream* out) { eventOutput_ = out; }
   // Ends the record: what is still said as the world is taken apart is no part of the play.
   void finish() { enabled_ = false; }
   bool enabled() const { return enabled_; }
@@ -30,7 +30,7 @@
   // `bytes`: the encoded frame of one controller to another.
   void frame(Ms at, const std::string& from, const std::string& to, const std::string& bytes);
   void taskStarted(Ms at, const std::string& machine, const std::string& job, std::uint32_t index);
-  void taskLeft(Ms at, const std::string& machine, const std::string& job, std::uint32_t index, bool done);
+  void taskEnded(Ms at, const std::string& machine, const std::string& job, std::uint32_t index, bool done);
 
   std::uint64_t digest() const { return digest_.checksum(); }
   std::size_t events() const { return events_; }
@@ -41,7 +41,7 @@
   // ECMA-182, as in xz.
   static constexpr std::uint64_t kPolynomial = 0x42F0E1EBA9EA3693;
   bool enabled_ = false;
-  std::ostream* callbacks_ = nullptr;
+  std::ostream* eventOutput_ = nullptr;
   std::size_t events_ = 0;
   boost::crc_optimal<64, kPolynomial, ~std::uint64_t{0}, ~std::uint64_t{0}, true, true> digest_;
 };
--- a/tests/world/worker.cpp
+++ b/tests/world/worker.cpp
@@ -4,78 +4,79 @@
 namespace {
 constexpr Ms kFailsAfter = 500;
 
-std::string nameOf(const std::pair<std::string, std::uint32_t>& k) {
+std::string taskName(const std::pair<std::string, std::uint32_t>& k) {
   return k.first + "/" + std::to_string(k.second);
 }
 }  // namespace
 
-Worker::Worker(Clock& clock, Net& net, Checker& checker, GangBoard& gangs, const JobBehaviors& natures,
+Worker::Worker(Clock& clock, Net& net, Checker& checker, GangRendezvous& gangs, const JobBehaviors& behaviors,
                const cherryloft::Settings& settings, Machine machine, std::string address, double fetchGbPerS,
                cherryloft::Resources size, unsigned controllers)
     : clock_(clock),
       net_(net),
       checker_(checker),
       gangs_(gangs),
-      natures_(natures),
+      behaviors_(behaviors),
       settings_(settings),
       machine_(std::move(machine)),
       address_(std::move(address)),
-      fetch_(fetchGbPerS),
+      fetchGbPerS_(fetchGbPerS),
       size_(size),
       controllers_(controllers),
       leaseFrom_(clock.now()),
       target_(static_cast<unsigned>(clock.rng() % controllers)) {
   net_.serve(machine_.id, [this](const std::string&, HttpRequest r, Reply reply) {
-    awake([this, r = std::move(r), reply = std::move(reply), at = net_.sentAt()] { handle(r, reply, at); });
+    runUnlessHung(
+        [this, r = std::move(r), reply = std::move(reply), at = net_.sentAt()] { handle(r, reply, at); });
   });
-  schedule(static_cast<Ms>(clock_.uniform(50, 1000)));
+  scheduleReport(static_cast<Ms>(clock_.uniform(50, 1000)));
   checkLease();
 }
 
-void Worker::die() {
+void Worker::terminate() {
   if (!alive_) return;
   alive_.reset();
-  net_.unserve(machine_.id);
+  net_.stopServing(machine_.id);
   dropTasks();
 }
 
 void Worker::dropTasks() {
   for (auto& [k, h] : tasks_) {
-    if (h.onMachine) checker_.left(machine_.id, k.first, k.second, false);
-    leaveGang(k, h);
+    if (h.onMachine) checker_.taskEnded(machine_.id, k.first, k.second, false);
+    notifyGangOfExit(k, h);
   }
   tasks_.clear();
 }
 
 // A hanging machine does nothing until it resumes.
-void Worker::awake(std::function<void()> f) {
+void Worker::runUnlessHung(std::function<void()> f) {
   if (clock_.now() < hungUntil_)
     later(hungUntil_ - clock_.now(), std::move(f));
   else
     f();
 }
 
-void Worker::schedule(Ms d) {
+void Worker::scheduleReport(Ms d) {
   later(d, [this, mine = ++timer_] {
-    if (mine == timer_) awake([this] { report(); });
+    if (mine == timer_) runUnlessHung([this] { report(); });
   });
 }
 
-void Worker::changed() {
-  if (!reporting_) schedule(std::max<Ms>(0, lastReport_ + 500 - clock_.now()));
+void Worker::reportSoon() {
+  if (!reporting_) scheduleReport(std::max<Ms>(0, lastReport_ + 500 - clock_.now()));
 }
 
-Worker::Json Worker::body() {
+Worker::Json Worker::reportBody() {
   Json list = Json::array();
   for (const auto& [k, h] : tasks_) {
-    Json e{{"piece", nameOf(k)}, {"try", h.attempt}, {"status", h.state}};
+    Json e{{"piece", taskName(k)}, {"try", h.attempt}, {"status", h.state}};
     if (h.state == "ended") e["exit_cause"] = h.cause;
     list.push_back(std::move(e));
   }
   Json j{{"host", machine_.id},   {"addr", address_},          {"flavour", machine_.type},
          {"site", machine_.zone}, {"lendable", machine_.spot}, {"tenure", session_},
          {"serial", ++serial_},   {"epoch", token_},           {"pieces", std::move(list)}};
-  if (takenAt_) j["reclaim_in_s"] = static_cast<double>(*takenAt_ - clock_.now()) / 1000.0;
+  if (reclaimAt_) j["reclaim_in_s"] = static_cast<double>(*reclaimAt_ - clock_.now()) / 1000.0;
   return j;
 }
 
@@ -83,23 +84,24 @@
   if (reporting_) return;
   reporting_ = true;
   lastReport_ = clock_.now();
-  HttpRequest r{"POST", "/checkin", body().dump(), false};
+  HttpRequest r{"POST", "/checkin", reportBody().dump(), false};
   net_.call(
       machine_.id, "node" + std::to_string(target_), std::move(r), 4000,
       [this, sent = clock_.now(), incarnation = session_, alive = std::weak_ptr<bool>(alive_)](HttpResult h) {
         if (!alive.lock()) return;
-        awake([this, sent, incarnation, h, given = net_.sentAt()] {
+        runUnlessHung([this, sent, incarnation, h, given = net_.sentAt()] {
           reporting_ = false;
-          answered(sent, incarnation, h, given);
+          handleReportResponse(sent, incarnation, h, given);
         });
       });
 }
 
-void Worker::answered(Ms sentAt, std::uint64_t incarnation, const HttpResult& r, Ms givenAt) {
+void Worker::handleReportResponse(Ms sentAt, std::uint64_t incarnation, const HttpResult& r,
+                                  Ms commandSentAt) {
   auto next = [this] {
     checker_.reportLost();
     target_ = (target_ + 1) % controllers_;
-    schedule(1000);
+    scheduleReport(1000);
   };
   if (r.outcome != HttpResult::Outcome::Answered) return next();
   if (r.response.status == 421) {
@@ -108,96 +110,98 @@
     for (unsigned i = 0; i < controllers_; ++i)
       if (owner == settings_.controllers[i].value && i != target_) {
         target_ = i;
-        return schedule(static_cast<Ms>(clock_.uniform(0, 500)));
+        return scheduleReport(static_cast<Ms>(clock_.uniform(0, 500)));
       }
     return next();
   }
   if (r.response.status != 200 || clock_.now() - sentAt > 4000) return next();
   auto doc = Json::parse(r.response.body);
-  schedule(static_cast<Ms>(settings_.reportS * 1000 * clock_.uniform(0.75, 1.25)));
+  scheduleReport(static_cast<Ms>(settings_.reportS * 1000 * clock_.uniform(0.75, 1.25)));
   auto token = doc.value("epoch", std::uint64_t{0});
   if (incarnation != session_ || token < token_) return;  // dropped: renews nothing
   bool higher = token > token_;
   token_ = token;
   leaseFrom_ = sentAt;
-  execute(doc["orders"], givenAt);
-  if (higher) changed();
+  execute(doc["orders"], commandSentAt);
+  if (higher) reportSoon();
 }
 
-void Worker::handle(HttpRequest r, Reply reply, Ms givenAt) {
-  if (r.target == "/show") return reply({200, body().dump(), false, 0});
+void Worker::handle(HttpRequest r, Reply reply, Ms commandSentAt) {
+  if (r.target == "/show") return reply({200, reportBody().dump(), false, 0});
   auto doc = Json::parse(r.body);
   if (!doc.contains("epoch") || !doc.contains("tenure")) return reply({400, "{}", false, 0});
   auto token = doc["epoch"].get<std::uint64_t>();
   if (cherryloft::epochOf({token}) < cherryloft::epochOf({token_}) && !doc["orders"].empty())
-    checker_.commandOutdated();
+    checker_.commandFenced();
   if (token < token_ || doc["tenure"].get<std::uint64_t>() != session_)
-    return reply({409, body().dump(), false, 0});
+    return reply({409, reportBody().dump(), false, 0});
   bool higher = token > token_;
   token_ = token;
-  execute(doc["orders"], givenAt);
-  reply({200, body().dump(), false, 0});
-  if (higher) changed();
+  execute(doc["orders"], commandSentAt);
+  reply({200, reportBody().dump(), false, 0});
+  if (higher) reportSoon();
 }
 
-void Worker::execute(const Json& commands, Ms givenAt) {
+void Worker::execute(const Json& commands, Ms commandSentAt) {
   for (const auto& o : commands) {
     auto name = o["piece"].get<std::string>();
     auto slash = name.rfind('/');
-    Key k{name.substr(0, slash), static_cast<std::uint32_t>(std::stoul(name.substr(slash + 1)))};
+    TaskKey k{name.substr(0, slash), static_cast<std::uint32_t>(std::stoul(name.substr(slash + 1)))};
     auto attempt = o["try"].get<std::uint64_t>();
     auto it = tasks_.find(k);
     bool same = it != tasks_.end() && it->second.attempt == attempt;
     auto verb = o["verb"].get<std::string>();
-    if (verb == "start" && !same) start(k, attempt, givenAt);
-    if (verb == "kill" && same && !stubborn_ && it->second.state != "ended") kill(k, o.value("grace_s", 0.0));
+    if (verb == "start" && !same) start(k, attempt, commandSentAt);
+    if (verb == "kill" && same && !ignoresKills_ && it->second.state != "ended")
+      kill(k, o.value("grace_s", 0.0));
     if (verb == "forget" && same && it->second.state == "ended") tasks_.erase(it);
   }
 }
 
-void Worker::start(const Key& k, std::uint64_t attempt, Ms givenAt) {
-  auto nature = natures_.find(k.first);
+void Worker::start(const TaskKey& k, std::uint64_t attempt, Ms commandSentAt) {
+  auto behavior = behaviors_.find(k.first);
   auto it = tasks_.find(k);
-  Held h;
+  HeldTask h;
   h.attempt = attempt;
-  h.givenAt = givenAt;
-  h.run = ++runs_;
+  h.commandSentAt = commandSentAt;
+  h.run = ++lastTimerRun_;
   if (it != tasks_.end() && it->second.state != "ended") {
     // Held with another attempt: the refusal can't be shown beside it here, so it just does nothing.
     return;
   }
   cherryloft::Resources used;
   for (const auto& [other, held] : tasks_)
-    if (held.state != "ended") used += natures_.at(other.first).spec.each;
+    if (held.state != "ended") used += behaviors_.at(other.first).spec.each;
   h.state = "fetching";
-  if (nature == natures_.end())
+  if (behavior == behaviors_.end())
     h.state = "ended", h.cause = "unknown";
-  else if (!(used + nature->second.spec.each).fitsIn(size_))
+  else if (!(used + behavior->second.spec.each).fitsIn(size_))
     h.state = "ended", h.cause = "no_room";
   tasks_[k] = h;
-  changed();
+  reportSoon();
   if (h.state == "ended") return;
-  const auto& spec = nature->second.spec;
-  Ms fetch = images_.count(spec.image.value) ? 10 : static_cast<Ms>(1000 * spec.imageGb / fetch_) + 10;
-  later(fetch, [this, k, run = h.run] { awake([this, k, run] { fetched(k, run); }); });
+  const auto& spec = behavior->second.spec;
+  Ms fetch = images_.count(spec.image.value) ? 10 : static_cast<Ms>(1000 * spec.imageGb / fetchGbPerS_) + 10;
+  later(fetch, [this, k, run = h.run] { runUnlessHung([this, k, run] { imageFetched(k, run); }); });
 }
 
-void Worker::fetched(const Key& k, std::uint64_t run) {
+void Worker::imageFetched(const TaskKey& k, std::uint64_t run) {
   auto it = tasks_.find(k);
   if (it == tasks_.end() || it->second.run != run || it->second.state != "fetching") return;
-  const auto& nature = natures_.at(k.first);
-  images_.insert(nature.spec.image.value);
-  bool gang = nature.spec.kind == cherryloft::JobKind::Gang;
+  const auto& behavior = behaviors_.at(k.first);
+  images_.insert(behavior.spec.image.value);
+  bool gang = behavior.spec.kind == cherryloft::JobKind::Gang;
   it->second.state = gang ? "gathering" : "running";
   it->second.onMachine = true;
-  checker_.started(machine_, k.first, k.second, it->second.givenAt);
-  changed();
-  if (gang && !nature.fails && !faulty_) return gangs_.gather(*this, nature, k.second, it->second.attempt);
-  bool fails = nature.fails || faulty_;
-  if (nature.spec.kind == cherryloft::JobKind::Service && !fails) return;
-  Ms lasts = fails ? kFailsAfter : nature.run;
-  later(lasts, [this, k, run, fails] {
-    awake([this, k, run, fails] {
+  checker_.taskStarted(machine_, k.first, k.second, it->second.commandSentAt);
+  reportSoon();
+  if (gang && !behavior.fails && !faulty_)
+    return gangs_.memberReady(*this, behavior, k.second, it->second.attempt);
+  bool fails = behavior.fails || faulty_;
+  if (behavior.spec.kind == cherryloft::JobKind::Service && !fails) return;
+  Ms runTime = fails ? kFailsAfter : behavior.runTime;
+  later(runTime, [this, k, run, fails] {
+    runUnlessHung([this, k, run, fails] {
       auto held = tasks_.find(k);
       bool there = held != tasks_.end() && held->second.run == run;
       if (there && (held->second.state == "running" || held->second.state == "gathering"))
@@ -206,53 +210,53 @@
   });
 }
 
-void Worker::end(const Key& k, const std::string& cause) {
+void Worker::end(const TaskKey& k, const std::string& cause) {
   auto& h = tasks_.at(k);
-  if (h.onMachine) checker_.left(machine_.id, k.first, k.second, cause == "done");
+  if (h.onMachine) checker_.taskEnded(machine_.id, k.first, k.second, cause == "done");
   h.onMachine = false;
   h.state = "ended";
   h.cause = cause;
-  changed();
+  reportSoon();
 }
 
 // A running task with checkpoints saves if it is given the time; a second command without it ends the saving.
-void Worker::kill(const Key& k, double graceS) {
+void Worker::kill(const TaskKey& k, double graceS) {
   auto& held = tasks_.at(k);
-  const auto& spec = natures_.at(k.first).spec;
+  const auto& spec = behaviors_.at(k.first).spec;
   bool maySave = spec.checkpointIntervalSeconds > 0 && graceS >= spec.checkpointSeconds;
   if (held.state == "flushing" && graceS > 0) return;
   if (held.state != "running" || !maySave) {
-    leaveGang(k, held);
+    notifyGangOfExit(k, held);
     return end(k, "halted");
   }
   held.state = "flushing";
-  changed();
-  if (spec.kind == cherryloft::JobKind::Gang) return gangs_.told(k.first, k.second, held.attempt);
+  reportSoon();
+  if (spec.kind == cherryloft::JobKind::Gang) return gangs_.memberNotified(k.first, k.second, held.attempt);
   later(static_cast<Ms>(spec.checkpointSeconds * 1000), [this, k, run = held.run] {
-    awake([this, k, run] {
+    runUnlessHung([this, k, run] {
       auto it = tasks_.find(k);
       if (it != tasks_.end() && it->second.run == run && it->second.state == "flushing") end(k, "halted");
     });
   });
 }
 
-Worker::Held* Worker::member(const std::string& job, std::uint32_t index, std::uint64_t attempt) {
+Worker::HeldTask* Worker::findMember(const std::string& job, std::uint32_t index, std::uint64_t attempt) {
   auto it = tasks_.find({job, index});
   bool there = it != tasks_.end() && it->second.attempt == attempt && it->second.state != "ended";
   return there ? &it->second : nullptr;
 }
 
-void Worker::memberRuns(const std::string& job, std::uint32_t index, std::uint64_t attempt) {
-  if (auto* held = member(job, index, attempt)) held->state = "running";
-  changed();
+void Worker::memberStarted(const std::string& job, std::uint32_t index, std::uint64_t attempt) {
+  if (auto* held = findMember(job, index, attempt)) held->state = "running";
+  reportSoon();
 }
 
 void Worker::endMember(const std::string& job, std::uint32_t index, std::uint64_t attempt,
                        const std::string& cause) {
   later(0, [this, job, index, attempt, cause] {
-    awake([this, job, index, attempt, cause] {
-      if (const auto* held = member(job, index, attempt)) {
-        leaveGang({job, index}, *held);
+    runUnlessHung([this, job, index, attempt, cause] {
+      if (const auto* held = findMember(job, index, attempt)) {
+        notifyGangOfExit({job, index}, *held);
         end({job, index}, cause);
       }
     });
@@ -260,29 +264,29 @@
 }
 
 // Of tasks that are no members of a gang the board knows nothing.
-void Worker::leaveGang(const Key& k, const Held& held) {
-  if (held.onMachine) gangs_.left(k.first, k.second, held.attempt, *this);
+void Worker::notifyGangOfExit(const TaskKey& k, const HeldTask& held) {
+  if (held.onMachine) gangs_.memberLeft(k.first, k.second, held.attempt, *this);
 }
 
-void Worker::plant(const std::string& job, std::uint32_t index) {
-  checker_.started(machine_, job, index, clock_.now());
+void Worker::injectTask(const std::string& job, std::uint32_t index) {
+  checker_.taskStarted(machine_, job, index, clock_.now());
 }
 
-Room Worker::room() const {
-  Room r{machine_, size_, clock_.now() >= hungUntil_ && !takenAt_, {}};
+MachineState Worker::state() const {
+  MachineState r{machine_, size_, clock_.now() >= hungUntil_ && !reclaimAt_, {}};
   for (const auto& [k, held] : tasks_) {
     if (held.state == "ended") continue;
-    r.free -= natures_.at(k.first).spec.each;
-    r.held.push_back(k);
+    r.free -= behaviors_.at(k.first).spec.each;
+    r.tasks.push_back(k);
   }
   return r;
 }
 
 void Worker::checkLease() {
   later(100, [this] { checkLease(); });
-  if (clock_.now() < hungUntil_ || stubborn_) return;
+  if (clock_.now() < hungUntil_ || ignoresKills_) return;
   if (clock_.now() - leaseFrom_ <= static_cast<Ms>(settings_.leaseS * 1000)) return;
-  if (!tasks_.empty()) checker_.leaseEnded();
+  if (!tasks_.empty()) checker_.leaseExpired();
   dropTasks();
   ++session_;
   leaseFrom_ = clock_.now();
--- a/tests/world/world.cpp
+++ b/tests/world/world.cpp
@@ -8,15 +8,15 @@
 using cherryloft::mesh::Frame;
 using Json = nlohmann::json;
 
-std::string nodeName(unsigned n) { return "node" + std::to_string(n); }
+std::string controllerName(unsigned n) { return "node" + std::to_string(n); }
 
 // Silent unless LOG_LEVEL asks for the controllers' lines.
-cherryloft::Log logOf(unsigned n) {
+cherryloft::Log logFor(unsigned n) {
   const char* level = std::getenv("LOG_LEVEL");
-  return level ? cherryloft::makeLog(nodeName(n), level) : cherryloft::silentLog();
+  return level ? cherryloft::makeLog(controllerName(n), level) : cherryloft::silentLog();
 }
 
-std::string partyOf(const cherryloft::Address& a) {
+std::string partyAt(const cherryloft::Address& a) {
   if (a.ip == "10.2.0.1") return "store";
   if (a.ip == "10.2.0.2") return "cloud";
   auto last = a.ip.rfind('.');
@@ -91,14 +91,14 @@
     // Never early: whoever waits for a moment that its clock has not reached would wait again at once, for
     // ever.
     c_.clock_.after(std::max<Ms>(0, static_cast<Ms>(std::ceil(static_cast<double>(d.count()) / rate_))),
-                    living([this, f = living(std::move(f))] { c_.enter(Source::Timers, f); }));
+                    whileAlive([this, f = whileAlive(std::move(f))] { c_.dispatch(Source::Timers, f); }));
   }
   void call(const cherryloft::Address& to, HttpRequest r, cherryloft::Duration deadline,
             HttpDone done) override {
-    c_.net_.call(nodeName(c_.number_), partyOf(to), std::move(r), deadline.count(),
+    c_.net_.call(controllerName(c_.number_), partyAt(to), std::move(r), deadline.count(),
                  [this, done = std::move(done), alive = std::weak_ptr<bool>(alive_)](HttpResult h) {
                    if (!alive.lock()) return;
-                   c_.enter(Source::Sockets, [done, alive, h = std::move(h)] {
+                   c_.dispatch(Source::Sockets, [done, alive, h = std::move(h)] {
                      if (alive.lock()) done(h);
                    });
                  });
@@ -107,7 +107,7 @@
   void remesh(std::uint32_t) override {}
 
  private:
-  std::function<void()> living(std::function<void()> f) {
+  std::function<void()> whileAlive(std::function<void()> f) {
     return [f = std::move(f), alive = std::weak_ptr<bool>(alive_)] {
       if (alive.lock()) f();
     };
@@ -125,7 +125,7 @@
       number_(number),
       drift_(d.drift),
       mesh_(std::move(mesh)),
-      settings_(cherryloft::parseSettings(d.settingsJson(number, !d.beginsFormer), {})),
+      settings_(cherryloft::parseSettings(d.settingsJson(number, !d.startsOnPreviousVersion), {})),
       upgradedSettings_(cherryloft::parseSettings(d.settingsJson(number), {})) {}
 
 ControllerProcess::~ControllerProcess() = default;
@@ -133,17 +133,18 @@
 void ControllerProcess::start() {
   double rate = 1.0 + clock_.uniform(-drift_, drift_);
   runtime_ = std::make_unique<SimulatedRuntime>(*this, rate, static_cast<Ms>(clock_.uniform(-200, 200)));
-  controller_ = std::make_unique<cherryloft::Controller>(settings_, *runtime_, logOf(number_), clock_.rng());
-  ++lives_;
-  net_.serve(nodeName(number_), [this, life = lives_](const std::string&, HttpRequest r, Reply reply) {
-    enter(Source::Sockets, [this, life, r = std::move(r), reply = std::move(reply)] {
-      if (!controller_ || life != lives_) return;
-      auto answered = std::make_shared<bool>(false);
-      controller_->handleRequest(r, [answered, reply](HttpResponse h) {
-        if (!std::exchange(*answered, true)) reply(std::move(h));
-      });
-    });
-  });
+  controller_ = std::make_unique<cherryloft::Controller>(settings_, *runtime_, logFor(number_), clock_.rng());
+  ++incarnation_;
+  net_.serve(controllerName(number_),
+             [this, incarnation = incarnation_](const std::string&, HttpRequest r, Reply reply) {
+               dispatch(Source::Sockets, [this, incarnation, r = std::move(r), reply = std::move(reply)] {
+                 if (!controller_ || incarnation != incarnation_) return;
+                 auto answered = std::make_shared<bool>(false);
+                 controller_->handleRequest(r, [answered, reply](HttpResponse h) {
+                   if (!std::exchange(*answered, true)) reply(std::move(h));
+                 });
+               });
+             });
   controller_->start();
 }
 
@@ -151,8 +152,8 @@
   controller_.reset();
   runtime_.reset();
   frozenUntil_ = 0;
-  for (auto& h : held_) h.clear();
-  net_.unserve(nodeName(number_));
+  for (auto& h : deferred_) h.clear();
+  net_.stopServing(controllerName(number_));
   clock_.after(backAfter, [this] {
     if (!controller_) start();
   });
@@ -165,20 +166,20 @@
 
 void ControllerProcess::freeze(Ms until) {
   frozenUntil_ = until;
-  clock_.at(until, [this] { thaw(); });
+  clock_.at(until, [this] { resume(); });
 }
 
-void ControllerProcess::enter(Source s, std::function<void()> f) {
+void ControllerProcess::dispatch(Source s, std::function<void()> f) {
   if (clock_.now() < frozenUntil_)
-    held_[static_cast<std::size_t>(s)].push_back(std::move(f));
+    deferred_[static_cast<std::size_t>(s)].push_back(std::move(f));
   else
     f();
 }
 
-void ControllerProcess::thaw() {
+void ControllerProcess::resume() {
   if (clock_.now() < frozenUntil_) return;
-  auto held = std::exchange(held_, {});
-  for (auto& source : held)
+  auto deferred = std::exchange(deferred_, {});
+  for (auto& source : deferred)
     for (auto& f : source) f();
 }
 
@@ -186,7 +187,7 @@
   // Through the codec, as on the wire.
   auto decoded = cherryloft::mesh::decode(cherryloft::mesh::encode(f));
   if (!decoded) return;
-  enter(Source::Sockets, [this, decoded] {
+  dispatch(Source::Sockets, [this, decoded] {
     if (controller_) controller_->handleFrame(*decoded);
   });
 }
@@ -205,28 +206,30 @@
       net(clock, eventTrace),
       settings(cherryloft::parseSettings(d.settingsJson(0), {})),
       checker(clock, settings, eventTrace),
-      store(clock, net, static_cast<unsigned>(d.txnOps), static_cast<std::size_t>(d.valueKb * 1024), d.rps,
-            d.writeRps),
-      cloud(clock, net, checker, natures, settings, d.types, d.controllers) {
+      stateService(clock, net, static_cast<unsigned>(d.txnOps), static_cast<std::size_t>(d.valueKb * 1024),
+                   d.rps, d.writeRps),
+      cloud(clock, net, checker, behaviors, settings, d.types, d.controllers) {
   for (unsigned n = 0; n < d.controllers; ++n) {
     controllers.push_back(std::make_unique<ControllerProcess>(
         clock, net, deployment, n, [this](std::uint32_t to, const Frame& f, unsigned from) {
           if (eventTrace.enabled())
-            eventTrace.frame(clock.now(), nodeName(from), nodeName(to), cherryloft::mesh::encode(f));
-          net.tell(nodeName(from), nodeName(to), [this, to, f] { controllers[to]->frame(f); });
+            eventTrace.frame(clock.now(), controllerName(from), controllerName(to),
+                             cherryloft::mesh::encode(f));
+          net.sendOneWay(controllerName(from), controllerName(to),
+                         [this, to, f] { controllers[to]->frame(f); });
         }));
   }
   std::vector<TypeSize> sizes;
   for (const auto& t : d.types) sizes.push_back({t.name, t.size});
-  checker.watch(std::move(sizes), [this] { return cloud.rooms(); });
-  checker.whenAllDone([this](const std::string& job) { ended(job); });
+  checker.observeMachines(std::move(sizes), [this] { return cloud.machineStates(); });
+  checker.onAllTasksDone([this](const std::string& job) { jobCompleted(job); });
   for (auto& c : controllers) c->start();
-  review();
+  runPeriodicChecks();
 }
 
-void World::review() {
-  clock.after(250, [this] { review(); });
-  checker.review();
+void World::runPeriodicChecks() {
+  clock.after(250, [this] { runPeriodicChecks(); });
+  checker.runPeriodicChecks();
 }
 
 std::string World::submissionJson(const JobBehavior& n) {
@@ -261,39 +264,39 @@
 
 void World::request(HttpRequest r, Ms deadline, HttpDone done, Node node) {
   auto n = node ? *node : static_cast<unsigned>(clock.rng() % controllers.size());
-  net.call("user", nodeName(n), std::move(r), deadline,
+  net.call("user", controllerName(n), std::move(r), deadline,
            [this, n, asked = clock.now(), done = std::move(done)](HttpResult h) {
-             said_ = {asked, net.sentAt(), n};
+             answerSource_ = {asked, net.sentAt(), n};
              done(std::move(h));
            });
 }
 
-void World::submit(const std::string& id, const JobBehavior& nature) {
-  natures[id] = nature;
-  checker.submitted(nature.spec, nature.fails);
-  traces[id].id = id;
-  trySubmit(id, submissionJson(nature));
+void World::submit(const std::string& id, const JobBehavior& behavior) {
+  behaviors[id] = behavior;
+  checker.submitted(behavior.spec, behavior.fails);
+  observations[id].id = id;
+  trySubmit(id, submissionJson(behavior));
 }
 
 void World::trySubmit(const std::string& id, std::string body) {
   HttpRequest r{"POST", "/v1/jobs", body, false};
   request(std::move(r), 5000, [this, id, body](HttpResult h) {
-    auto& t = traces[id];
+    auto& t = observations[id];
     bool answered = h.outcome == HttpResult::Outcome::Answered;
     int status = answered ? h.response.status : 0;
     if (status == 200 || status == 201) {
       checker.accepted(id);
-      checker.told(id, Json::parse(h.response.body)["status"].get<std::string>(), said_);
+      checker.statusReported(id, Json::parse(h.response.body)["status"].get<std::string>(), answerSource_);
       if (t.acceptedAt < 0) {
         t.acceptedAt = clock.now();
         clock.after(1000, [this, id] { poll(id); });
-        heardAccepted(id);
+        onAccepted(id);
       }
       return;
     }
     if (status == 400 || status == 422) {
       t.refused = status;
-      checker.refusedRetry(id, status);
+      checker.retryRejected(id, status);
       return;
     }
     clock.after(1000, [this, id, body] { trySubmit(id, body); });
@@ -301,50 +304,50 @@
 }
 
 void World::poll(const std::string& id, bool again, Node node) {
-  auto heard = [this, id, again](HttpResult h) {
-    auto& t = traces[id];
-    if ((h.answered(200) || h.answered(404)) && !t.plantedSilence) checker.answered(id);
+  auto onResponse = [this, id, again](HttpResult h) {
+    auto& t = observations[id];
+    if ((h.answered(200) || h.answered(404)) && !t.hiddenFromChecker) checker.queryAnswered(id);
     if (h.answered(200)) {
       auto status = Json::parse(h.response.body)["status"].get<std::string>();
-      checker.told(id, status, said_);
+      checker.statusReported(id, status, answerSource_);
       t.status = status;
       if ((status == "done" || status == "aborted") && t.finalAt < 0) {
         t.finalAt = clock.now();
-        lookClosely(id);
+        pollIntensively(id);
       }
     } else if (h.answered(404)) {
-      checker.asked404(id);
+      checker.answeredNotFound(id);
     }
     if (again) clock.after(t.finalAt >= 0 ? 7000 : 2000, [this, id] { poll(id); });
   };
-  request({"GET", "/v1/jobs/" + id, "", false}, 2000, heard, node);
+  request({"GET", "/v1/jobs/" + id, "", false}, 2000, onResponse, node);
 }
 
 void World::cancel(const std::string& id) {
-  checker.cancelAsked(id);
+  checker.cancelRequested(id);
   tryCancel(id);
 }
 
 void World::tryCancel(const std::string& id) {
   request({"POST", "/v1/jobs/" + id + "/withdraw", "", false}, 5000,
           [this, id, asked = clock.now()](HttpResult h) {
-            slowestCancel = std::max(slowestCancel, clock.now() - asked);
+            maxCancelLatency = std::max(maxCancelLatency, clock.now() - asked);
             if (h.answered(200)) {
               auto status = Json::parse(h.response.body)["status"].get<std::string>();
-              checker.told(id, status, said_);
-              traces[id].cancelledAt = clock.now();
-              traces[id].status = status;
-              return lookClosely(id);
+              checker.statusReported(id, status, answerSource_);
+              observations[id].cancelledAt = clock.now();
+              observations[id].status = status;
+              return pollIntensively(id);
             }
-            if (h.answered(404)) return checker.asked404(id);
+            if (h.answered(404)) return checker.answeredNotFound(id);
             clock.after(1000, [this, id] { tryCancel(id); });
           });
 }
 
-void World::askUnknown(const std::string& id) {
+void World::queryOnce(const std::string& id) {
   request({"GET", "/v1/jobs/" + id, "", false}, 2000, [this, id](HttpResult h) {
-    if (h.answered(200)) checker.told(id, "pending", said_);
-    traces[id].refused = h.outcome == HttpResult::Outcome::Answered ? h.response.status : 0;
+    if (h.answered(200)) checker.statusReported(id, "pending", answerSource_);
+    observations[id].refused = h.outcome == HttpResult::Outcome::Answered ? h.response.status : 0;
   });
 }
 
@@ -357,20 +360,20 @@
   });
 }
 
-void World::askUp(unsigned n) {
-  net.call("user", nodeName(n), {"GET", "/up", "", false}, 1000, [this, n](HttpResult h) {
+void World::checkHealth(unsigned n) {
+  net.call("user", controllerName(n), {"GET", "/up", "", false}, 1000, [this, n](HttpResult h) {
     upStatus[n] = h.outcome == HttpResult::Outcome::Answered ? h.response.status : 0;
   });
 }
 
 // A retry whose body would be refused now, of a job that was accepted.
-void World::resubmitBroken(const std::string& id) {
+void World::resubmitInvalid(const std::string& id) {
   HttpRequest r{"POST", "/v1/jobs", Json{{"name_id", id}, {"pieces", 0}}.dump(), false};
   request(std::move(r), 5000, [this, id](HttpResult h) {
     if (h.outcome != HttpResult::Outcome::Answered) return;
-    if (h.response.status == 400 || h.response.status == 422) checker.refusedRetry(id, h.response.status);
+    if (h.response.status == 400 || h.response.status == 422) checker.retryRejected(id, h.response.status);
     if (h.response.status == 200)
-      checker.told(id, Json::parse(h.response.body)["status"].get<std::string>(), said_);
+      checker.statusReported(id, Json::parse(h.response.body)["status"].get<std::string>(), answerSource_);
   });
 }
 
