--- a/tests/world/scenario_user_actions.cpp
+++ b/tests/world/scenario_user_actions.cpp
@@ -79,9 +79,9 @@
   static const ActionTable table{
       {"submit", {submit}},
       {"submit-many", {submitMany}},
-      {"submit-wrong", {submitInvalid}},
+      {"submit-invalid", {submitInvalid}},
       {"resubmit", {[](Context c) { c.world.resubmit(c.line.jobId(3)); }}},
-      {"resubmit-broken", {[](Context c) { c.world.resubmitInvalid(c.line.jobId(3)); }}},
+      {"resubmit-invalid", {[](Context c) { c.world.resubmitInvalid(c.line.jobId(3)); }}},
       {"cancel", {[](Context c) { c.world.cancel(c.line.jobId(3)); }}},
       {"query", {[](Context c) { c.world.queryOnce(c.line.jobId(3)); }}},
       {"query-many", {queryMany}},
