--- a/tests/world/cloud.cpp
+++ b/tests/world/cloud.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <cstdio>
 
-#include "world/key_value_store.h"
+#include "world/state_service.h"
 
 namespace world {
 namespace {
--- a/tests/world/state_service.cpp
+++ b/tests/world/state_service.cpp
@@ -1,4 +1,4 @@
-#include "world/key_value_store.h"
+#include "world/state_service.h"
 
 #include <algorithm>
 #include <memory>
--- a/tests/world/world.h
+++ b/tests/world/world.h
@@ -6,7 +6,7 @@
 
 #include "controller/controller.h"
 #include "world/cloud.h"
-#include "world/key_value_store.h"
+#include "world/state_service.h"
 
 namespace world {
 
