--- a/tests/world/cloud.h
+++ b/tests/world/cloud.h
@@ -6,7 +6,7 @@
 #include <nlohmann/json.hpp>
 
 #include "world/checker.h"
-#include "world/gang_board.h"
+#include "world/gang_rendezvous.h"
 #include "world/net.h"
 
 namespace world {
--- a/tests/world/gang_rendezvous.cpp
+++ b/tests/world/gang_rendezvous.cpp
@@ -1,4 +1,4 @@
-#include "world/gang_board.h"
+#include "world/gang_rendezvous.h"
 
 #include <algorithm>
 #include <vector>
