--- a/tests/run_scenario.cpp
+++ b/tests/run_scenario.cpp
@@ -1,4 +1,4 @@
-// Plays the scenario files named on the command line and prints what went against their expectations.
+// Runs the scenario files named on the command line and prints every expectation that was not met.
 #include <CLI/CLI.hpp>
 #include <filesystem>
 #include <fstream>
@@ -20,7 +20,7 @@
   std::string traceFile;
 };
 
-// "seed 7: with 40: ", as far as the scenario names them.
+// "seed 7: with 40: ", leaving out what the scenario does not set.
 std::string runLabel(const world::ScenarioRun& run) {
   return (run.seed.empty() ? "" : "seed " + run.seed + ": ") +
          (run.value.empty() ? "" : "with " + run.value + ": ");
@@ -35,10 +35,10 @@
   std::cout << line.str() << std::endl;
 }
 
-// Plays one file; whether all went as it expects.
+// Runs one file; returns whether all expectations were met.
 bool runFile(const std::string& file, const Options& options, const world::TraceOptions& trace) {
   std::ifstream in(file);
-  if (!in) throw std::runtime_error("cannot be read");
+  if (!in) throw std::runtime_error("cannot open scenario file");
   bool passed = true;
   for (const auto& run : world::runScenario(in, trace)) {
     for (const auto& failure : run.failures) {
@@ -54,11 +54,11 @@
 
 int main(int argc, char** argv) {
   Options options;
-  CLI::App app{"Plays scenarios: whole deployments in virtual time (tests/README.md)"};
+  CLI::App app{"Runs scenarios: whole deployments in virtual time (tests/README.md)"};
   app.add_option("files", options.files, "scenario files")->required();
   app.add_flag("--trace-digest", options.traceDigest,
-               "print for each play one line with a digest of all that passed between the parties");
-  app.add_option("--trace", options.traceFile, "write each event that the digest is made of to this file");
+               "print one line per run with a digest of all messages between the simulated processes");
+  app.add_option("--trace", options.traceFile, "write every event that enters the digest to this file");
   CLI11_PARSE(app, argc, argv);
 
   std::ofstream events;
--- a/tests/world/clock.h
+++ b/tests/world/clock.h
@@ -1,4 +1,4 @@
-// The world's time: one queue of events, in order, with no real time in it.
+// Virtual time: a single queue of events ordered by time, independent of real time.
 #pragma once
 
 #include <algorithm>
@@ -35,7 +35,7 @@
   std::multimap<Ms, std::function<void()>> queue_;
 };
 
-// So much a second, in bursts of one second's worth.
+// Token bucket: refills at a constant rate and holds one second's worth.
 class TokenBucket {
  public:
   explicit TokenBucket(double perSecond) : perSecond_(perSecond), tokens_(perSecond) {}
@@ -52,7 +52,7 @@
   Ms at_ = 0;
 };
 
-// Counts what happens in any one second.
+// Tracks the largest number of events within any one second.
 class PeakRate {
  public:
   void add(Ms at) {
--- a/tests/world/scenario.cpp
+++ b/tests/world/scenario.cpp
@@ -17,11 +17,11 @@
 const std::string kExpectation = "expect";
 const std::string kMachinesUp = "up";
 
-// One play of a scenario file: reads its lines, then plays them in a world of their own.
+// One run of a scenario file: parses its lines, then executes them in a World of its own.
 class Scenario {
  public:
   void read(std::istream& in);
-  // Its seed and value are left for the caller to fill in.
+  // The caller fills in seed and value of the result.
   ScenarioRun run(const TraceOptions& trace);
 
  private:
@@ -89,7 +89,8 @@
   }
 }
 
-// Every broken rule is a complaint; a planted violation must be found, and draws others after it.
+// Every violated rule is a failure. If the scenario injects a violation, that rule must be reported; others
+// may follow from it.
 void Scenario::checkRules() {
   std::string expected;
   for (const auto& line : expectations_)
@@ -102,11 +103,11 @@
                           " ms: " + violation.what);
   }
   if (!expected.empty() && !found)
-    failures_.push_back("the planted violation of " + expected + " was not found");
+    failures_.push_back("the checker did not report the injected violation of " + expected);
 }
 
-// How often a scenario is played: with each seed, and with each value for every "$" in it. An empty one is
-// the scenario as it stands.
+// The seeds and the values for "$" that a scenario runs with. An empty string stands for the scenario
+// unchanged.
 struct Variations {
   std::vector<std::string> seeds{""};
   std::vector<std::string> values{""};
--- a/tests/world/scenario.h
+++ b/tests/world/scenario.h
@@ -1,4 +1,5 @@
-// Scenarios: small text files of a cluster, timed events and expectations. tests/README.md lists the words.
+// Scenarios: small text files that describe a cluster, timed events and expectations. tests/README.md lists
+// the directives.
 #pragma once
 
 #include <cstdint>
@@ -8,24 +9,24 @@
 
 namespace world {
 
-// How the plays of a scenario are traced.
+// How the runs of a scenario are traced.
 struct TraceOptions {
   bool enabled = false;
-  std::ostream* events = nullptr;  // where each event is written, if anywhere
+  std::ostream* events = nullptr;  // output for every event; may be null
 };
 
-// One play of a scenario: with one seed, and one value for every "$" in it. Both are empty where the file
-// names none.
+// One run of a scenario with one seed and one value for every "$" in it. Both are empty where the file sets
+// none.
 struct ScenarioRun {
   std::string seed;
   std::string value;
-  std::vector<std::string> failures;  // what went against expectations; empty if all is well
-  std::uint64_t traceDigest = 0;      // where traces are enabled
+  std::vector<std::string> failures;  // violated rules and unmet expectations; empty on success
+  std::uint64_t traceDigest = 0;      // 0 unless tracing is enabled
   std::size_t traceEvents = 0;
 };
 
-// Plays a scenario: "seeds 1 2 3" once with each, "vary 40 41.5 43" once more with each for every "$" in it.
-// Throws std::runtime_error on a file that can't be read.
+// Runs a scenario: "seeds 1 2 3" runs it once per seed, "vary 40 41.5 43" once more per value, substituted
+// for every "$". Throws std::runtime_error on an invalid file.
 std::vector<ScenarioRun> runScenario(std::istream& in, const TraceOptions& trace = {});
 
 }  // namespace world
--- a/tests/world/scenario_checker_actions.cpp
+++ b/tests/world/scenario_checker_actions.cpp
@@ -1,4 +1,4 @@
-// Events of a scenario that plant a violation for the checker to find, or ask it something.
+// Events that inject a violation for the checker to detect, or assert on its state.
 #include "world/scenario_actions.h"
 #include "world/scenario_parties.h"
 #include "world/scenario_setup.h"
@@ -8,33 +8,33 @@
 
 using Context = const ActionContext&;
 
-constexpr unsigned kNonexistentTask = 99;  // one that the job does not have
+constexpr unsigned kNonexistentTask = 99;  // an index beyond the tasks of the job
 
-// plant-start JOB MACHINE [other]
+// inject-start JOB MACHINE [other]
 void injectStart(Context context) {
   auto* worker = context.world.cloud.worker(machineNamed(context.world, context.line.word(4)));
   bool other = context.line.size() > 5;
   if (worker) worker->injectTask(context.line.jobId(3), other ? kNonexistentTask : 0);
 }
 
-// plant-told JOB STATUS
+// inject-status JOB STATUS
 void injectStatus(Context context) {
   AnswerSource source{context.now(), context.now(), 0};
   context.world.checker.statusReported(context.line.jobId(3), context.line.word(4), source);
 }
 
-// plant-stubborn MACHINE
+// inject-ignored-kills MACHINE
 void injectIgnoredKills(Context context) {
   auto* worker = context.world.cloud.worker(machineNamed(context.world, context.line.word(3)));
   if (worker) worker->ignoreKills();
 }
 
-// plant-unsent JOB options...
+// inject-unsent-job JOB options...
 void injectUnsentJob(Context context) {
   context.world.injectUnsentJob(parseJob(context.line.jobId(3), context.line.optionsFrom(4)));
 }
 
-// require-on JOB COUNT: so many of its tasks at least are on machines now
+// require-tasks JOB COUNT: at least so many of its tasks are on machines now
 void requireTasks(Context context) {
   const auto& line = context.line;
   auto tasks = context.world.checker.runningTasks(line.jobId(3));
--- a/tests/world/scenario_expectations.cpp
+++ b/tests/world/scenario_expectations.cpp
@@ -12,7 +12,7 @@
 
 double secondsOf(Ms ms) { return static_cast<double>(ms) / kMsPerSecond; }
 
-// One expectation at work: what it looks at and where it complains.
+// Evaluates one expectation and records its failures.
 struct Check {
   World& world;
   const Line& line;
@@ -20,24 +20,24 @@
 
   void fail(const std::string& why) const { failures.push_back(line.text() + "- but " + why); }
   void compare(double actual, const std::string& comparison, double bound) const;
-  // It happened, and within so many seconds.
+  // Whether it happened, no later than `byS`.
   static bool inTime(Ms at, double byS) { return at >= 0 && secondsOf(at) <= byS; }
 };
 
 void Check::compare(double actual, const std::string& comparison, double bound) const {
   bool met = (comparison == "==" && actual == bound) || (comparison == "<=" && actual <= bound) ||
              (comparison == ">=" && actual >= bound);
-  if (!met) fail("it is " + std::to_string(actual));
+  if (!met) fail("actual value is " + std::to_string(actual));
 }
 
-// Calls with the number and the trace of each job of the range in word 2, and the place behind it.
+// Calls `each` with the number of each job of the range at word 2 and the index of the word after it.
 template <class Each>
 void forEachJob(const Check& check, Each each) {
   auto range = check.line.jobRange(2);
   for (auto number = range.first; number <= range.last; ++number) each(number, range.next);
 }
 
-// expect done|cancelled 1 [to 5] [by 100]
+// expect done|aborted 1 [to 5] [by 100]
 void checkStatus(const Check& check) {
   const auto& status = check.line.word(1);
   forEachJob(check, [&](unsigned number, std::size_t next) {
@@ -48,25 +48,26 @@
     Ms end = cancelled ? trace.cancelledAt : trace.finalAt;
     if (trace.status == status && Check::inTime(end, byS)) return;
     check.fail("job " + std::to_string(number) + " is " +
-               (trace.status.empty() ? "unheard of" : trace.status) + ", at " + std::to_string(end) + " ms");
+               (trace.status.empty() ? "not seen in any answer" : trace.status) + ", at " +
+               std::to_string(end) + " ms");
   });
 }
 
-// expect over 1 [to 5] by 100: done or cancelled
+// expect finished 1 [to 5] by 100: done or cancelled
 void checkFinished(const Check& check) {
   forEachJob(check, [&](unsigned number, std::size_t next) {
     Ms end = check.world.observation(jobIdOf(number)).finalAt;
     if (!Check::inTime(end, check.line.number(next + 1)))
-      check.fail("job " + std::to_string(number) + " was finished at " + std::to_string(end) + " ms");
+      check.fail("job " + std::to_string(number) + " finished at " + std::to_string(end) + " ms");
   });
 }
 
-// expect begun 1 [to 5] by 30
+// expect started 1 [to 5] by 30
 void checkStarted(const Check& check) {
   forEachJob(check, [&](unsigned number, std::size_t next) {
     Ms started = check.world.checker.firstStartAt(jobIdOf(number));
     if (!Check::inTime(started, check.line.number(next + 1)))
-      check.fail("job " + std::to_string(number) + " began at " + std::to_string(started) + " ms");
+      check.fail("job " + std::to_string(number) + " started at " + std::to_string(started) + " ms");
   });
 }
 
@@ -87,7 +88,7 @@
   check.compare(check.world.upStatus[check.line.count(2)], "==", check.line.number(3));
 }
 
-// expect on JOB <=|==|>= NUMBER: machines with a task of the job now
+// expect on JOB <=|==|>= NUMBER: machines that have a task of the job now
 void checkMachinesOfJob(const Check& check) {
   auto machines = check.world.checker.machinesRunning(check.line.jobId(2)).size();
   check.compare(static_cast<double>(machines), check.line.word(3), check.line.number(4));
@@ -98,7 +99,7 @@
   check.compare(check.world.checker.startsOf(check.line.jobId(2)), check.line.word(3), check.line.number(4));
 }
 
-// expect cancelled-between SECONDS SECONDS <=|==|>= NUMBER: cancellations confirmed
+// expect cancelled-between SECONDS SECONDS <=|==|>= NUMBER: cancellations confirmed in that interval
 void checkCancelledBetween(const Check& check) {
   Ms from = check.line.duration(2), to = check.line.duration(3);
   auto confirmed = std::count_if(
@@ -154,10 +155,10 @@
   return table;
 }
 
-// The expectations with words of their own.
+// Expectations with a syntax of their own.
 const std::map<std::string, void (*)(const Check&)>& checks() {
   static const std::map<std::string, void (*)(const Check&)> table{
-      {"violated", [](const Check&) {}},  // judged with the rules that were broken
+      {"violated", [](const Check&) {}},  // checked in Scenario::checkRules
       {"done", checkStatus},
       {"aborted", checkStatus},
       {"finished", checkFinished},
--- a/tests/world/scenario_expectations.h
+++ b/tests/world/scenario_expectations.h
@@ -1,4 +1,4 @@
-// What a scenario expects once it is over: "expect WHAT ...". tests/README.md lists the words.
+// The expectations checked at the end of a scenario: "expect WHAT ...". tests/README.md lists them.
 #pragma once
 
 #include <string>
@@ -9,11 +9,10 @@
 
 namespace world {
 
-// Adds to the complaints if the world is not as the line expects. Throws std::runtime_error on an unknown
-// word.
+// Adds a failure if the world does not match the line. Throws std::runtime_error on an unknown expectation.
 void checkExpectation(World& world, const Line& line, std::vector<std::string>& failures);
 
-// The rule that a line "expect violated RULE" wants broken; empty for all other lines.
+// The rule named by a line "expect violated RULE"; empty for all other lines.
 std::string expectedViolation(const Line& line);
 
 }  // namespace world
--- a/tests/world/scenario_fault_actions.cpp
+++ b/tests/world/scenario_fault_actions.cpp
@@ -1,4 +1,4 @@
-// Events of a scenario that trouble controllers, connections, the state service and the cloud.
+// Fault events of controllers, connections, the state service and the cloud.
 #include "world/scenario_actions.h"
 #include "world/scenario_parties.h"
 
@@ -9,8 +9,8 @@
 
 constexpr Ms kDelayedWritesSettleTime = 12'000;
 constexpr double kBytesPerKb = 1024;
-const std::string kHold = "hold";      // what is sent meanwhile is held back and comes later, not lost
-const std::string kAnswer = "answer";  // it concerns answers, not requests
+const std::string kHold = "hold";      // messages sent meanwhile are delivered afterwards instead of lost
+const std::string kAnswer = "answer";  // applies to responses, not requests
 
 // crash CONTROLLER FOR
 void crash(Context context) {
@@ -40,7 +40,7 @@
     controller->freeze(context.until(4));
 }
 
-// leader crash|refuse|freeze FOR
+// leader crash|refuse|freeze FOR: the fault hits the current leader
 void disruptLeader(Context context) {
   auto& world = context.world;
   world.withLeader([&world, what = context.line.word(3), last = context.line.duration(4)](unsigned number) {
@@ -54,14 +54,14 @@
   });
 }
 
-// cut FROM TO FOR hold|lose
+// partition FROM TO FOR hold|drop
 void partition(Context context) {
   auto from = partyNamed(context.world, context.line.word(3));
   auto to = partyNamed(context.world, context.line.word(4));
   context.world.net.partition(from, to, context.until(5), context.line.word(6) == kHold);
 }
 
-// cut-zone ZONE FOR hold|lose
+// partition-zone ZONE FOR hold|drop
 void partitionZone(Context context) {
   auto& world = context.world;
   auto inZone = [&world, zone = context.line.word(3)](const std::string& party) {
@@ -70,14 +70,14 @@
   world.net.partitionGroup(inZone, context.until(4), context.line.word(5) == kHold);
 }
 
-// mute FROM TO FOR hold|lose
+// partition-one-way FROM TO FOR hold|drop
 void partitionOneWay(Context context) {
   for (const auto& to : partiesNamed(context.world, context.line.word(4)))
     context.world.net.partitionOneWay(context.line.word(3), to, context.until(5),
                                       context.line.word(6) == kHold);
 }
 
-// no-open FROM TO FOR
+// refuse-connections FROM TO FOR
 void refuseConnections(Context context) {
   for (const auto& from : partiesNamed(context.world, context.line.word(3)))
     context.world.net.refuseConnections(from, partyNamed(context.world, context.line.word(4)),
@@ -93,7 +93,7 @@
                           line.duration(8));
 }
 
-// copies MACHINE FOR FROM TO
+// duplicate-reports MACHINE FOR FROM TO
 void duplicateReports(Context context) {
   std::vector<std::string> nodes;
   for (unsigned number = 0; number < context.world.controllers.size(); ++number)
@@ -102,7 +102,7 @@
                                       context.until(4), context.line.duration(5), context.line.duration(6));
 }
 
-// lose PATH MACHINE
+// drop-response PATH MACHINE
 void dropResponse(Context context) {
   context.world.net.dropNextResponse(context.line.word(3), partyNamed(context.world, context.line.word(4)));
 }
--- a/tests/world/scenario_machine_actions.cpp
+++ b/tests/world/scenario_machine_actions.cpp
@@ -1,4 +1,4 @@
-// Events of a scenario that trouble machines.
+// Fault events of machines.
 #include <algorithm>
 
 #include "world/scenario_actions.h"
@@ -9,10 +9,10 @@
 
 using Context = const ActionContext&;
 
-// The machine that word 3 names; empty if there is none.
+// The machine named by word 3; empty if there is none.
 std::string machineArgument(Context context) { return machineNamed(context.world, context.line.word(3)); }
 
-// VERB FIRST COUNT: machines that are up.
+// VERB FIRST COUNT: a range of the machines that are up.
 std::vector<std::string> machineArguments(Context context) {
   return machinesUp(context.world, static_cast<std::size_t>(context.line.number(3)),
                     static_cast<std::size_t>(context.line.number(4)));
@@ -41,7 +41,7 @@
   for (const auto& machine : machineArguments(context)) context.world.cloud.failMachine(machine);
 }
 
-// die-scattered COUNT: evenly among those that are up
+// die-scattered COUNT: spread evenly over the machines that are up
 void dieScattered(Context context) {
   auto all = context.world.cloud.allUp();
   auto count = std::min(all.size(), static_cast<std::size_t>(context.line.number(3)));
@@ -60,7 +60,7 @@
     context.world.cloud.worker(machine)->hangUntil(context.until(5));
 }
 
-// faulty MACHINE: every task fails on it from then on
+// faulty MACHINE: from then on every task on it fails
 void failAllTasks(Context context) {
   if (auto* worker = context.world.cloud.worker(machineArgument(context))) worker->failAllTasks();
 }
--- a/tests/world/scenario_parties.h
+++ b/tests/world/scenario_parties.h
@@ -1,4 +1,4 @@
-// How the lines of a scenario name machines, controllers and other ends of connections.
+// Resolves the names of machines, controllers and other connection endpoints in scenario lines.
 #pragma once
 
 #include <string>
@@ -8,20 +8,20 @@
 
 namespace world {
 
-// A machine by its id, by its place among those that are up, or "on:1": one on which job 1 has a task. Empty
+// A machine by its id, by its index among those that are up, or "on:1": one that runs a task of job 1. Empty
 // if there is none.
 std::string machineNamed(World& world, const std::string& word);
 
-// An end of connections: a machine as above, and anything else as it is.
+// A connection endpoint: a machine as above; any other name is returned unchanged.
 std::string partyNamed(World& world, const std::string& word);
 
-// The same; "zone:a" is every machine that is up in that zone now.
+// Like partyNamed(); "zone:a" stands for all machines that are up in that zone now.
 std::vector<std::string> partiesNamed(World& world, const std::string& word);
 
-// "2", or "*" for all.
+// "2", or "*" for all controllers.
 std::vector<ControllerProcess*> controllersNamed(World& world, const std::string& word);
 
-// So many of the machines that are up, from the first-th on.
+// Up to `count` of the machines that are up, starting at index `first`.
 std::vector<std::string> machinesUp(World& world, std::size_t first, std::size_t count);
 
 }  // namespace world
--- a/tests/world/scenario_setup.cpp
+++ b/tests/world/scenario_setup.cpp
@@ -63,7 +63,7 @@
 const std::map<std::string, Apply>& setupDirectives() {
   static const std::map<std::string, Apply> words{
       {"seeds", ignore},  // read by runScenario
-      {"vary", ignore},   // the same
+      {"vary", ignore},   // likewise
       {"seed",
        [](const Line& line, ScenarioSetup& setup) {
          setup.deployment.seed = static_cast<std::uint64_t>(line.number(1));
@@ -99,7 +99,7 @@
 
 void applySetup(const Line& line, ScenarioSetup& setup) {
   auto it = setupDirectives().find(line.word(0));
-  if (it == setupDirectives().end()) throw std::runtime_error("unknown word '" + line.word(0) + "'");
+  if (it == setupDirectives().end()) throw std::runtime_error("unknown directive '" + line.word(0) + "'");
   it->second(line, setup);
 }
 
--- a/tests/world/scenario_setup.h
+++ b/tests/world/scenario_setup.h
@@ -6,16 +6,16 @@
 
 namespace world {
 
-// What a scenario plays in, and how long.
+// The deployment that a scenario runs in, and its duration.
 struct ScenarioSetup {
   Deployment deployment;
   Ms until = 60'000;
 };
 
-// Takes one line such as "controllers 3" into the setup. Throws std::runtime_error on an unknown word.
+// Applies one line such as "controllers 3" to the setup. Throws std::runtime_error on an unknown directive.
 void applySetup(const Line& line, ScenarioSetup& setup);
 
-// The job with that id as its options tell it, "cores=2 run=5 allowed on spot machines" and so on.
+// The job with that id, described by options such as "cores=2 run=5 spot_allowed".
 JobBehavior parseJob(const std::string& id, const Options& options);
 
 }  // namespace world
--- a/tests/world/scenario_user_actions.cpp
+++ b/tests/world/scenario_user_actions.cpp
@@ -1,4 +1,4 @@
-// Events of a scenario that come from users.
+// User events.
 #include "world/scenario_actions.h"
 #include "world/scenario_setup.h"
 
@@ -13,7 +13,7 @@
   context.world.submit(behavior.spec.id.value, behavior);
 }
 
-// burst FIRST COUNT options...
+// submit-many FIRST COUNT options...
 void submitMany(Context context) {
   auto first = context.line.count(3);
   auto options = context.line.optionsFrom(5);
@@ -23,27 +23,27 @@
   }
 }
 
-// submit-wrong JOB kind=KIND field=FIELD
+// submit-invalid JOB kind=KIND field=FIELD
 void submitInvalid(Context context) {
   auto options = context.line.optionsFrom(4);
   context.world.submitInvalid(context.line.jobId(3), options.text("kind"), options.text("field"));
 }
 
-// ask-many FIRST COUNT
+// query-many FIRST COUNT
 void queryMany(Context context) {
   auto first = context.line.count(3);
   for (unsigned i = 0; i < context.line.number(4); ++i) context.world.queryOnce(jobIdOf(first + i));
 }
 
-// at-end FIRST COUNT cancel|resubmit|poll WITHIN
+// on-completion FIRST COUNT cancel|resubmit|poll WITHIN
 void onCompletion(Context context) {
   auto first = context.line.count(3);
   for (unsigned i = 0; i < context.line.number(4); ++i)
     context.world.onCompletion(jobIdOf(first + i), context.line.word(5), context.line.duration(6));
 }
 
-// stream FIRST COUNT PER_SECOND options... cancel=SHARE: one after the other, and that share is called off
-// while it waits or runs
+// submit-stream FIRST COUNT PER_SECOND options... cancel=SHARE: submits at a constant rate and cancels that
+// share of the jobs while they wait or run
 void submitStream(Context context) {
   constexpr double kEarliestCancelMs = 50;
   constexpr double kLatestCancelMs = 1000;  // after the run time
@@ -62,7 +62,7 @@
   }
 }
 
-// cancel-many FIRST COUNT EACH WITHIN: every EACH-th, at a moment of its own
+// cancel-many FIRST COUNT EACH WITHIN: cancels every EACH-th job, each at a random time
 void cancelMany(Context context) {
   auto& world = context.world;
   const auto& line = context.line;
--- a/tests/world/trace.cpp
+++ b/tests/world/trace.cpp
@@ -7,7 +7,7 @@
 namespace world {
 namespace {
 
-// In quotes on one line, as frames are binary.
+// Quotes and escapes the text, because frames are binary.
 void writeQuoted(std::ostream& out, std::string_view text) {
   out << '"';
   for (unsigned char c : text) {
@@ -48,7 +48,7 @@
   record(at, {"left", machine, job, std::to_string(index), done ? "done" : ""});
 }
 
-// The length of each part goes before it, so that no two lists of parts make the same bytes.
+// Each part is preceded by its length, so that different lists of parts never give the same bytes.
 void Trace::record(Ms at, std::initializer_list<std::string_view> parts) {
   if (!enabled_) return;
   ++events_;
--- a/tests/world/trace.h
+++ b/tests/world/trace.h
@@ -1,6 +1,6 @@
-// A digest of everything that an outsider could see of one play: each message between two parties, with its
-// virtual time and contents, and each start and end of a task on a machine. Two programs that behave alike
-// have equal digests. Log lines and names of C++ code are no part of it.
+// A digest of the externally visible behaviour of one run: each message between two processes with its
+// virtual time and contents, and each start and end of a task on a machine. Equal behaviour gives equal
+// digests; log lines and names in the C++ code do not affect them.
 #pragma once
 
 #include <boost/crc.hpp>
@@ -16,18 +16,18 @@
 
 class Trace {
  public:
-  // Records nothing until it is enabled, as a digest costs time.
+  // Nothing is recorded until enabled, because computing the digest takes time.
   void enable() { enabled_ = true; }
-  // Also writes each event to `out`, one a line, to find the first that differs.
+  // Also writes each event to `out`, one per line, so that the first difference can be found.
   void writeEventsTo(std::ostream* out) { eventOutput_ = out; }
-  // Ends the record: what is still said as the world is taken apart is no part of the play.
+  // Stops recording: messages sent while the world is torn down are not part of the run.
   void finish() { enabled_ = false; }
   bool enabled() const { return enabled_; }
 
   void request(Ms at, const std::string& from, const std::string& to, const cherryloft::HttpRequest& request);
   void response(Ms at, const std::string& from, const std::string& to,
                 const cherryloft::HttpResponse& response);
-  // `bytes`: the encoded frame of one controller to another.
+  // `bytes`: the encoded frame between two controllers.
   void frame(Ms at, const std::string& from, const std::string& to, const std::string& bytes);
   void taskStarted(Ms at, const std::string& machine, const std::string& job, std::uint32_t index);
   void taskEnded(Ms at, const std::string& machine, const std::string& job, std::uint32_t index, bool done);
@@ -38,7 +38,7 @@
  private:
   void record(Ms at, std::initializer_list<std::string_view> parts);
 
-  // ECMA-182, as in xz.
+  // CRC-64 of ECMA-182, as in xz.
   static constexpr std::uint64_t kPolynomial = 0x42F0E1EBA9EA3693;
   bool enabled_ = false;
   std::ostream* eventOutput_ = nullptr;
--- a/tests/world/world.cpp
+++ b/tests/world/world.cpp
@@ -10,7 +10,7 @@
 
 std::string controllerName(unsigned n) { return "node" + std::to_string(n); }
 
-// Silent unless LOG_LEVEL asks for the controllers' lines.
+// Silent unless LOG_LEVEL enables the controllers' logs.
 cherryloft::Log logFor(unsigned n) {
   const char* level = std::getenv("LOG_LEVEL");
   return level ? cherryloft::makeLog(controllerName(n), level) : cherryloft::silentLog();
@@ -77,7 +77,7 @@
       .dump();
 }
 
-// The world's answers to one life of a controller; nothing reaches it after its end.
+// The runtime of one incarnation of a controller; no callback reaches it after it ends.
 class ControllerProcess::SimulatedRuntime : public cherryloft::Runtime {
  public:
   SimulatedRuntime(ControllerProcess& c, double rate, Ms wallError)
@@ -88,8 +88,8 @@
   }
   cherryloft::WallTime wall() const override { return {1'700'000'000'000 + c_.clock_.now() + wallError_}; }
   void after(cherryloft::Duration d, std::function<void()> f) override {
-    // Never early: whoever waits for a moment that its clock has not reached would wait again at once, for
-    // ever.
+    // Never early: a caller waiting for a time that its clock has not reached would rearm the timer at once,
+    // forever.
     c_.clock_.after(std::max<Ms>(0, static_cast<Ms>(std::ceil(static_cast<double>(d.count()) / rate_))),
                     whileAlive([this, f = whileAlive(std::move(f))] { c_.dispatch(Source::Timers, f); }));
   }
@@ -184,7 +184,7 @@
 }
 
 void ControllerProcess::frame(const Frame& f) {
-  // Through the codec, as on the wire.
+  // Encodes and decodes the frame, as on the wire.
   auto decoded = cherryloft::mesh::decode(cherryloft::mesh::encode(f));
   if (!decoded) return;
   dispatch(Source::Sockets, [this, decoded] {
@@ -366,7 +366,7 @@
   });
 }
 
-// A retry whose body would be refused now, of a job that was accepted.
+// Retries the submission of an accepted job with a body that would be rejected now.
 void World::resubmitInvalid(const std::string& id) {
   HttpRequest r{"POST", "/v1/jobs", Json{{"name_id", id}, {"pieces", 0}}.dump(), false};
   request(std::move(r), 5000, [this, id](HttpResult h) {
--- a/tests/world/world.h
+++ b/tests/world/world.h
@@ -1,4 +1,5 @@
-// A whole deployment in virtual time: controllers of this repository, everything else stand-ins.
+// Simulates a whole deployment in virtual time: the controllers are real code, everything else is a test
+// double.
 #pragma once
 
 #include <array>
@@ -16,19 +17,19 @@
   std::vector<std::string> zones{"a", "b"};
   unsigned teams = 3;
   double guaranteed = 24, limit = 88;
-  bool guest = false;  // a team "team-guest" without guarantee or limit
+  bool guest = false;  // adds a team "team-guest" with neither guarantee nor limit
   double reportS = 3, leaseS = 36, cancelS = 61, gangWaitS = 45, gangPeerS = 4;
   double rps = 200, writeRps = 80, valueKb = 16, txnOps = 24;
-  // Limits of the state service that are announced, and hold from some moment on.
+  // Limits that the state service announces; they take effect with the event "state-limits".
   std::optional<double> nextValueKb, nextTxnOps, nextWriteRps;
-  // Controllers begin as a former version that reads no announced limits, until they are upgraded.
+  // Controllers start as an older version that ignores announced limits, until they are upgraded.
   bool startsOnPreviousVersion = false;
   double drift = 0.0005;
   std::vector<CloudType> types;
   std::string settingsJson(unsigned node, bool announcesLimits = true) const;
 };
 
-// One controller process; crashes lose everything in it.
+// One controller process; a crash loses all its in-memory state.
 class ControllerProcess {
  public:
   ControllerProcess(Clock& clock, Net& net, const Deployment& d, unsigned number,
@@ -36,10 +37,10 @@
   ~ControllerProcess();
   void start();
   void crash(Ms backAfter);
-  // The same, and it comes back as the present version.
+  // Like crash(), but the process restarts as the current version.
   void upgrade(Ms backAfter);
-  // The process stands still while clocks run on and its sockets fill; then sockets are read before timers
-  // run, as the loop does it.
+  // The process stops while its clock runs on and its sockets fill; on resuming, sockets are read before
+  // timers run, as in the event loop.
   void freeze(Ms until);
   void frame(const cherryloft::mesh::Frame& f);
   const cherryloft::Controller* controller() const { return controller_.get(); }
@@ -66,7 +67,7 @@
  public:
   explicit World(const Deployment& d);
   void run(Ms until) { clock.run(until); }
-  // The controller that a request goes to; without one the load balancer chooses.
+  // The controller that a request goes to; if unset, the load balancer picks one.
   using Node = std::optional<unsigned>;
 
   struct JobObservation {
@@ -76,39 +77,40 @@
     std::string status;
     Ms finalAt = -1;
     Ms cancelledAt = -1;
-    bool hiddenFromChecker = false;  // answers about it are kept from the checker
+    bool hiddenFromChecker = false;  // answers about it are not passed to the checker
   };
-  // A user who submits and retries, then polls until the end and now and then after it.
+  // A user who submits with retries, polls until the job ends and occasionally afterwards.
   void submit(const std::string& id, const JobBehavior& behavior);
-  // The body a user would send for it.
+  // The JSON body of its submission.
   static std::string submissionJson(const JobBehavior& behavior);
   void cancel(const std::string& id);
-  // The same once its user has heard that it is accepted.
+  // Cancels the job as soon as its submission has been accepted.
   void cancelOnceAccepted(const std::string& id);
   void queryOnce(const std::string& id);
   void resubmitInvalid(const std::string& id);
-  // A submission that must be refused: `kind` is nofit, noteam, nozone, overlimit, apart, nofield, badfield
-  // or notjson; of a field, `field` or any one.
+  // A submission that must be rejected: `kind` is too-large, unknown-team, unknown-zone, over-limit,
+  // unspreadable, missing-field, invalid-field or not-json; for the two field kinds, `field` names the field,
+  // or a random one is taken.
   void submitInvalid(const std::string& id, const std::string& kind, std::string field);
-  // The whole submission of a known job once more.
+  // Repeats the full submission of a known job.
   void resubmit(const std::string& id, Node node = {});
   void poll(const std::string& id, bool again = true, Node node = {});
-  // What the user does at the very end of the job's last task, up to so long after it.
+  // The user action after the job's last task ends, at a random time within `within`.
   void onCompletion(const std::string& id, const std::string& what, Ms within) {
     completionActions_[id].push_back({what, within});
   }
-  // Until then users look closely (close_looks.cpp): right after they heard that a job is accepted, done or
-  // cancelled, and right after its last task ended, they ask at all controllers again and again and repeat
-  // the submission. That share of the accepted jobs is cancelled at once.
+  // Until then users poll intensively (intensive_polling.cpp): right after learning that a job is accepted,
+  // done or cancelled, and right after its last task ended, they query all controllers repeatedly and
+  // resubmit the job. That share of the accepted jobs is cancelled at once.
   void startIntensivePolling(double cancelledShare, Ms until) { intensivePolling_ = {cancelledShare, until}; }
-  // Until then reports of the machines that match are kept (old_reports.cpp). Whenever a controller begins to
-  // lead, one old report of each machine reaches every controller.
+  // Until then reports of the matching machines are recorded (report_replay.cpp). Whenever a controller
+  // becomes leader, one old report of each machine is delivered to every controller.
   void recordReports(const std::string& machines, Ms until);
   std::size_t replayedReports() const { return replayedReports_; }
-  // A job that the checker takes for accepted though no controller has heard of it.
+  // A job that the checker believes to be accepted although no controller has received it.
   void injectUnsentJob(const JobBehavior& behavior);
   void checkHealth(unsigned n);
-  // With the number of the controller that leads or, while the state service is away, of the last one known.
+  // Calls with the number of the current leader, or of the last known one while the state service is down.
   void withLeader(std::function<void(unsigned)> f);
   JobObservation& observation(const std::string& id) { return observations[id]; }
 
@@ -123,9 +125,9 @@
   Cloud cloud;
   std::vector<std::unique_ptr<ControllerProcess>> controllers;
   std::map<std::string, JobObservation> observations;
-  std::string zoneOf(const std::string& party) const;  // of a controller or machine; none of all others
-  Ms maxCancelLatency = 0;           // how long a cancellation waited for its answer at most
-  std::map<unsigned, int> upStatus;  // the last answer of each controller to a health check
+  std::string zoneOf(const std::string& party) const;  // of a controller or machine; empty for anything else
+  Ms maxCancelLatency = 0;                             // longest time until a cancellation was answered
+  std::map<unsigned, int> upStatus;                    // last health check status of each controller
 
  private:
   void request(HttpRequest r, Ms deadline, HttpDone done, Node node = {});
@@ -143,7 +145,7 @@
     Ms within;
   };
   struct IntensivePolling {
-    double cancelledShare = 0;  // the share of the accepted jobs
+    double cancelledShare = 0;  // share of the accepted jobs
     Ms until = -1;
   };
   struct RecordedReport {
@@ -152,10 +154,10 @@
   };
   std::map<std::string, std::vector<CompletionAction>> completionActions_;
   IntensivePolling intensivePolling_;
-  std::map<std::string, std::vector<RecordedReport>> recordedReports_;  // by machine, in order
+  std::map<std::string, std::vector<RecordedReport>> recordedReports_;  // by machine, oldest first
   std::size_t replayedReports_ = 0;
   unsigned leader_ = 0;
-  AnswerSource answerSource_;  // of the answer that is being heard
+  AnswerSource answerSource_;  // of the response that is being handled
 };
 
 }  // namespace world
