--- a/tests/log_events.sh
+++ b/tests/log_events.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Every event text that docs/OPERATING.md tells operators to act on stands in the sources, and the table is not empty.
+# Every event text that docs/OPERATING.md tells operators to act on exists in the sources, and the table is not empty.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 failed=0
--- a/tests/world/checker.cpp
+++ b/tests/world/checker.cpp
@@ -5,8 +5,8 @@
 
 namespace world {
 namespace {
-constexpr Ms kMaxUnanswered = 75'000;   // without an answer, once all troubles are over
-constexpr Ms kStartDeadline = 240'000;  // within which half of every kind of job is to begin
+constexpr Ms kMaxUnanswered = 75'000;   // longest time without an answer, once all faults are over
+constexpr Ms kStartDeadline = 240'000;  // time within which half of the jobs of each group must start
 }  // namespace
 
 void Checker::submitted(const cherryloft::JobSpec& spec, bool fails) {
@@ -27,12 +27,12 @@
 }
 
 void Checker::answeredNotFound(const std::string& job) {
-  if (jobs_[job].accepted) reportViolation("lost_job", job + " was accepted and got 404");
+  if (jobs_[job].accepted) reportViolation("lost_job", job + " was accepted but a query got 404");
 }
 
 void Checker::retryRejected(const std::string& job, int status) {
   if (jobs_[job].accepted)
-    reportViolation("lost_job", job + " was accepted and its retry got " + std::to_string(status));
+    reportViolation("lost_job", job + " was accepted but its retry got " + std::to_string(status));
 }
 
 void Checker::statusReported(const std::string& job, const std::string& status, const AnswerSource& source) {
@@ -41,9 +41,9 @@
     return reportViolation("unknown_job", job + " was never submitted");
   auto& j = it->second;
   if (status == "done" && !allDone(job))
-    reportViolation("done_too_early", job + " is called done before its tasks are");
+    reportViolation("done_too_early", job + " was reported done before its tasks were");
   if (status == "aborted" && !j.cancelRequested)
-    reportViolation("status_reverted", job + " is called cancelled, which nobody asked for");
+    reportViolation("status_reverted", job + " was reported cancelled without a cancellation request");
   bool final = status == "done" || status == "aborted";
   if (!j.final.empty() && status != j.final && (final || source.requestedAt >= j.finalAt))
     reportViolation("status_reverted", job + " was " + j.final + " and is now " + status);
@@ -52,9 +52,9 @@
   at = final ? std::min(at, source.sentAt) : std::max(at, source.sentAt);
   auto end = j.finalSentAt.find(source.controller), open = j.lastNonFinalSentAt.find(source.controller);
   if (end != j.finalSentAt.end() && open != j.lastNonFinalSentAt.end() && open->second > end->second) {
-    reportViolation("status_reverted", job + ": controller " + std::to_string(source.controller) +
-                                           " gave an older answer " +
-                                           std::to_string(open->second - end->second) + " ms after its end");
+    reportViolation("status_reverted",
+                    job + ": controller " + std::to_string(source.controller) + " sent a non-final status " +
+                        std::to_string(open->second - end->second) + " ms after the final one");
     j.lastNonFinalSentAt.erase(open);
   }
   if (j.final.empty() && final) {
@@ -67,33 +67,34 @@
   trace_.taskStarted(clock_.now(), m.id, job, index);
   auto it = jobs_.find(job);
   if (it == jobs_.end() || !it->second.spec)
-    return reportViolation("unknown_job", job + " runs and was never submitted");
+    return reportViolation("unknown_job", job + " runs but was never submitted");
   auto& j = it->second;
   const auto& s = *j.spec;
   auto name = job + "/" + std::to_string(index);
   ++j.starts;
-  j.placeableSince = -1;  // it has its turns
+  j.placeableSince = -1;  // the job is being scheduled
   if (j.firstStartAt < 0) j.firstStartAt = clock_.now();
   if (j.running.count(index))
-    reportViolation("duplicate_execution", name + " starts on " + m.id + " while on " + j.running[index].id);
+    reportViolation("duplicate_execution",
+                    name + " starts on " + m.id + " while still on " + j.running[index].id);
   if (j.final == "aborted" && clock_.now() - j.finalAt > static_cast<Ms>(settings_.cancelS * 1000))
     reportViolation("ran_after_cancel", name + " starts after its cancellation");
   if (j.final == "aborted") {
     ++startsAfterCancel_;
     if (commandSentAt > j.finalAt)
-      reportViolation("started_after_cancel", name + " starts by a command given " +
+      reportViolation("started_after_cancel", name + " starts by a command sent " +
                                                   std::to_string(commandSentAt - j.finalAt) +
                                                   " ms after its cancellation");
   }
   if (!s.allowsType(m.type) || (m.spot && !s.spotAllowed) || (s.zone && s.zone->value != m.zone))
-    reportViolation("placement_violated", name + " on " + m.id);
+    reportViolation("placement_violated", name + " is not allowed on " + m.id);
   std::map<std::string, unsigned> zones;
   for (const auto& [i, other] : j.running)
     if (i != index) ++zones[other.zone];
   if (s.oneZone && !zones.empty() && (zones.size() > 1 || zones.begin()->first != m.zone))
-    reportViolation("placement_violated", name + " in a second zone");
+    reportViolation("placement_violated", name + " starts in a second zone");
   if (s.spread && zones[m.zone] + 1 > (s.tasks + 1) / 2)
-    reportViolation("placement_violated", name + " crowds its zone");
+    reportViolation("placement_violated", name + " exceeds its share of one zone");
   j.running[index] = m;
   const auto* team = settings_.team(s.team);
   double cores = 0;
@@ -118,7 +119,7 @@
     if (j.accepted && !j.cancelRequested && !j.lostReported && clock_.now() - since > kMaxUnanswered) {
       j.lostReported = true;
       reportViolation("lost_job",
-                      id + " was asked about in vain for " + std::to_string(kMaxUnanswered / 1000) + " s");
+                      id + " got no answer to queries for " + std::to_string(kMaxUnanswered / 1000) + " s");
     }
     if (j.final != "aborted" || j.running.empty()) continue;
     if (clock_.now() - j.finalAt <= static_cast<Ms>(settings_.cancelS * 1000)) continue;
@@ -137,7 +138,8 @@
                                          std::to_string(jobs.size()) + " jobs began within four minutes");
 }
 
-// Of each class, of each team and of the largest tenth of each class, those that had four minutes to begin.
+// Checks each job class, each team and the largest tenth of each class, counting jobs submitted at least four
+// minutes ago.
 void Checker::checkStartDelays() {
   std::map<std::string, std::vector<const Job*>> classes, teams;
   for (const auto& [id, j] : jobs_) {
--- a/tests/world/checker.h
+++ b/tests/world/checker.h
@@ -1,4 +1,4 @@
-// Checks the protocol's rules on what truly happens in the world, without a look into the controllers.
+// Checks the protocol's rules against the true state of the simulation, without looking into the controllers.
 #pragma once
 
 #include <functional>
@@ -24,16 +24,16 @@
   bool spot = false;
 };
 
-// A machine that is up, by the true state of the world: what is free on it and what it holds, tasks whose
-// image is still on its way included.
+// The true state of a machine that is up: its free resources and its tasks, including those whose image is
+// still being fetched.
 struct MachineState {
   Machine machine;
   cherryloft::Resources free;
-  bool schedulable = true;  // it neither hangs nor has a notice
+  bool schedulable = true;  // false while it hangs or has a reclaim notice
   std::vector<std::pair<std::string, std::uint32_t>> tasks;
 };
 
-// When a user's question was asked, and when and by which controller it was answered.
+// When a user's request was sent, and when and by which controller its response was sent.
 struct AnswerSource {
   Ms requestedAt = 0, sentAt = 0;
   unsigned controller = 0;
@@ -49,52 +49,52 @@
   Checker(Clock& clock, const cherryloft::Settings& settings, Trace& trace)
       : clock_(clock), settings_(settings), trace_(trace) {}
 
-  // The true state of the world, for what can be judged by it only.
+  // Sources of the true state, for rules that cannot be checked without it.
   void observeMachines(std::vector<TypeSize> types, std::function<std::vector<MachineState>()> states) {
     types_ = std::move(types), machineStates_ = std::move(states);
   }
-  // To be called when the last task of a job is done.
+  // `f` is called when the last task of a job is done.
   void onAllTasksDone(std::function<void(const std::string&)> f) { onAllTasksDone_ = std::move(f); }
 
-  // What users did and were told. A job that fails everywhere may wait.
+  // User requests and the answers to them. Jobs with `fails` fail on every machine and may be backed off.
   void submitted(const cherryloft::JobSpec& spec, bool fails = false);
-  // Its submission is none that may be accepted.
+  // The submission of this job must not be accepted.
   void submittedInvalid(const std::string& job, const std::string& why) { jobs_[job].invalidReason = why; }
   void accepted(const std::string& job);
   void answeredNotFound(const std::string& job);
   void retryRejected(const std::string& job, int status);
-  // An older answer than the job's end is broken if its question was asked after the user had heard of the
-  // end, or if the controller that gives it had given the end itself. Questions to two controllers at once
-  // may cross.
+  // Reports a status that a user received. An answer older than the job's end is a violation if it was
+  // requested after the user had learned of the end, or if the controller that sent it had already reported
+  // the end itself. Requests to two controllers at the same time may overtake each other.
   void statusReported(const std::string& job, const std::string& status, const AnswerSource& source);
   void cancelRequested(const std::string& job) { jobs_[job].cancelRequested = true; }
-  // A question about it was answered, whatever the answer.
+  // A query about the job was answered, with any status.
   void queryAnswered(const std::string& job) { jobs_[job].lastAnswerAt = clock_.now(); }
-  // A worker's lease ran out with tasks on it; a report of one was not taken.
+  // The lease of a worker with tasks expired; a report of a worker was not accepted.
   void leaseExpired() { ++leasesExpired_; }
   void reportLost() { ++reportsLost_; }
-  // A worker refused a command to start or stop a task, as it had heard a later owner before.
+  // A worker refused a command to start or stop a task because it knew a later owner.
   void commandFenced() { ++fencedCommands_; }
   unsigned fencedCommands() const { return fencedCommands_; }
   void resetReportsLost() { reportsLost_ = 0; }
   unsigned leasesExpired() const { return leasesExpired_; }
   unsigned reportsLost() const { return reportsLost_; }
-  // All troubles are over from then on.
+  // No injected fault lasts beyond `at`.
   void faultsEnd(Ms at) { faultsEnd_ = std::max(faultsEnd_, at); }
-  // To be called at the end: who was not served.
+  // Checks at the end of the run which groups of jobs were not started in time.
   void checkStartDelays();
-  // What machines did. A task is on its machine from the moment its image is there.
-  // The command to start it was given at `givenAt`.
+  // Events on machines. A task is on its machine once its image has been fetched. The command to start it was
+  // sent at `commandSentAt`.
   void taskStarted(const Machine& m, const std::string& job, std::uint32_t index, Ms commandSentAt);
   void taskEnded(const std::string& machine, const std::string& job, std::uint32_t index, bool done);
-  // To be called often: what must have ended by now.
+  // Called periodically: checks everything that must have happened by now.
   void runPeriodicChecks();
 
   const std::vector<Violation>& violations() const { return violations_; }
   unsigned startsOf(const std::string& job) const;
-  // Of tasks of a job that was confirmed as cancelled, whenever the command was given.
+  // Starts of tasks after their job's cancellation was confirmed, whenever the command was sent.
   unsigned startsAfterCancel() const { return startsAfterCancel_; }
-  Ms firstStartAt(const std::string& job) const;  // -1: it has not
+  Ms firstStartAt(const std::string& job) const;  // -1: not started
   bool allDone(const std::string& job) const;
   double runningTasks(const std::string& job) const;
   std::set<std::string> machinesRunning(const std::string& job) const;
@@ -104,19 +104,19 @@
     std::optional<cherryloft::JobSpec> spec;
     bool accepted = false, cancelRequested = false;
     Ms submittedAt = 0, acceptedAt = -1, lastAnswerAt = -1, firstStartAt = -1;
-    bool lostReported = false;  // was found to be forgotten
-    std::string final;          // done or cancelled, as told
+    bool lostReported = false;  // a lost_job violation was reported
+    std::string final;          // "done" or "aborted", as reported to the user
     Ms finalAt = -1;
     std::map<unsigned, Ms> finalSentAt,
-        lastNonFinalSentAt;  // by controller: its first word of the end, its last before
+        lastNonFinalSentAt;  // by controller: when it first sent a final status, and last a non-final one
     std::set<std::uint32_t> done;
     std::map<std::uint32_t, Machine> running;
     unsigned starts = 0;
-    std::string invalidReason;  // why it can't be accepted
+    std::string invalidReason;  // why it must not be accepted
     bool fails = false;
-    std::uint32_t previouslyWaiting = 0;  // tasks that waited when last looked at
-    Ms placeableSince = -1;               // since when there is room for what waits
-    bool starvationReported = false;      // was found to be left waiting
+    std::uint32_t previouslyWaiting = 0;  // waiting tasks at the previous check
+    Ms placeableSince = -1;               // since when a waiting task could have been placed
+    bool starvationReported = false;      // a starved violation was reported
   };
   struct PlacedTasks {
     std::uint32_t tasks = 0;
--- a/tests/world/checker_starvation.cpp
+++ b/tests/world/checker_starvation.cpp
@@ -1,12 +1,12 @@
-// What only the true state of the world can judge: jobs that can't run, and jobs left waiting beside free
-// room.
+// Rules that need the true state of the machines: jobs that can never run, and jobs kept waiting although
+// there is free capacity.
 #include <algorithm>
 
 #include "world/checker.h"
 
 namespace world {
 namespace {
-constexpr Ms kStarvationLimit = 90'000;  // beside room, once all troubles are over
+constexpr Ms kStarvationLimit = 90'000;  // longest wait with free capacity, once all faults are over
 constexpr Ms kStarvationCheckInterval = 1'000;
 
 using cherryloft::JobKind;
@@ -18,7 +18,7 @@
 }
 }  // namespace
 
-// By the protocol's words about 422, with the catalog as it is.
+// Why the protocol requires a 422 answer, given the current catalog; empty if it does not.
 std::string Checker::rejectionReason(const cherryloft::JobSpec& s) const {
   const auto* team = settings_.team(s.team);
   if (!team) return "its team is unknown";
@@ -35,13 +35,13 @@
   return "";
 }
 
-// Whether one more task could start now or, of a gang that is nowhere, all of them at once.
+// Whether one more task could start now; of a gang with no placed tasks, all of them at once.
 bool Checker::isPlaceable(const Job& j, const PlacedTasks& placed, double teamUses,
                           const std::vector<MachineState>& states) const {
   const auto& s = *j.spec;
   bool whole = s.kind == JobKind::Gang;
   std::uint32_t need = whole ? s.tasks : 1;
-  if (whole && placed.tasks > 0) return false;  // it ends, or is being stopped, as a whole
+  if (whole && placed.tasks > 0) return false;  // its tasks end or are stopped together first
   if (teamUses + s.each.cores * need > settings_.team(s.team)->coreQuota + 1e-6) return false;
   std::map<std::string, std::uint32_t> fit;  // by zone
   for (const auto& r : states) {
@@ -59,7 +59,8 @@
   return (s.oneZone ? most : sum) >= need;
 }
 
-// A start of any of its tasks ends a job's wait: it has its turns. What fails everywhere may back off.
+// The start of any task of a job resets its wait, because the job is being scheduled. Jobs that fail
+// everywhere are exempt, as they may be backed off.
 void Checker::checkStarvation() {
   auto now = clock_.now();
   if (!machineStates_ || now < faultsEnd_ || now - starvationCheckedAt_ < kStarvationCheckInterval) return;
@@ -99,7 +100,8 @@
       j.placeableSince = now;
     } else if (now - j.placeableSince > kStarvationLimit) {
       j.starvationReported = true;
-      reportViolation("starved", id + " has " + std::to_string(waits) + " tasks waiting beside free room");
+      reportViolation(
+          "starved", id + " has " + std::to_string(waits) + " tasks waiting although there is free capacity");
     }
   }
 }
--- a/tests/world/cloud.cpp
+++ b/tests/world/cloud.cpp
@@ -160,7 +160,7 @@
   return {200, "{}", false, 0};
 }
 
-// As it was some time ago; now and then older than the list before it.
+// Lists the machines as of some time ago; occasionally staler than the previous list.
 HttpResponse Cloud::list(const HttpRequest& r) {
   auto q = queryOf(r.target);
   Ms lag = static_cast<Ms>(settings_.listLagS * 1000 * (clock_.chance(0.1) ? 2.0 : clock_.uniform(0.8, 1.0)));
--- a/tests/world/cloud.h
+++ b/tests/world/cloud.h
@@ -1,4 +1,4 @@
-// Stand-ins of the cloud and of its machines with their workers.
+// Test doubles of the cloud and of its machines with their workers.
 #pragma once
 
 #include <deque>
@@ -11,7 +11,7 @@
 
 namespace world {
 
-// How a task behaves, by the world's own knowledge of the job.
+// How the tasks of a job behave; known to the simulation only.
 struct JobBehavior {
   cherryloft::JobSpec spec;
   Ms runTime = 10'000;
@@ -29,16 +29,16 @@
   bool alive() const { return alive_ != nullptr; }
   void hangUntil(Ms until) { hungUntil_ = until; }
   void announceReclaim(Ms reclaimAt) { reclaimAt_ = reclaimAt; }
-  // Runs a task on nobody's order, to prove that the checker sees it.
+  // Starts a task without a command, to test that the checker detects it.
   void injectTask(const std::string& job, std::uint32_t index);
-  // From now on every task fails here soon after it began.
+  // From now on every task on this worker fails shortly after its start.
   void failAllTasks() { faulty_ = true; }
-  // From now on it obeys no kill and no lease, to prove the same.
+  // From now on the worker ignores kills and the end of its lease, to test that the checker detects it.
   void ignoreKills() { ignoresKills_ = true; }
   const Machine& machine() const { return machine_; }
   MachineState state() const;
   bool isHung() const { return clock_.now() < hungUntil_; }
-  // Its member of a gang begins to run, or ends.
+  // Its member of a gang starts to run, or ends.
   void memberStarted(const std::string& job, std::uint32_t index, std::uint64_t attempt);
   void endMember(const std::string& job, std::uint32_t index, std::uint64_t attempt,
                  const std::string& cause);
@@ -105,7 +105,7 @@
   double price = 1, spotPrice = 0.4;
   Ms boot = 5000;
   double cacheGb = 50, fetchGbPerS = 1;
-  unsigned capacity = 4, spotCapacity = 2;  // in each zone
+  unsigned capacity = 4, spotCapacity = 2;  // per zone
 };
 
 class Cloud {
@@ -118,19 +118,19 @@
   void denyCapacity(Ms until) { capacityDeniedUntil_ = until; }
   void failMachine(const std::string& machine);
   void reclaim(const std::string& machine, Ms notice);
-  // Its worker ends with all it has, and another one begins from the start.
+  // Its worker terminates with all tasks, and a new worker boots after the delay.
   void reboot(const std::string& machine, Ms after);
   std::string zoneOf(const std::string& machine) const;
   std::vector<std::string> allUp() const;
   std::vector<MachineState> machineStates() const;
   std::vector<std::string> inZone(const std::string& zone) const;
   Worker* worker(const std::string& machine);
-  // The n-th machine that is up, in order of names; null if there are fewer.
+  // The n-th machine that is up, ordered by id; null if there are fewer.
   Worker* nthUp(unsigned n);
   const GangCounts& gangs() const { return gangs_.counts(); }
   std::size_t machineCount() const;
   std::size_t totalRented() const { return rented_; }
-  // The most requests within one second.
+  // The largest number of requests within one second.
   std::size_t peakRequestRate() const { return requestRate_.peak(); }
 
  private:
--- a/tests/world/gang_rendezvous.cpp
+++ b/tests/world/gang_rendezvous.cpp
@@ -46,7 +46,7 @@
   return gang.progressBefore + until - gang.startedAt;
 }
 
-// A machine that hangs counts as a lost member.
+// A member on a machine that hangs counts as lost.
 void GangRendezvous::checkProgress(const GangKey& key) {
   auto it = gangs_.find(key);
   if (it == gangs_.end() || it->second.ended) return;
@@ -63,7 +63,7 @@
   endMembers(key, "done");
 }
 
-// Progress falls back to a multiple of the checkpoint interval.
+// Progress is rounded down to a multiple of the checkpoint interval.
 void GangRendezvous::keepLastCheckpoint(const GangKey& key) {
   auto& gang = gangs_.at(key);
   auto interval = static_cast<Ms>(gang.behavior->spec.checkpointIntervalSeconds * 1000);
@@ -104,7 +104,7 @@
   clock_.after(std::max(peerTimeout_, saveMs), [this, key] { completeStop(key); });
 }
 
-// All were told in time, or the save fails.
+// The save succeeds only if all members were notified in time.
 void GangRendezvous::completeStop(const GangKey& key) {
   auto it = gangs_.find(key);
   if (it == gangs_.end() || it->second.ended) return;
--- a/tests/world/gang_rendezvous.h
+++ b/tests/world/gang_rendezvous.h
@@ -1,4 +1,4 @@
-// How the tasks of gangs find each other: by their job and attempt, whatever machine they are on.
+// Rendezvous of the tasks of a gang, identified by job and attempt, across all machines.
 #pragma once
 
 #include <cstdint>
@@ -13,24 +13,24 @@
 class Worker;
 struct JobBehavior;
 
-// What the gangs of a world did.
+// Counters of gang events.
 struct GangCounts {
-  unsigned starts = 0;            // all members ran at once
-  unsigned checkpoints = 0;       // orderly stops that kept the progress
-  unsigned lostCheckpoints = 0;   // stops that some member was told of too late, or that gave too little time
-  unsigned assemblyTimeouts = 0;  // members that ended as the gang was not complete in time
-  unsigned startsAfterDone = 0;   // members that were started again after their gang was done
+  unsigned starts = 0;            // gangs whose members all ran at the same time
+  unsigned checkpoints = 0;       // stops that saved the progress
+  unsigned lostCheckpoints = 0;   // stops that reached some member too late or left too little time to save
+  unsigned assemblyTimeouts = 0;  // members that ended because the gang was not complete in time
+  unsigned startsAfterDone = 0;   // members started again after their gang was done
 };
 
 class GangRendezvous {
  public:
   GangRendezvous(Clock& clock, Ms assemblyTimeout, Ms peerTimeout)
       : clock_(clock), assemblyTimeout_(assemblyTimeout), peerTimeout_(peerTimeout) {}
-  // The worker's task has its image and waits for the others.
+  // The worker's task has its image and waits for the other members.
   void memberReady(Worker& worker, const JobBehavior& behavior, std::uint32_t index, std::uint64_t attempt);
-  // The task is no longer there, or its machine is gone.
+  // The task has ended, or its machine is gone.
   void memberLeft(const std::string& job, std::uint32_t index, std::uint64_t attempt, const Worker& worker);
-  // A running task is told to stop, with time enough to save.
+  // A running task was commanded to stop, with enough time to save.
   void memberNotified(const std::string& job, std::uint32_t index, std::uint64_t attempt);
   const GangCounts& counts() const { return counts_; }
 
@@ -59,7 +59,7 @@
   Clock& clock_;
   Ms assemblyTimeout_, peerTimeout_;
   std::map<GangKey, Gang> gangs_;
-  std::map<std::string, Ms> savedProgress_;  // progress of a job that is safe
+  std::map<std::string, Ms> savedProgress_;  // checkpointed progress by job
   std::map<std::string, bool> done_;
   GangCounts counts_;
 };
--- a/tests/world/intensive_polling.cpp
+++ b/tests/world/intensive_polling.cpp
@@ -1,13 +1,14 @@
-// Users who look closely: after each word about a job they ask every controller again within milliseconds.
+// Users who poll intensively: after each answer about a job they query every controller again within
+// milliseconds.
 #include "world/world.h"
 
 namespace world {
 namespace {
-constexpr Ms kAcceptancePollInterval = 20;   // whether a job that is to be cancelled is accepted by now
-constexpr unsigned kPollsPerController = 5;  // questions to each controller
-constexpr double kPollWindowMs = 60;         // of what the user heard
-constexpr double kResubmitShare = 0.2;       // the share of the looks that repeat the submission instead
-constexpr double kCancelWindowMs = 30;       // a cancellation at once, measured from the acceptance
+constexpr Ms kAcceptancePollInterval = 20;   // between checks whether a job to cancel has been accepted
+constexpr unsigned kPollsPerController = 5;  // queries to each controller
+constexpr double kPollWindowMs = 60;         // after the answer that triggered the queries
+constexpr double kResubmitShare = 0.2;       // share of the queries that resubmit the job instead
+constexpr double kCancelWindowMs = 30;       // from the acceptance to an immediate cancellation
 }  // namespace
 
 void World::pollIntensively(const std::string& id) {
--- a/tests/world/net.cpp
+++ b/tests/world/net.cpp
@@ -101,7 +101,7 @@
   if (requestObserver_) requestObserver_(from, r);
   bool dropResponse = droppedResponses_.erase({from, to}) > 0;
   auto t = arrival(from, to, true);
-  if (!t) return;  // the connection never comes about
+  if (!t) return;  // the connection cannot be opened
   *sent = true;
   auto requestDelay = delayOf(from, to, r.target, false);
   clock_.at(*t + requestDelay, [this, from, to, r = std::move(r), settle, dropResponse,
--- a/tests/world/net.h
+++ b/tests/world/net.h
@@ -1,4 +1,5 @@
-// Requests between parties of the world, with delays, cuts that hold or lose, and answers that get lost.
+// Simulated network: requests between processes with delays, partitions that hold or drop messages, and lost
+// responses.
 #pragma once
 
 #include <optional>
@@ -23,40 +24,41 @@
  public:
   Net(Clock& clock, Trace& trace) : clock_(clock), trace_(trace) {}
 
-  // A party serves under its name; without a handler connections are refused.
+  // Registers a server under a name; connections to names without a handler are refused.
   void serve(const std::string& name, Handler h) { handlers_[name] = std::move(h); }
   void stopServing(const std::string& name) { handlers_.erase(name); }
   void call(const std::string& from, const std::string& to, HttpRequest r, Ms deadline, HttpDone done);
-  // One-way words between controllers.
+  // One-way messages between controllers.
   void sendOneWay(const std::string& from, const std::string& to, std::function<void()> deliver);
 
-  // Patterns: a party's name, or a prefix that ends in '*'.
+  // A pattern is a name, or a prefix that ends in '*'.
   static bool matches(const std::string& pattern, const std::string& name);
-  // A cut is one between any of a and any of b.
+  // Partitions any process that matches a from any that matches b. With `hold`, messages are delivered after
+  // the partition ends instead of lost.
   void partition(const std::string& a, const std::string& b, Ms until, bool hold);
-  // The same for what goes from a to b only: a is heard no more, and hears all.
+  // Like partition(), but only for messages from a to b.
   void partitionOneWay(const std::string& a, const std::string& b, Ms until, bool hold);
-  // No connection can be opened from a to b; what a answers to b gets through.
+  // No connection can be opened from a to b; responses of a to b still pass.
   void refuseConnections(const std::string& a, const std::string& b, Ms until);
-  // Until then requests from a to b whose path begins so, or the answers to them, take so much longer, each
-  // by itself.
+  // Until then requests from a to b whose path starts with `path`, or the responses to them, take an
+  // additional random time between `from` and `to`, drawn for each message.
   void delay(const std::string& a, const std::string& b, const std::string& path, bool answers, Ms until,
              Ms from, Ms to);
-  // When what is being delivered at this moment was sent.
+  // When the message that is being delivered now was sent.
   Ms sentAt() const { return sentAt_; }
-  // Between those inside and all others.
+  // Partitions the processes for which `inside` holds from all others.
   void partitionGroup(std::function<bool(const std::string&)> inside, Ms until, bool hold);
-  // Until then each request to that path by a party that matches comes a second time, to one of `to`, so
-  // late.
+  // Until then each request to that path by a matching process is also delivered to one of `to`, after a
+  // delay between `minDelay` and `maxDelay`.
   void duplicateRequests(const std::string& from, const std::string& path, std::vector<std::string> to,
                          Ms until, Ms minDelay, Ms maxDelay);
-  // Called with every request that anybody sends.
+  // Calls `f` with every request that any process sends.
   void observeRequests(std::function<void(const std::string& from, const HttpRequest&)> f) {
     requestObserver_ = std::move(f);
   }
-  // Delivers a copy of such a request; its answer goes nowhere.
+  // Delivers a copy of an observed request; the response is discarded.
   void deliverCopy(const std::string& from, const std::string& to, const HttpRequest& r);
-  // The answer of the next request from a to b is lost, though the request is carried out.
+  // The response to the next request from a to b is lost, although the request is handled.
   void dropNextResponse(const std::string& from, const std::string& to) {
     droppedResponses_.insert({from, to});
   }
@@ -67,7 +69,7 @@
     Ms until;
     bool hold;
     bool oneWay = false;
-    std::function<bool(const std::string&)> inside{};  // instead of a and b
+    std::function<bool(const std::string&)> inside{};  // if set, replaces a and b
     bool onlyNewConnections = false;
   };
   struct Delay {
@@ -83,7 +85,7 @@
   void duplicate(const std::string& from, const HttpRequest& r);
   const Partition* partitionBetween(const std::string& x, const std::string& y, bool newConnection) const;
   Ms delayOf(const std::string& from, const std::string& to, const std::string& path, bool answers);
-  // When something sent now arrives; nothing if never.
+  // The arrival time of a message sent now; nullopt if it is lost.
   std::optional<Ms> arrival(const std::string& from, const std::string& to, bool newConnection = false);
 
   Clock& clock_;
--- a/tests/world/report_replay.cpp
+++ b/tests/world/report_replay.cpp
@@ -1,12 +1,12 @@
-// Old reports of machines that reach every controller just as a new leader begins.
+// Delivers old machine reports to every controller just when a new leader takes over.
 #include <algorithm>
 
 #include "world/world.h"
 
 namespace world {
 namespace {
-constexpr Ms kMinReplayAge = 2'000;       // the least age of a report that is delivered again
-constexpr double kReplayWindowMs = 1500;  // of the moment at which the new leader's record is written
+constexpr Ms kMinReplayAge = 2'000;       // minimum age of a replayed report
+constexpr double kReplayWindowMs = 1500;  // after the new leader's record is written
 }  // namespace
 
 void World::recordReports(const std::string& machines, Ms until) {
@@ -17,7 +17,7 @@
   stateService.onLeaderElected([this] { replayReports(); });
 }
 
-// Of each machine one of its reports, the same to every controller, each copy at its own moment.
+// Delivers one old report of each machine to every controller, each copy at a random time.
 void World::replayReports() {
   for (const auto& entry : recordedReports_) {
     const auto& machine = entry.first;
--- a/tests/world/state_service.cpp
+++ b/tests/world/state_service.cpp
@@ -42,7 +42,8 @@
 void StateService::outage(Ms until) {
   outageUntil_ = until;
   clock_.at(until, [this] {
-    for (auto& [_, h] : leases_) h.ends = clock_.now() + h.ttl;  // full time again
+    for (auto& [_, h] : leases_)
+      h.ends = clock_.now() + h.ttl;  // leases restart with their full TTL after an outage
     notifyWatches();
   });
 }
@@ -192,7 +193,7 @@
   });
 }
 
-// A transaction whose sender gives up on it long before it is carried out.
+// The transaction is applied long after its sender has timed out.
 bool StateService::delayWrite(const HttpRequest& r) {
   if (clock_.now() >= writesDelayedUntil_ || r.target != "/txn" || !clock_.chance(delayedShare_))
     return false;
@@ -201,7 +202,7 @@
   return true;
 }
 
-// A transaction that is carried out at once, and whose sender never hears of it.
+// The transaction is applied at once, but its sender never gets the response.
 bool StateService::dropResponse(const std::string& from, const HttpRequest& r) {
   if (clock_.now() >= responsesDroppedUntil_ || r.target != "/txn" || !clock_.chance(droppedShare_))
     return false;
@@ -209,7 +210,7 @@
   return true;
 }
 
-// Nothing changes in an outage.
+// No transaction is applied during an outage.
 void StateService::applyDelayed(const Json& doc) {
   if (clock_.now() < outageUntil_)
     clock_.at(outageUntil_ + 1, [this, doc] { applyDelayed(doc); });
--- a/tests/world/state_service.h
+++ b/tests/world/state_service.h
@@ -1,4 +1,4 @@
-// Stand-in for the state service.
+// Test double of the state service.
 #pragma once
 
 #include <map>
@@ -12,26 +12,26 @@
  public:
   StateService(Clock& clock, Net& net, unsigned txnOps, std::size_t valueBytes, double rps, double writeRps);
   void outage(Ms until);
-  // From now on these limits hold; what is stored stays readable.
+  // Applies these limits from now on; stored values stay readable.
   void setLimits(unsigned txnOps, std::size_t valueBytes, double writeRps);
-  // How many transactions it answered 400, as they were too large.
+  // Transactions answered with 400 because they were too large.
   std::size_t oversized() const { return oversized_; }
   void refuseRequests(const std::string& who, Ms until) { refused_[who] = until; }
-  // Until then that share of the transactions gets no answer and is carried out 2 to 12 s later.
+  // Until then that share of the transactions gets no response and is applied 2 to 12 s later.
   void delayWrites(double share, Ms until) { delayedShare_ = share, writesDelayedUntil_ = until; }
-  // Until then that share of the transactions is carried out at once and its answer is lost.
+  // Until then that share of the transactions is applied at once, but the response is lost.
   void dropResponses(double share, Ms until) { droppedShare_ = share, responsesDroppedUntil_ = until; }
-  // How many of them were carried out.
+  // How many of these transactions were applied.
   std::size_t responsesDropped() const { return responsesDropped_; }
-  // Called whenever a controller has begun to lead.
+  // `f` is called whenever a controller becomes leader.
   void onLeaderElected(std::function<void()> f) { onLeaderElected_ = std::move(f); }
-  // Until then answers take up to so long; what was asked is carried out before or after the wait.
+  // Until then responses take up to `atMost`; the request is applied before or after the wait.
   void addLatency(Ms atMost, Ms until) { maxLatency_ = atMost, latencyUntil_ = until; }
   std::uint64_t writes() const { return writes_; }
-  // How many times ownership of anything changed hands.
+  // How many ownership epochs were allocated, one for each change of ownership.
   std::uint64_t epochs() const;
   std::size_t largestValue() const { return largestValue_; }
-  // How many requests it answered 429.
+  // Requests answered with 429.
   std::size_t throttled() const { return throttled_; }
 
  private:
@@ -92,7 +92,7 @@
   std::vector<std::shared_ptr<Watch>> watches_;
 };
 
-// "a=1&b=2" behind the question mark.
+// Parses the query of a target, such as "a=1&b=2" after the question mark.
 std::map<std::string, std::string> queryOf(const std::string& target);
 
 }  // namespace world
--- a/tests/world/user_edge_cases.cpp
+++ b/tests/world/user_edge_cases.cpp
@@ -1,4 +1,4 @@
-// What users do that is odd, or at the oddest moment.
+// User requests that are unusual or arrive at critical moments.
 #include "world/world.h"
 
 namespace world {
--- a/tests/world/worker.cpp
+++ b/tests/world/worker.cpp
@@ -48,7 +48,7 @@
   tasks_.clear();
 }
 
-// A hanging machine does nothing until it resumes.
+// A machine that hangs defers everything until it resumes.
 void Worker::runUnlessHung(std::function<void()> f) {
   if (clock_.now() < hungUntil_)
     later(hungUntil_ - clock_.now(), std::move(f));
@@ -118,7 +118,7 @@
   auto doc = Json::parse(r.response.body);
   scheduleReport(static_cast<Ms>(settings_.reportS * 1000 * clock_.uniform(0.75, 1.25)));
   auto token = doc.value("epoch", std::uint64_t{0});
-  if (incarnation != session_ || token < token_) return;  // dropped: renews nothing
+  if (incarnation != session_ || token < token_) return;  // stale: does not renew the lease
   bool higher = token > token_;
   token_ = token;
   leaseFrom_ = sentAt;
@@ -166,7 +166,8 @@
   h.commandSentAt = commandSentAt;
   h.run = ++lastTimerRun_;
   if (it != tasks_.end() && it->second.state != "ended") {
-    // Held with another attempt: the refusal can't be shown beside it here, so it just does nothing.
+    // The task is here with another attempt. The report cannot show a rejected attempt next to it, so the
+    // command is ignored.
     return;
   }
   cherryloft::Resources used;
@@ -219,7 +220,8 @@
   reportSoon();
 }
 
-// A running task with checkpoints saves if it is given the time; a second command without it ends the saving.
+// A running task with checkpoints saves its progress if the grace period allows; a second kill without a
+// grace period aborts the save.
 void Worker::kill(const TaskKey& k, double graceS) {
   auto& held = tasks_.at(k);
   const auto& spec = behaviors_.at(k.first).spec;
@@ -263,7 +265,7 @@
   });
 }
 
-// Of tasks that are no members of a gang the board knows nothing.
+// Tasks that are not members of a gang are unknown to the rendezvous.
 void Worker::notifyGangOfExit(const TaskKey& k, const HeldTask& held) {
   if (held.onMachine) gangs_.memberLeft(k.first, k.second, held.attempt, *this);
 }
