--- a/tests/world/checker.h
+++ b/tests/world/checker.h
@@ -125,7 +125,7 @@
   using PlacedTasksByJob = std::map<std::string, PlacedTasks>;
   std::string rejectionReason(const cherryloft::JobSpec& s) const;
   void checkStarvation();
-  bool isPlaceable(const Job& j, const PlacedTasks& placed, double teamUses,
+  bool isPlaceable(const Job& j, const PlacedTasks& placed, double coresOfTeam,
                    const std::vector<MachineState>& states) const;
   void checkStartShare(const std::string& group, const std::vector<const Job*>& jobs);
   void reportViolation(const std::string& rule, const std::string& what) {
--- a/tests/world/checker_starvation.cpp
+++ b/tests/world/checker_starvation.cpp
@@ -36,27 +36,30 @@
 }
 
 // Whether one more task could start now; of a gang with no placed tasks, all of them at once.
-bool Checker::isPlaceable(const Job& j, const PlacedTasks& placed, double teamUses,
+bool Checker::isPlaceable(const Job& j, const PlacedTasks& placed, double coresOfTeam,
                           const std::vector<MachineState>& states) const {
   const auto& s = *j.spec;
-  bool whole = s.kind == JobKind::Gang;
-  std::uint32_t need = whole ? s.tasks : 1;
-  if (whole && placed.tasks > 0) return false;  // its tasks end or are stopped together first
-  if (teamUses + s.each.cores * need > settings_.team(s.team)->coreQuota + 1e-6) return false;
-  std::map<std::string, std::uint32_t> fit;  // by zone
+  bool isGang = s.kind == JobKind::Gang;
+  std::uint32_t tasksNeeded = isGang ? s.tasks : 1;
+  if (isGang && placed.tasks > 0) return false;  // its tasks end or are stopped together first
+  if (coresOfTeam + s.each.cores * tasksNeeded > settings_.team(s.team)->coreQuota + 1e-6) return false;
+  std::map<std::string, std::uint32_t> startableByZone;
   for (const auto& r : states) {
     if (!r.schedulable || !isAllowedOn(s, r.machine)) continue;
     const auto& zone = r.machine.zone;
-    auto there = placed.zones.find(zone);
-    std::uint32_t have = there == placed.zones.end() ? 0 : there->second;
-    if (s.oneZone && placed.tasks > have) continue;
-    auto& n = fit[zone];
-    for (auto free = r.free; n + have < maxTasksPerZone(s) && n < need && s.each.fitsIn(free); free -= s.each)
-      ++n;
+    auto zoneEntry = placed.zones.find(zone);
+    std::uint32_t placedInZone = zoneEntry == placed.zones.end() ? 0 : zoneEntry->second;
+    if (s.oneZone && placed.tasks > placedInZone) continue;
+    auto& startable = startableByZone[zone];
+    for (auto free = r.free;
+         startable + placedInZone < maxTasksPerZone(s) && startable < tasksNeeded && s.each.fitsIn(free);
+         free -= s.each)
+      ++startable;
   }
-  std::uint32_t sum = 0, most = 0;
-  for (const auto& [_, n] : fit) sum += n, most = std::max(most, n);
-  return (s.oneZone ? most : sum) >= need;
+  std::uint32_t totalStartable = 0, largestZone = 0;
+  for (const auto& [_, startable] : startableByZone)
+    totalStartable += startable, largestZone = std::max(largestZone, startable);
+  return (s.oneZone ? largestZone : totalStartable) >= tasksNeeded;
 }
 
 // The start of any task of a job resets its wait, because the job is being scheduled. Jobs that fail
@@ -67,7 +70,7 @@
   starvationCheckedAt_ = now;
   std::vector<MachineState> states;
   PlacedTasksByJob placed;
-  std::map<std::string, double> uses;
+  std::map<std::string, double> teamCores;
   bool statesRead = false;
   for (auto& [id, j] : jobs_) {
     bool open =
@@ -85,23 +88,23 @@
           if (it == jobs_.end() || !it->second.spec) continue;
           auto& h = placed[job];
           ++h.tasks, ++h.zones[r.machine.zone];
-          uses[it->second.spec->team.value] += it->second.spec->each.cores;
+          teamCores[it->second.spec->team.value] += it->second.spec->each.cores;
         }
     }
     const auto& h = placed[id];
-    auto there = static_cast<std::uint32_t>(j.done.size()) + h.tasks;
-    auto waits = there < j.spec->tasks ? j.spec->tasks - there : 0;
-    bool starving =
-        waits > 0 && waits >= j.previouslyWaiting && isPlaceable(j, h, uses[j.spec->team.value], states);
-    j.previouslyWaiting = waits;
+    auto placedOrDone = static_cast<std::uint32_t>(j.done.size()) + h.tasks;
+    auto waitingTasks = placedOrDone < j.spec->tasks ? j.spec->tasks - placedOrDone : 0;
+    bool starving = waitingTasks > 0 && waitingTasks >= j.previouslyWaiting &&
+                    isPlaceable(j, h, teamCores[j.spec->team.value], states);
+    j.previouslyWaiting = waitingTasks;
     if (!starving) {
       j.placeableSince = -1;
     } else if (j.placeableSince < 0) {
       j.placeableSince = now;
     } else if (now - j.placeableSince > kStarvationLimit) {
       j.starvationReported = true;
-      reportViolation(
-          "starved", id + " has " + std::to_string(waits) + " tasks waiting although there is free capacity");
+      reportViolation("starved", id + " has " + std::to_string(waitingTasks) +
+                                     " tasks waiting although there is free capacity");
     }
   }
 }
--- a/tests/world/clock.h
+++ b/tests/world/clock.h
@@ -16,13 +16,15 @@
  public:
   explicit Clock(std::uint64_t seed) : rng(seed) {}
   Ms now() const { return now_; }
-  void at(Ms t, std::function<void()> f) { queue_.emplace(std::max(t, now_), std::move(f)); }
-  void after(Ms d, std::function<void()> f) { at(now_ + d, std::move(f)); }
+  void at(Ms when, std::function<void()> callback) {
+    queue_.emplace(std::max(when, now_), std::move(callback));
+  }
+  void after(Ms delay, std::function<void()> callback) { at(now_ + delay, std::move(callback)); }
   void run(Ms until) {
     while (!queue_.empty() && queue_.begin()->first <= until) {
-      auto e = queue_.extract(queue_.begin());
-      now_ = e.key();
-      e.mapped()();
+      auto event = queue_.extract(queue_.begin());
+      now_ = event.key();
+      event.mapped()();
     }
     now_ = until;
   }
--- a/tests/world/cloud.cpp
+++ b/tests/world/cloud.cpp
@@ -10,7 +10,7 @@
 using Json = nlohmann::json;
 }
 
-Cloud::Cloud(Clock& clock, Net& net, Checker& checker, const JobBehaviors& behaviors,
+Cloud::Cloud(Clock& clock, Network& net, Checker& checker, const JobBehaviors& behaviors,
              const cherryloft::Settings& settings, std::vector<CloudType> types, unsigned controllers)
     : clock_(clock),
       net_(net),
@@ -58,8 +58,8 @@
   auto& r = machines_.at(machine);
   if (r.worker) r.worker->terminate();
   clock_.after(30'000, [this, machine] {
-    auto& gone = machines_.at(machine);
-    if (gone.goneAt < 0) gone.failedAt = clock_.now();
+    auto& rented = machines_.at(machine);
+    if (rented.goneAt < 0) rented.failedAt = clock_.now();
   });
 }
 
@@ -67,9 +67,9 @@
   auto& r = machines_.at(machine);
   if (notice > 0 && r.worker) r.worker->announceReclaim(clock_.now() + notice);
   clock_.after(notice, [this, machine] {
-    auto& gone = machines_.at(machine);
-    if (gone.worker) gone.worker->terminate();
-    if (gone.goneAt < 0) gone.goneAt = clock_.now();
+    auto& rented = machines_.at(machine);
+    if (rented.worker) rented.worker->terminate();
+    if (rented.goneAt < 0) rented.goneAt = clock_.now();
   });
 }
 
--- a/tests/world/cloud.h
+++ b/tests/world/cloud.h
@@ -21,7 +21,7 @@
 
 class Worker {
  public:
-  Worker(Clock& clock, Net& net, Checker& checker, GangRendezvous& gangs, const JobBehaviors& behaviors,
+  Worker(Clock& clock, Network& net, Checker& checker, GangRendezvous& gangs, const JobBehaviors& behaviors,
          const cherryloft::Settings& settings, Machine machine, std::string address, double fetchGbPerS,
          cherryloft::Resources size, unsigned controllers);
   ~Worker() { terminate(); }
@@ -68,7 +68,7 @@
   void execute(const Json& commands, Ms commandSentAt);
   void start(const TaskKey& k, std::uint64_t attempt, Ms commandSentAt);
   void imageFetched(const TaskKey& k, std::uint64_t run);
-  void kill(const TaskKey& k, double graceS);
+  void kill(const TaskKey& k, double gracePeriodS);
   void end(const TaskKey& k, const std::string& cause);
   HeldTask* findMember(const std::string& job, std::uint32_t index, std::uint64_t attempt);
   void notifyGangOfExit(const TaskKey& k, const HeldTask& held);
@@ -78,7 +78,7 @@
   Json reportBody();
 
   Clock& clock_;
-  Net& net_;
+  Network& net_;
   Checker& checker_;
   GangRendezvous& gangs_;
   const JobBehaviors& behaviors_;
@@ -110,7 +110,7 @@
 
 class Cloud {
  public:
-  Cloud(Clock& clock, Net& net, Checker& checker, const JobBehaviors& behaviors,
+  Cloud(Clock& clock, Network& net, Checker& checker, const JobBehaviors& behaviors,
         const cherryloft::Settings& settings, std::vector<CloudType> types, unsigned controllers);
   void addRunning(const std::string& type, const std::string& zone);
   void outage(Ms until) { outageUntil_ = until; }
@@ -148,7 +148,7 @@
   std::string addressOf(const std::string& id) const;
 
   Clock& clock_;
-  Net& net_;
+  Network& net_;
   Checker& checker_;
   const JobBehaviors& behaviors_;
   const cherryloft::Settings& settings_;
--- a/tests/world/gang_rendezvous.cpp
+++ b/tests/world/gang_rendezvous.cpp
@@ -100,8 +100,8 @@
   if (auto member = gang.members.find(index); member != gang.members.end()) member->second.notified = true;
   if (gang.firstNotifiedAt >= 0) return;
   gang.firstNotifiedAt = clock_.now();
-  auto saveMs = static_cast<Ms>(gang.behavior->spec.checkpointSeconds * 1000);
-  clock_.after(std::max(peerTimeout_, saveMs), [this, key] { completeStop(key); });
+  auto saveTime = static_cast<Ms>(gang.behavior->spec.checkpointSeconds * 1000);
+  clock_.after(std::max(peerTimeout_, saveTime), [this, key] { completeStop(key); });
 }
 
 // The save succeeds only if all members were notified in time.
--- a/tests/world/net.cpp
+++ b/tests/world/net.cpp
@@ -5,30 +5,30 @@
 
 namespace world {
 
-bool Net::matches(const std::string& pattern, const std::string& name) {
+bool Network::matches(const std::string& pattern, const std::string& name) {
   if (!pattern.empty() && pattern.back() == '*')
     return name.compare(0, pattern.size() - 1, pattern, 0, pattern.size() - 1) == 0;
   return pattern == name;
 }
 
-void Net::partition(const std::string& a, const std::string& b, Ms until, bool hold) {
+void Network::partition(const std::string& a, const std::string& b, Ms until, bool hold) {
   partitions_.push_back({a, b, until, hold});
 }
 
-void Net::partitionOneWay(const std::string& a, const std::string& b, Ms until, bool hold) {
+void Network::partitionOneWay(const std::string& a, const std::string& b, Ms until, bool hold) {
   partitions_.push_back({a, b, until, hold, true});
 }
 
-void Net::refuseConnections(const std::string& a, const std::string& b, Ms until) {
+void Network::refuseConnections(const std::string& a, const std::string& b, Ms until) {
   partitions_.push_back({a, b, until, false, true, {}, true});
 }
 
-void Net::delay(const std::string& a, const std::string& b, const std::string& path, bool answers, Ms until,
-                Ms from, Ms to) {
+void Network::delay(const std::string& a, const std::string& b, const std::string& path, bool answers,
+                    Ms until, Ms from, Ms to) {
   delays_.push_back({a, b, path, answers, until, from, to});
 }
 
-Ms Net::delayOf(const std::string& from, const std::string& to, const std::string& path, bool answers) {
+Ms Network::delayOf(const std::string& from, const std::string& to, const std::string& path, bool answers) {
   Ms sum = 0;
   for (const auto& d : delays_)
     if (clock_.now() < d.until && d.answers == answers && matches(d.from, from) && matches(d.to, to) &&
@@ -37,16 +37,16 @@
   return sum;
 }
 
-void Net::partitionGroup(std::function<bool(const std::string&)> inside, Ms until, bool hold) {
+void Network::partitionGroup(std::function<bool(const std::string&)> inside, Ms until, bool hold) {
   partitions_.push_back({"", "", until, hold, false, std::move(inside)});
 }
 
-void Net::duplicateRequests(const std::string& from, const std::string& path, std::vector<std::string> to,
-                            Ms until, Ms minDelay, Ms maxDelay) {
+void Network::duplicateRequests(const std::string& from, const std::string& path, std::vector<std::string> to,
+                                Ms until, Ms minDelay, Ms maxDelay) {
   duplications_.push_back({from, path, std::move(to), until, minDelay, maxDelay});
 }
 
-void Net::duplicate(const std::string& from, const HttpRequest& r) {
+void Network::duplicate(const std::string& from, const HttpRequest& r) {
   for (const auto& c : duplications_) {
     if (clock_.now() >= c.until || r.target != c.path || !matches(c.from, from)) continue;
     auto requestDelay =
@@ -56,14 +56,14 @@
   }
 }
 
-void Net::deliverCopy(const std::string& from, const std::string& to, const HttpRequest& r) {
+void Network::deliverCopy(const std::string& from, const std::string& to, const HttpRequest& r) {
   sentAt_ = clock_.now();
   trace_.request(clock_.now(), from, to, r);
   if (auto h = handlers_.find(to); h != handlers_.end()) h->second(from, r, [](HttpResponse) {});
 }
 
-const Net::Partition* Net::partitionBetween(const std::string& x, const std::string& y,
-                                            bool newConnection) const {
+const Network::Partition* Network::partitionBetween(const std::string& x, const std::string& y,
+                                                    bool newConnection) const {
   const Partition* longest = nullptr;
   for (const auto& c : partitions_) {
     if (c.onlyNewConnections && !newConnection) continue;
@@ -76,7 +76,7 @@
   return longest;
 }
 
-std::optional<Ms> Net::arrival(const std::string& from, const std::string& to, bool newConnection) {
+std::optional<Ms> Network::arrival(const std::string& from, const std::string& to, bool newConnection) {
   Ms delay = static_cast<Ms>(clock_.uniform(1, 5));
   const Partition* c = partitionBetween(from, to, newConnection);
   if (!c) return clock_.now() + delay;
@@ -84,11 +84,12 @@
   return c->until + delay;
 }
 
-void Net::sendOneWay(const std::string& from, const std::string& to, std::function<void()> deliver) {
+void Network::sendOneWay(const std::string& from, const std::string& to, std::function<void()> deliver) {
   if (auto t = arrival(from, to)) clock_.at(*t, std::move(deliver));
 }
 
-void Net::call(const std::string& from, const std::string& to, HttpRequest r, Ms deadline, HttpDone done) {
+void Network::call(const std::string& from, const std::string& to, HttpRequest r, Ms deadline,
+                   HttpDone done) {
   using Outcome = HttpResult::Outcome;
   auto settled = std::make_shared<bool>(false);
   auto sent = std::make_shared<bool>(false);
@@ -116,8 +117,8 @@
       auto back = arrival(to, from);
       if (dropResponse || !back) return;
       auto responseDelay = delayOf(from, to, path, true);
-      clock_.at(*back + responseDelay, [this, settle, response = std::move(response), given = clock_.now()] {
-        sentAt_ = given;
+      clock_.at(*back + responseDelay, [this, settle, response = std::move(response), sentAt = clock_.now()] {
+        sentAt_ = sentAt;
         settle({Outcome::Answered, response});
       });
     });
--- a/tests/world/net.h
+++ b/tests/world/net.h
@@ -20,9 +20,9 @@
 using Reply = std::function<void(HttpResponse)>;
 using Handler = std::function<void(const std::string& from, HttpRequest, Reply)>;
 
-class Net {
+class Network {
  public:
-  Net(Clock& clock, Trace& trace) : clock_(clock), trace_(trace) {}
+  Network(Clock& clock, Trace& trace) : clock_(clock), trace_(trace) {}
 
   // Registers a server under a name; connections to names without a handler are refused.
   void serve(const std::string& name, Handler h) { handlers_[name] = std::move(h); }
--- a/tests/world/report_replay.cpp
+++ b/tests/world/report_replay.cpp
@@ -11,7 +11,7 @@
 
 void World::recordReports(const std::string& machines, Ms until) {
   net.observeRequests([this, machines, until](const std::string& from, const HttpRequest& r) {
-    if (clock.now() < until && r.target == "/checkin" && Net::matches(machines, from))
+    if (clock.now() < until && r.target == "/checkin" && Network::matches(machines, from))
       recordedReports_[from].push_back({clock.now(), r});
   });
   stateService.onLeaderElected([this] { replayReports(); });
--- a/tests/world/scenario_fault_actions.cpp
+++ b/tests/world/scenario_fault_actions.cpp
@@ -56,39 +56,39 @@
 
 // partition FROM TO FOR hold|drop
 void partition(Context context) {
-  auto from = partyNamed(context.world, context.line.word(3));
-  auto to = partyNamed(context.world, context.line.word(4));
+  auto from = endpointNamed(context.world, context.line.word(3));
+  auto to = endpointNamed(context.world, context.line.word(4));
   context.world.net.partition(from, to, context.until(5), context.line.word(6) == kHold);
 }
 
 // partition-zone ZONE FOR hold|drop
 void partitionZone(Context context) {
   auto& world = context.world;
-  auto inZone = [&world, zone = context.line.word(3)](const std::string& party) {
-    return world.zoneOf(party) == zone;
+  auto inZone = [&world, zone = context.line.word(3)](const std::string& endpoint) {
+    return world.zoneOf(endpoint) == zone;
   };
   world.net.partitionGroup(inZone, context.until(4), context.line.word(5) == kHold);
 }
 
 // partition-one-way FROM TO FOR hold|drop
 void partitionOneWay(Context context) {
-  for (const auto& to : partiesNamed(context.world, context.line.word(4)))
+  for (const auto& to : endpointsNamed(context.world, context.line.word(4)))
     context.world.net.partitionOneWay(context.line.word(3), to, context.until(5),
                                       context.line.word(6) == kHold);
 }
 
 // refuse-connections FROM TO FOR
 void refuseConnections(Context context) {
-  for (const auto& from : partiesNamed(context.world, context.line.word(3)))
-    context.world.net.refuseConnections(from, partyNamed(context.world, context.line.word(4)),
+  for (const auto& from : endpointsNamed(context.world, context.line.word(3)))
+    context.world.net.refuseConnections(from, endpointNamed(context.world, context.line.word(4)),
                                         context.until(5));
 }
 
 // delay A B PATH FOR FROM TO request|answer
 void delay(Context context) {
   const auto& line = context.line;
-  auto from = partyNamed(context.world, line.word(3));
-  auto to = partyNamed(context.world, line.word(4));
+  auto from = endpointNamed(context.world, line.word(3));
+  auto to = endpointNamed(context.world, line.word(4));
   context.world.net.delay(from, to, line.word(5), line.word(9) == kAnswer, context.until(6), line.duration(7),
                           line.duration(8));
 }
@@ -98,13 +98,14 @@
   std::vector<std::string> nodes;
   for (unsigned number = 0; number < context.world.controllers.size(); ++number)
     nodes.push_back("node" + std::to_string(number));
-  context.world.net.duplicateRequests(partyNamed(context.world, context.line.word(3)), "/checkin", nodes,
+  context.world.net.duplicateRequests(endpointNamed(context.world, context.line.word(3)), "/checkin", nodes,
                                       context.until(4), context.line.duration(5), context.line.duration(6));
 }
 
 // drop-response PATH MACHINE
 void dropResponse(Context context) {
-  context.world.net.dropNextResponse(context.line.word(3), partyNamed(context.world, context.line.word(4)));
+  context.world.net.dropNextResponse(context.line.word(3),
+                                     endpointNamed(context.world, context.line.word(4)));
 }
 
 // outage store|cloud FOR
@@ -139,7 +140,7 @@
       {"lost-responses",
        {[](Context c) { c.world.stateService.dropResponses(c.line.number(3), c.until(4)); }, 4}},
       {"replay-reports",
-       {[](Context c) { c.world.recordReports(partyNamed(c.world, c.line.word(3)), c.until(4)); }, 4}},
+       {[](Context c) { c.world.recordReports(endpointNamed(c.world, c.line.word(3)), c.until(4)); }, 4}},
       {"store-latency",
        {[](Context c) { c.world.stateService.addLatency(c.line.duration(3), c.until(4)); }, 4, 3}},
       {"boot-failure", {[](Context c) { c.world.cloud.failBoots(c.until(3)); }, 3}},
--- a/tests/world/scenario_parties.cpp
+++ b/tests/world/scenario_parties.cpp
@@ -25,14 +25,14 @@
   return worker ? worker->machine().id : "";
 }
 
-std::string partyNamed(World& world, const std::string& word) {
+std::string endpointNamed(World& world, const std::string& word) {
   bool machine = word.starts_with(kJobPrefix) || std::isdigit(static_cast<unsigned char>(word[0]));
   return machine ? machineNamed(world, word) : word;
 }
 
-std::vector<std::string> partiesNamed(World& world, const std::string& word) {
+std::vector<std::string> endpointsNamed(World& world, const std::string& word) {
   if (word.starts_with(kZonePrefix)) return world.cloud.inZone(word.substr(kZonePrefix.size()));
-  return {partyNamed(world, word)};
+  return {endpointNamed(world, word)};
 }
 
 std::vector<ControllerProcess*> controllersNamed(World& world, const std::string& word) {
--- a/tests/world/scenario_parties.h
+++ b/tests/world/scenario_parties.h
@@ -13,10 +13,10 @@
 std::string machineNamed(World& world, const std::string& word);
 
 // A connection endpoint: a machine as above; any other name is returned unchanged.
-std::string partyNamed(World& world, const std::string& word);
+std::string endpointNamed(World& world, const std::string& word);
 
 // Like partyNamed(); "zone:a" stands for all machines that are up in that zone now.
-std::vector<std::string> partiesNamed(World& world, const std::string& word);
+std::vector<std::string> endpointsNamed(World& world, const std::string& word);
 
 // "2", or "*" for all controllers.
 std::vector<ControllerProcess*> controllersNamed(World& world, const std::string& word);
--- a/tests/world/state_service.cpp
+++ b/tests/world/state_service.cpp
@@ -8,18 +8,18 @@
 namespace world {
 
 std::map<std::string, std::string> queryOf(const std::string& target) {
-  std::map<std::string, std::string> q;
+  std::map<std::string, std::string> query;
   auto at = target.find('?');
-  if (at == std::string::npos) return q;
+  if (at == std::string::npos) return query;
   std::istringstream in(target.substr(at + 1));
   for (std::string part; std::getline(in, part, '&');) {
     auto eq = part.find('=');
-    q[part.substr(0, eq)] = eq == std::string::npos ? "" : part.substr(eq + 1);
+    query[part.substr(0, eq)] = eq == std::string::npos ? "" : part.substr(eq + 1);
   }
-  return q;
+  return query;
 }
 
-StateService::StateService(Clock& clock, Net& net, unsigned txnOps, std::size_t valueBytes, double rps,
+StateService::StateService(Clock& clock, Network& net, unsigned txnOps, std::size_t valueBytes, double rps,
                            double writeRps)
     : clock_(clock), txnOps_(txnOps), valueBytes_(valueBytes), requestBudget_(rps), writeBudget_(writeRps) {
   net.serve("store", [this](const std::string& from, HttpRequest r, Reply reply) {
@@ -140,10 +140,10 @@
   return {200, "{}", false, 0};
 }
 
-HttpResponse StateService::list(const std::map<std::string, std::string>& q) const {
-  const auto& prefix = q.at("prefix");
-  auto limit = q.count("limit") ? std::stoul(q.at("limit")) : 1000;
-  auto it = q.count("since") ? data_.upper_bound(q.at("since")) : data_.lower_bound(prefix);
+HttpResponse StateService::list(const std::map<std::string, std::string>& query) const {
+  const auto& prefix = query.at("prefix");
+  auto limit = query.count("limit") ? std::stoul(query.at("limit")) : 1000;
+  auto it = query.count("since") ? data_.upper_bound(query.at("since")) : data_.lower_bound(prefix);
   Json entries = Json::array();
   std::size_t bytes = 0;
   bool truncated = false;
@@ -158,38 +158,40 @@
   return {200, Json{{"entries", entries}, {"truncated", truncated}, {"ledger_rev", rev_}}.dump(), false, 0};
 }
 
-bool StateService::sendEvents(Watch& w, bool sendEmpty) {
+bool StateService::sendEvents(Watch& watcher, bool sendEmpty) {
   Json events = Json::array();
   std::map<std::string, Json> last;
   auto from =
-      std::partition_point(log_.begin(), log_.end(), [&](const Change& c) { return c.rev <= w.since; });
+      std::partition_point(log_.begin(), log_.end(), [&](const Change& c) { return c.rev <= watcher.since; });
   for (; from != log_.end(); ++from) {
     const auto& c = *from;
-    if (c.key.compare(0, w.prefix.size(), w.prefix) != 0) continue;
+    if (c.key.compare(0, watcher.prefix.size(), watcher.prefix) != 0) continue;
     Json e = c.value ? Json{{"write", c.key}, {"value", *c.value}, {"stamp", c.rev}}
                      : Json{{"drop", c.key}, {"stamp", c.rev}};
     events.push_back(std::move(e));
   }
   if (events.empty() && !sendEmpty) return false;
-  w.answered = true;
-  w.reply({200, Json{{"ledger_rev", rev_}, {"news", events}}.dump(), false, 0});
+  watcher.answered = true;
+  watcher.reply({200, Json{{"ledger_rev", rev_}, {"news", events}}.dump(), false, 0});
   return true;
 }
 
 void StateService::notifyWatches() {
   auto all = watches_;
-  for (auto& w : all)
-    if (!w->answered && !isUnavailableTo(w->from)) sendEvents(*w, false);
-  std::erase_if(watches_, [](const auto& w) { return w->answered; });
-}
-
-void StateService::watch(const std::string& from, const std::map<std::string, std::string>& q, Reply reply) {
-  auto w = std::make_shared<Watch>(Watch{from, q.at("prefix"), std::stoull(q.at("since")), std::move(reply)});
-  Ms wait = q.count("wait_ms") ? std::stoll(q.at("wait_ms")) : 0;
-  if (sendEvents(*w, wait == 0)) return;
-  watches_.push_back(w);
-  clock_.after(wait, [this, w] {
-    if (!w->answered && !isUnavailableTo(w->from)) sendEvents(*w, true);
+  for (auto& watcher : all)
+    if (!watcher->answered && !isUnavailableTo(watcher->from)) sendEvents(*watcher, false);
+  std::erase_if(watches_, [](const auto& watcher) { return watcher->answered; });
+}
+
+void StateService::watch(const std::string& from, const std::map<std::string, std::string>& query,
+                         Reply reply) {
+  auto watcher = std::make_shared<Watch>(
+      Watch{from, query.at("prefix"), std::stoull(query.at("since")), std::move(reply)});
+  Ms wait = query.count("wait_ms") ? std::stoll(query.at("wait_ms")) : 0;
+  if (sendEvents(*watcher, wait == 0)) return;
+  watches_.push_back(watcher);
+  clock_.after(wait, [this, watcher] {
+    if (!watcher->answered && !isUnavailableTo(watcher->from)) sendEvents(*watcher, true);
   });
 }
 
--- a/tests/world/state_service.h
+++ b/tests/world/state_service.h
@@ -10,7 +10,8 @@
 
 class StateService {
  public:
-  StateService(Clock& clock, Net& net, unsigned txnOps, std::size_t valueBytes, double rps, double writeRps);
+  StateService(Clock& clock, Network& net, unsigned txnOps, std::size_t valueBytes, double rps,
+               double writeRps);
   void outage(Ms until);
   // Applies these limits from now on; stored values stay readable.
   void setLimits(unsigned txnOps, std::size_t valueBytes, double writeRps);
@@ -65,9 +66,9 @@
   HttpResponse rejectThrottled();
   HttpResponse rejectOversized();
   HttpResponse handleLease(const HttpRequest& r);
-  HttpResponse list(const std::map<std::string, std::string>& q) const;
-  void watch(const std::string& from, const std::map<std::string, std::string>& q, Reply reply);
-  bool sendEvents(Watch& w, bool sendEmpty);
+  HttpResponse list(const std::map<std::string, std::string>& query) const;
+  void watch(const std::string& from, const std::map<std::string, std::string>& query, Reply reply);
+  bool sendEvents(Watch& watcher, bool sendEmpty);
   void notifyWatches();
   void expireLeases();
   void put(const std::string& key, std::optional<Json> value, std::uint64_t lease);
--- a/tests/world/worker.cpp
+++ b/tests/world/worker.cpp
@@ -9,9 +9,9 @@
 }
 }  // namespace
 
-Worker::Worker(Clock& clock, Net& net, Checker& checker, GangRendezvous& gangs, const JobBehaviors& behaviors,
-               const cherryloft::Settings& settings, Machine machine, std::string address, double fetchGbPerS,
-               cherryloft::Resources size, unsigned controllers)
+Worker::Worker(Clock& clock, Network& net, Checker& checker, GangRendezvous& gangs,
+               const JobBehaviors& behaviors, const cherryloft::Settings& settings, Machine machine,
+               std::string address, double fetchGbPerS, cherryloft::Resources size, unsigned controllers)
     : clock_(clock),
       net_(net),
       checker_(checker),
@@ -57,8 +57,8 @@
 }
 
 void Worker::scheduleReport(Ms d) {
-  later(d, [this, mine = ++timer_] {
-    if (mine == timer_) runUnlessHung([this] { report(); });
+  later(d, [this, scheduled = ++timer_] {
+    if (scheduled == timer_) runUnlessHung([this] { report(); });
   });
 }
 
@@ -204,8 +204,8 @@
   later(runTime, [this, k, run, fails] {
     runUnlessHung([this, k, run, fails] {
       auto held = tasks_.find(k);
-      bool there = held != tasks_.end() && held->second.run == run;
-      if (there && (held->second.state == "running" || held->second.state == "gathering"))
+      bool present = held != tasks_.end() && held->second.run == run;
+      if (present && (held->second.state == "running" || held->second.state == "gathering"))
         end(k, fails ? "error" : "done");
     });
   });
@@ -222,11 +222,11 @@
 
 // A running task with checkpoints saves its progress if the grace period allows; a second kill without a
 // grace period aborts the save.
-void Worker::kill(const TaskKey& k, double graceS) {
+void Worker::kill(const TaskKey& k, double gracePeriodS) {
   auto& held = tasks_.at(k);
   const auto& spec = behaviors_.at(k.first).spec;
-  bool maySave = spec.checkpointIntervalSeconds > 0 && graceS >= spec.checkpointSeconds;
-  if (held.state == "flushing" && graceS > 0) return;
+  bool maySave = spec.checkpointIntervalSeconds > 0 && gracePeriodS >= spec.checkpointSeconds;
+  if (held.state == "flushing" && gracePeriodS > 0) return;
   if (held.state != "running" || !maySave) {
     notifyGangOfExit(k, held);
     return end(k, "halted");
@@ -244,8 +244,8 @@
 
 Worker::HeldTask* Worker::findMember(const std::string& job, std::uint32_t index, std::uint64_t attempt) {
   auto it = tasks_.find({job, index});
-  bool there = it != tasks_.end() && it->second.attempt == attempt && it->second.state != "ended";
-  return there ? &it->second : nullptr;
+  bool present = it != tasks_.end() && it->second.attempt == attempt && it->second.state != "ended";
+  return present ? &it->second : nullptr;
 }
 
 void Worker::memberStarted(const std::string& job, std::uint32_t index, std::uint64_t attempt) {
--- a/tests/world/world.cpp
+++ b/tests/world/world.cpp
@@ -16,7 +16,7 @@
   return level ? cherryloft::makeLog(controllerName(n), level) : cherryloft::silentLog();
 }
 
-std::string partyAt(const cherryloft::Address& a) {
+std::string endpointNameOf(const cherryloft::Address& a) {
   if (a.ip == "10.2.0.1") return "store";
   if (a.ip == "10.2.0.2") return "cloud";
   auto last = a.ip.rfind('.');
@@ -39,8 +39,8 @@
     if (n != node)
       siblings.push_back(
           {{"node", name(n)}, {"location", zones[n % zones.size()]}, {"address", address(n, 81)}});
-  for (unsigned t = 0; t < teams; ++t)
-    teamList.push_back({{"name", "team-" + std::to_string(t)},
+  for (unsigned team = 0; team < teams; ++team)
+    teamList.push_back({{"name", "team-" + std::to_string(team)},
                         {"cpus", guaranteed},
                         {"cpus_max", limit},
                         {"gpus", 0},
@@ -95,7 +95,7 @@
   }
   void call(const cherryloft::Address& to, HttpRequest r, cherryloft::Duration deadline,
             HttpDone done) override {
-    c_.net_.call(controllerName(c_.number_), partyAt(to), std::move(r), deadline.count(),
+    c_.net_.call(controllerName(c_.number_), endpointNameOf(to), std::move(r), deadline.count(),
                  [this, done = std::move(done), alive = std::weak_ptr<bool>(alive_)](HttpResult h) {
                    if (!alive.lock()) return;
                    c_.dispatch(Source::Sockets, [done, alive, h = std::move(h)] {
@@ -118,7 +118,7 @@
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
-ControllerProcess::ControllerProcess(Clock& clock, Net& net, const Deployment& d, unsigned number,
+ControllerProcess::ControllerProcess(Clock& clock, Network& net, const Deployment& d, unsigned number,
                                      std::function<void(std::uint32_t, const Frame&, unsigned)> mesh)
     : clock_(clock),
       net_(net),
@@ -192,12 +192,12 @@
   });
 }
 
-std::string World::zoneOf(const std::string& party) const {
-  if (party.compare(0, 4, "node") == 0) {
-    auto n = static_cast<std::size_t>(std::stoul(party.substr(4)));
+std::string World::zoneOf(const std::string& endpoint) const {
+  if (endpoint.compare(0, 4, "node") == 0) {
+    auto n = static_cast<std::size_t>(std::stoul(endpoint.substr(4)));
     return deployment.zones[n % deployment.zones.size()];
   }
-  return cloud.zoneOf(party);
+  return cloud.zoneOf(endpoint);
 }
 
 World::World(const Deployment& d)
@@ -220,7 +220,7 @@
         }));
   }
   std::vector<TypeSize> sizes;
-  for (const auto& t : d.types) sizes.push_back({t.name, t.size});
+  for (const auto& type : d.types) sizes.push_back({type.name, type.size});
   checker.observeMachines(std::move(sizes), [this] { return cloud.machineStates(); });
   checker.onAllTasksDone([this](const std::string& job) { jobCompleted(job); });
   for (auto& c : controllers) c->start();
@@ -281,21 +281,21 @@
 void World::trySubmit(const std::string& id, std::string body) {
   HttpRequest r{"POST", "/v1/jobs", body, false};
   request(std::move(r), 5000, [this, id, body](HttpResult h) {
-    auto& t = observations[id];
+    auto& observation = observations[id];
     bool answered = h.outcome == HttpResult::Outcome::Answered;
     int status = answered ? h.response.status : 0;
     if (status == 200 || status == 201) {
       checker.accepted(id);
       checker.statusReported(id, Json::parse(h.response.body)["status"].get<std::string>(), answerSource_);
-      if (t.acceptedAt < 0) {
-        t.acceptedAt = clock.now();
+      if (observation.acceptedAt < 0) {
+        observation.acceptedAt = clock.now();
         clock.after(1000, [this, id] { poll(id); });
         onAccepted(id);
       }
       return;
     }
     if (status == 400 || status == 422) {
-      t.refused = status;
+      observation.refused = status;
       checker.retryRejected(id, status);
       return;
     }
@@ -305,20 +305,20 @@
 
 void World::poll(const std::string& id, bool again, Node node) {
   auto onResponse = [this, id, again](HttpResult h) {
-    auto& t = observations[id];
-    if ((h.answered(200) || h.answered(404)) && !t.hiddenFromChecker) checker.queryAnswered(id);
+    auto& observation = observations[id];
+    if ((h.answered(200) || h.answered(404)) && !observation.hiddenFromChecker) checker.queryAnswered(id);
     if (h.answered(200)) {
       auto status = Json::parse(h.response.body)["status"].get<std::string>();
       checker.statusReported(id, status, answerSource_);
-      t.status = status;
-      if ((status == "done" || status == "aborted") && t.finalAt < 0) {
-        t.finalAt = clock.now();
+      observation.status = status;
+      if ((status == "done" || status == "aborted") && observation.finalAt < 0) {
+        observation.finalAt = clock.now();
         pollIntensively(id);
       }
     } else if (h.answered(404)) {
       checker.answeredNotFound(id);
     }
-    if (again) clock.after(t.finalAt >= 0 ? 7000 : 2000, [this, id] { poll(id); });
+    if (again) clock.after(observation.finalAt >= 0 ? 7000 : 2000, [this, id] { poll(id); });
   };
   request({"GET", "/v1/jobs/" + id, "", false}, 2000, onResponse, node);
 }
--- a/tests/world/world.h
+++ b/tests/world/world.h
@@ -32,7 +32,7 @@
 // One controller process; a crash loses all its in-memory state.
 class ControllerProcess {
  public:
-  ControllerProcess(Clock& clock, Net& net, const Deployment& d, unsigned number,
+  ControllerProcess(Clock& clock, Network& net, const Deployment& d, unsigned number,
                     std::function<void(std::uint32_t, const cherryloft::mesh::Frame&, unsigned)> mesh);
   ~ControllerProcess();
   void start();
@@ -51,7 +51,7 @@
   void dispatch(Source s, std::function<void()> f);
   void resume();
   Clock& clock_;
-  Net& net_;
+  Network& net_;
   unsigned number_;
   double drift_;
   std::function<void(std::uint32_t, const cherryloft::mesh::Frame&, unsigned)> mesh_;
@@ -117,7 +117,7 @@
   Deployment deployment;
   Clock clock;
   Trace eventTrace;
-  Net net;
+  Network net;
   cherryloft::Settings settings;
   Checker checker;
   JobBehaviors behaviors;
@@ -125,9 +125,10 @@
   Cloud cloud;
   std::vector<std::unique_ptr<ControllerProcess>> controllers;
   std::map<std::string, JobObservation> observations;
-  std::string zoneOf(const std::string& party) const;  // of a controller or machine; empty for anything else
-  Ms maxCancelLatency = 0;                             // longest time until a cancellation was answered
-  std::map<unsigned, int> upStatus;                    // last health check status of each controller
+  std::string zoneOf(
+      const std::string& endpoint) const;  // of a controller or machine; empty for anything else
+  Ms maxCancelLatency = 0;                 // longest time until a cancellation was answered
+  std::map<unsigned, int> upStatus;        // last health check status of each controller
 
  private:
   void request(HttpRequest r, Ms deadline, HttpDone done, Node node = {});
