--- a/tests/world/scenario_checker_actions.cpp
+++ b/tests/world/scenario_checker_actions.cpp
@@ -1,6 +1,6 @@
 // Events that inject a violation for the checker to detect, or assert on its state.
 #include "world/scenario_actions.h"
-#include "world/scenario_parties.h"
+#include "world/scenario_endpoints.h"
 #include "world/scenario_setup.h"
 
 namespace world {
--- a/tests/world/scenario_fault_actions.cpp
+++ b/tests/world/scenario_fault_actions.cpp
@@ -1,6 +1,6 @@
 // Fault events of controllers, connections, the state service and the cloud.
 #include "world/scenario_actions.h"
-#include "world/scenario_parties.h"
+#include "world/scenario_endpoints.h"
 
 namespace world {
 namespace {
--- a/tests/world/scenario_machine_actions.cpp
+++ b/tests/world/scenario_machine_actions.cpp
@@ -2,7 +2,7 @@
 #include <algorithm>
 
 #include "world/scenario_actions.h"
-#include "world/scenario_parties.h"
+#include "world/scenario_endpoints.h"
 
 namespace world {
 namespace {
--- a/tests/world/scenario_parties.cpp
+++ b/tests/world/scenario_parties.cpp
@@ -1,4 +1,4 @@
-#include "world/scenario_parties.h"
+#include "world/scenario_endpoints.h"
 
 #include <algorithm>
 #include <cctype>
