--- a/src/cluster/membership.cpp
+++ b/src/cluster/membership.cpp
@@ -4,8 +4,8 @@
 
 namespace cherryloft {
 namespace {
-// Between two reviews that no change brings about: what is due by the clock (a turn to take over, a return,
-// the end of the validity) is late by at most that.
+// Interval between reviews without any change. Time-based actions (takeover, return to the preferred owner,
+// end of the lease's validity) are delayed by at most this.
 constexpr Duration kReviewInterval{250};
 }  // namespace
 
@@ -17,7 +17,7 @@
               [this] { review(); }}),
       epochs_(settings, store, view, lease_, [this] { review(); }),
       shards_(settings, runtime, log, view, lease_, epochs_,
-              {std::move(callbacks.takenOver), std::move(callbacks.lost),
+              {std::move(callbacks.shardAcquired), std::move(callbacks.lost),
                std::move(callbacks.returnToPreferredOwner)}),
       leaderElection_(settings, log, view, lease_, epochs_, std::move(callbacks.leadershipChanged)) {}
 
--- a/src/controller/peer_messages.cpp
+++ b/src/controller/peer_messages.cpp
@@ -6,18 +6,18 @@
   std::visit([this, from](const auto& message) { handle(from, message); }, payload);
 }
 
-void PeerMessageDispatcher::handle(PeerNumber from, const mesh::JobAsk& request) {
-  auto answer = [&peers = receivers_.peers, from, id = request.id](const UserAnswer& result) {
+void PeerMessageDispatcher::handle(PeerNumber from, const mesh::JobRequest& request) {
+  auto answer = [&peers = receivers_.peers, from, id = request.id](const UserResponse& result) {
     peers.send(from, toPeerAnswer(id, result));
   };
-  receivers_.userApi.answerPeer(request, answer);
+  receivers_.userApi.handlePeerRequest(request, answer);
 }
 
 void PeerMessageDispatcher::handle(PeerNumber from, const mesh::RelayedHeartbeat& relayed) {
   receivers_.peers.send(from, receivers_.workerEndpoint.handleRelayed(relayed));
 }
 
-void PeerMessageDispatcher::handle(PeerNumber from, const mesh::ProbeAsk& request) {
+void PeerMessageDispatcher::handle(PeerNumber from, const mesh::ProbeRequest& request) {
   auto answer = [&peers = receivers_.peers, from, id = request.id](const HttpResult& result) {
     peers.send(from, mesh::Answer{id, result.response.status, result.response.body});
   };
@@ -26,11 +26,11 @@
 
 void PeerMessageDispatcher::handle(PeerNumber, const mesh::UnrecordedMachineSeen& seen) {
   if (auto heartbeat = wire::parseHeartbeat(seen.body))
-    receivers_.autoscaler.unrecordedMachineSeen(*heartbeat);
+    receivers_.autoscaler.handleUnrecordedMachine(*heartbeat);
 }
 
 void PeerMessageDispatcher::handle(PeerNumber, const mesh::ShardLoad& load) {
-  receivers_.autoscaler.load(load);
+  receivers_.autoscaler.handleShardLoad(load);
 }
 
 void PeerMessageDispatcher::handle(PeerNumber, const mesh::MachineDirective& directive) {
--- a/src/policy/admission.h
+++ b/src/policy/admission.h
@@ -1,4 +1,4 @@
-// What can never run (422), and why.
+// Admission control: rejects jobs that no shard could ever run (HTTP 422).
 #pragma once
 
 #include <optional>
@@ -9,6 +9,8 @@
 
 namespace cherryloft::policy {
 
-std::optional<std::string> neverRuns(const JobSpec& job, const Settings& settings, const Catalog& catalog);
+// Why the job can never run, as told to the user; nothing if it can.
+std::optional<std::string> infeasibilityReason(const JobSpec& job, const Settings& settings,
+                                               const Catalog& catalog);
 
 }  // namespace cherryloft::policy
--- a/src/scheduler/commit_in_flight.cpp
+++ b/src/scheduler/commit_in_flight.cpp
@@ -5,7 +5,8 @@
 namespace cherryloft {
 
 bool CommitInFlight::ends(const JobId& job) const {
-  return std::any_of(jobEnds.begin(), jobEnds.end(), [&](const JobEnd& end) { return end.job == job; });
+  return std::any_of(jobEnds.begin(), jobEnds.end(),
+                     [&](const JobEndWrite& write) { return write.job == job; });
 }
 
 bool CommitInFlight::migrates(const JobId& job) const {
--- a/src/scheduler/load_reporter.cpp
+++ b/src/scheduler/load_reporter.cpp
@@ -8,15 +8,16 @@
 namespace cherryloft {
 namespace {
 constexpr Duration kReportInterval{1'000};
-// Machines of each kind (ordinary, spot) with work on them that a report names: enough to choose from.
-constexpr std::size_t kBusyMachinesNamed = 16;
-// Over which the rates of arriving and of done work are taken.
+// Maximum number of busy machines of each kind (on-demand, spot) in a report: enough drain candidates to
+// choose from.
+constexpr std::size_t kMaxBusyMachinesReported = 16;
+// Time windows over which the rates of arriving and of completed work are measured.
 constexpr Duration kArrivalWindow{120'000};
-constexpr Duration kDoneWindow{20'000};
-// A job that waits so long for its zone is not helped by the machines that are there.
+constexpr Duration kCompletionWindow{20'000};
+// Once a job has waited this long, full machines in its zones no longer count as able to take it.
 constexpr Duration kZoneFullAfter{10'000};
-// Bounds what a report costs in a shard with many full machines.
-constexpr unsigned kMachinesExaminedInPool = 64;
+// Limits the cost of a report in a shard with many full machines.
+constexpr unsigned kMaxMachinesExaminedPerPool = 64;
 
 mesh::Demand& demandOf(mesh::ShardLoad& load, bool spotAllowed) {
   return spotAllowed ? load.spotAllowed : load.onDemandOnly;
@@ -32,12 +33,12 @@
       failures_(failures),
       callbacks_(std::move(callbacks)) {}
 
-void LoadReporter::workArrived(Time at, double cores, bool spotAllowed) {
+void LoadReporter::recordArrivedWork(Time at, double cores, bool spotAllowed) {
   arrived_.push_back({at, cores, spotAllowed});
 }
 
-void LoadReporter::workDone(Time at, double cores, bool spotAllowed) {
-  done_.push_back({at, cores, spotAllowed});
+void LoadReporter::recordCompletedWork(Time at, double cores, bool spotAllowed) {
+  completed_.push_back({at, cores, spotAllowed});
 }
 
 void LoadReporter::reportIfDue(Time now) {
@@ -54,14 +55,14 @@
   countBootingMachines();
   addJobs(load, now);
   addRecentWork(load, now);
-  for (const Machine* machine : machinesToName()) load.machines.push_back(describe(*machine, now));
+  for (const Machine* machine : machinesToReport()) load.machines.push_back(describe(*machine, now));
   return load;
 }
 
 void LoadReporter::countBootingMachines() {
   for (auto& pool : state_.pools()) pool.booting = 0;
   for (auto& [_, machine] : state_.machines())
-    machine.pool->booting += !machine.heard && machine.known.record.address.empty() &&
+    machine.pool->booting += !machine.registered && machine.known.record.address.empty() &&
                              machine.known.record.phase == wire::MachinePhase::InUse;
 }
 
@@ -73,8 +74,8 @@
   cores += unfinished;
 }
 
-void LoadReporter::UnfinishedWork::describe(mesh::Demand& demand) const {
-  if (cores > 0) demand.runS = coreSeconds / cores;
+void LoadReporter::UnfinishedWork::setRunTime(mesh::Demand& demand) const {
+  if (cores > 0) demand.expectedRunS = coreSeconds / cores;
 }
 
 void LoadReporter::addJobs(mesh::ShardLoad& load, Time now) const {
@@ -86,8 +87,8 @@
     addOpenJob(job, load, now);
     (job.spec->spotAllowed ? spotAllowed : onDemandOnly).add(job);
   }
-  onDemandOnly.describe(load.onDemandOnly);
-  spotAllowed.describe(load.spotAllowed);
+  onDemandOnly.setRunTime(load.onDemandOnly);
+  spotAllowed.setRunTime(load.spotAllowed);
 }
 
 void LoadReporter::addOpenJob(const Job& job, mesh::ShardLoad& load, Time now) const {
@@ -95,8 +96,8 @@
   const auto& each = spec.each;
   auto& demand = demandOf(load, spec.spotAllowed);
   double coresWithinQuota =
-      job.team ? std::max(0.0, job.team->coreQuota - state_.teamUse(spec.team).cores) : 0;
-  auto waiting = tasksWantingCapacity(job, now);
+      job.team ? std::max(0.0, job.team->coreQuota - state_.teamUsage(spec.team).cores) : 0;
+  auto waiting = tasksNeedingCapacity(job, now);
   auto& waitingDemand = callbacks_.avoidsSpot(job) ? load.onDemandOnly : demand;
   waitingDemand.waiting += std::min(each.cores * static_cast<double>(waiting), coresWithinQuota);
   demand.largestTask = std::max(demand.largestTask, each.cores);
@@ -104,44 +105,45 @@
   if (spec.types) demand.types = *spec.types;
 
   bool waits =
-      !job.waiting.empty() && coresWithinQuota >= each.cores - kResourceSlack && now >= job.notBefore;
+      !job.waiting.empty() && coresWithinQuota >= each.cores - kResourceTolerance && now >= job.notBefore;
   if (!waits || !(spec.spread || spec.zone || spec.oneZone)) return;
-  // Of several such jobs the last one's zones are reported.
-  if (auto zones = stuckZones(job, now)) demand.stuckZones = std::move(*zones);
+  // If there are several such jobs, the zones of the last one are reported.
+  if (auto zones = zonesLackingCapacity(job, now)) demand.stuckZones = std::move(*zones);
 }
 
-// A job that has never worked is tried with one task at a time, and machines are neither rented nor kept for
-// it between two tries.
-std::size_t LoadReporter::tasksWantingCapacity(const Job& job, Time now) const {
+// A job that has failed repeatedly and never succeeded is tried with one task at a time, and between two
+// tries it causes no demand, so that no machines are rented or kept for it.
+std::size_t LoadReporter::tasksNeedingCapacity(const Job& job, Time now) const {
   if (job.maxConcurrent)
     return std::min<std::size_t>(job.waiting.size(),
                                  *job.maxConcurrent - std::min(job.placed, *job.maxConcurrent));
-  if (!failures_.suspect(job.id)) return job.waiting.size();
+  if (!failures_.isSuspect(job.id)) return job.waiting.size();
   return now < job.notBefore ? 0 : std::min<std::size_t>(job.waiting.size(), 1);
 }
 
-std::optional<std::vector<std::string>> LoadReporter::stuckZones(const Job& job, Time now) const {
+std::optional<std::vector<std::string>> LoadReporter::zonesLackingCapacity(const Job& job, Time now) const {
   std::vector<std::string> allowed;
-  bool waitedLong = now - std::max(job.since, job.placedLast) > kZoneFullAfter;
+  bool hasWaitedLong = now - std::max(job.since, job.lastPlacedAt) > kZoneFullAfter;
   for (const auto& zone : settings_.zones) {
     if (!callbacks_.zoneAllows(job, zone)) continue;
-    if (zoneMayTake(zone, job, waitedLong)) return std::nullopt;
+    if (zoneMayTake(zone, job, hasWaitedLong)) return std::nullopt;
     allowed.push_back(zone.value);
   }
   return allowed;
 }
 
-// Whether a machine in the zone could ever take a task of the job or, once the job has waited long, can now.
-bool LoadReporter::zoneMayTake(const Zone& zone, const Job& job, bool waitedLong) const {
+// Whether a machine in the zone could ever take a task of the job or, once the job has waited too long,
+// whether one can take it now or is booting.
+bool LoadReporter::zoneMayTake(const Zone& zone, const Job& job, bool hasWaitedLong) const {
   const auto& spec = *job.spec;
-  auto mayTake = [&](const Pool& pool) {
+  auto mayTake = [&](const MachinePool& pool) {
     bool fits = pool.zone == zone && spec.allowsType(pool.type) && spec.each.fitsIn(pool.size) &&
                 (!pool.spot || spec.spotAllowed);
     if (!fits) return false;
-    if (!waitedLong) return pool.machines > 0;
-    // One that boots is on its way; of others only those with free capacity count.
+    if (!hasWaitedLong) return pool.machines > 0;
+    // A booting machine will be available soon; other machines count only if they have free capacity.
     return pool.booting > 0 ||
-           pool.hasCapacity(spec.each, kMachinesExaminedInPool, [](const Machine&) { return true; });
+           pool.hasCapacity(spec.each, kMaxMachinesExaminedPerPool, [](const Machine&) { return true; });
   };
   return std::any_of(state_.pools().begin(), state_.pools().end(), mayTake);
 }
@@ -150,35 +152,36 @@
   while (!arrived_.empty() && now - arrived_.front().at > kArrivalWindow) arrived_.pop_front();
   for (const auto& work : arrived_) {
     auto& demand = demandOf(load, work.spotAllowed);
-    demand.arriving += work.cores / inSeconds(kArrivalWindow);
+    demand.arriving += work.cores / toSeconds(kArrivalWindow);
     demand.largestJob = std::max(demand.largestJob, work.cores);
   }
-  while (!done_.empty() && now - done_.front().at > kDoneWindow) done_.pop_front();
-  for (const auto& work : done_)
-    demandOf(load, work.spotAllowed).departing += work.cores / inSeconds(kDoneWindow);
+  while (!completed_.empty() && now - completed_.front().at > kCompletionWindow) completed_.pop_front();
+  for (const auto& work : completed_)
+    demandOf(load, work.spotAllowed).departing += work.cores / toSeconds(kCompletionWindow);
 }
 
 // --- machines ---
 
-// Machines in plain use are not named, but for the few of each kind with least on them: those are drained
-// first. Replicas do not end by themselves, and where they are their images are, for new ones.
-std::vector<const Machine*> LoadReporter::machinesToName() const {
-  std::vector<const Machine*> named;
-  std::array<std::vector<const Machine*>, 2> busyByKind;  // ordinary, spot
+// Returns all machines that are idle or take no work, and of the busy ones only the least loaded of each
+// kind, as those are drained first. Machines without replicas come first: replicas don't end by themselves,
+// and their machines have the images cached that new replicas need.
+std::vector<const Machine*> LoadReporter::machinesToReport() const {
+  std::vector<const Machine*> reported;
+  std::array<std::vector<const Machine*>, 2> busyByKind;  // on-demand, spot
   for (const auto& [_, machine] : state_.machines()) {
-    bool inPlainUse = machine.open() && !machine.placements.empty();
-    (inPlainUse ? busyByKind.at(machine.spot() ? 1 : 0) : named).push_back(&machine);
+    bool isBusy = machine.open() && !machine.placements.empty();
+    (isBusy ? busyByKind.at(machine.spot() ? 1 : 0) : reported).push_back(&machine);
   }
   auto drainsBefore = [](const Machine* left, const Machine* right) {
     return std::tuple(left->replicaCores > 0, left->used.cores, left->no) <
            std::tuple(right->replicaCores > 0, right->used.cores, right->no);
   };
   for (auto& busy : busyByKind) {
-    auto end = busy.begin() + static_cast<std::ptrdiff_t>(std::min(kBusyMachinesNamed, busy.size()));
+    auto end = busy.begin() + static_cast<std::ptrdiff_t>(std::min(kMaxBusyMachinesReported, busy.size()));
     std::partial_sort(busy.begin(), end, busy.end(), drainsBefore);
-    named.insert(named.end(), busy.begin(), end);
+    reported.insert(reported.end(), busy.begin(), end);
   }
-  return named;
+  return reported;
 }
 
 mesh::MachineLoad LoadReporter::describe(const Machine& machine, Time now) const {
@@ -189,7 +192,7 @@
   load.zone = machine.zone().value;
   load.spot = machine.spot();
   load.freeCores = machine.free().cores;
-  load.idleS = machine.placements.empty() ? inSeconds(now - machine.idleSince) : 0;
+  load.idleS = machine.placements.empty() ? toSeconds(now - machine.idleSince) : 0;
   load.usable = machine.open();
   load.decommissioning =
       machine.decommissioning || machine.reclaimAt || record.phase != wire::MachinePhase::InUse;
--- a/src/scheduler/shard_scheduler.cpp
+++ b/src/scheduler/shard_scheduler.cpp
@@ -5,14 +5,14 @@
 
 namespace cherryloft {
 namespace {
-constexpr Duration kTick{250};
-constexpr Duration kStandstill{1'500};  // between two ticks
+constexpr Duration kTickInterval{250};
+constexpr Duration kStallThreshold{1'500};  // time between two ticks
 
 }  // namespace
 
 ShardScheduler::ShardScheduler(const Settings& settings, Runtime& runtime, Log log, KeyValueStore& store,
                                const ClusterView& view, ShardTakeover takeover, LeaseValidity leaseValidity,
-                               std::uint64_t seed, Callbacks out)
+                               std::uint64_t seed, Callbacks callbacks)
     : settings_(settings),
       runtime_(runtime),
       log_(std::move(log)),
@@ -21,10 +21,10 @@
       takeover_(takeover),
       leaseValidity_(leaseValidity),
       rng_(seed),
-      callbacks_(std::move(out)),
+      callbacks_(std::move(callbacks)),
       state_(settings),
       recovery_(runtime, log_, store, view, takeover, state_),
-      failures_(seconds(settings.reportS)),
+      failures_(seconds(settings.heartbeatIntervalS)),
       jobMigration_(settings, view, state_, takeover.shard, log_),
       taskDelegation_(
           settings, view, state_, takeover.shard,
@@ -38,208 +38,212 @@
       machineRecordWriter_(settings, runtime, store, view, takeover, state_, callbacks_.dropOwnership) {}
 
 void ShardScheduler::start() {
-  recovery_.start([this](const ListResult& placementPages) { build(placementPages); });
+  recovery_.start([this](const ListResult& placementPages) { finishLoading(placementPages); });
 }
 
 // --- loading ---
 
-void ShardScheduler::build(const ListResult& placementPages) {
-  for (const auto& [id, known] : view_.machines)
-    if (known.record.shard == takeover_.shard) admit(id, known);
-  for (const auto& [id, known] : view_.jobs) addKnownJob(id, known);
+void ShardScheduler::finishLoading(const ListResult& placementPages) {
+  for (const auto& [id, entry] : view_.machines)
+    if (entry.record.shard == takeover_.shard) addOwnedMachine(id, entry);
+  for (const auto& [id, entry] : view_.jobs) addKnownJob(id, entry);
   recovery_.restorePlacements(placementPages);
   for (auto& [_, machine] : state_.machines()) state_.reindex(machine);
   for (auto& [_, job] : state_.jobs()) resumeJob(job);
   cleanUpCancelled();
-  jobMigration_.countAfterTakeover();
+  jobMigration_.restoreRemoteUsage();
   loaded_ = true;
   log_->info("shard loaded shard={} jobs={} machines={} ms={}", takeover_.shard.value, state_.jobs().size(),
              state_.machines().size(), recovery_.sinceStart().count());
   tick();
-  requestRound(true);
+  requestPlacementRound(true);
 }
 
-void ShardScheduler::addKnownJob(const JobId& id, const JobEntry& known) {
-  if (known.shard == takeover_.shard && known.status == JobStatus::Open && known.spec)
-    state_.addJob(id, known).since = runtime_.now();
-  else if (known.shard == takeover_.shard && known.status == JobStatus::Cancelled)
-    lastCancelled_ = std::max(lastCancelled_, known.version);
-  else if (const auto* delegation = findDelegation(known.delegations, takeover_.shard))
-    restoreDelegation(id, known, *delegation);
+void ShardScheduler::addKnownJob(const JobId& id, const JobEntry& entry) {
+  if (entry.shard == takeover_.shard && entry.status == JobStatus::Open && entry.spec)
+    state_.addJob(id, entry).since = runtime_.now();
+  else if (entry.shard == takeover_.shard && entry.status == JobStatus::Cancelled)
+    lastCancellationVersion_ = std::max(lastCancellationVersion_, entry.version);
+  else if (const auto* delegation = findDelegation(entry.delegations, takeover_.shard))
+    restoreDelegation(id, entry, *delegation);
 }
 
-void ShardScheduler::restoreDelegation(const JobId& id, const JobEntry& known, const Delegation& delegation) {
-  if (known.status == JobStatus::Open && known.spec)
-    acceptDelegation(id, known, delegation);
-  else if (known.status == JobStatus::Cancelled)
-    lastCancelled_ = std::max(lastCancelled_, known.version);
+void ShardScheduler::restoreDelegation(const JobId& id, const JobEntry& entry, const Delegation& delegation) {
+  if (entry.status == JobStatus::Open && entry.spec)
+    acceptDelegation(id, entry, delegation);
+  else if (entry.status == JobStatus::Cancelled)
+    lastCancellationVersion_ = std::max(lastCancellationVersion_, entry.version);
 }
 
-// Goes on with a job whose placements are restored.
+// Resumes a job after its placements were restored.
 void ShardScheduler::resumeJob(Job& job) {
   job.waiting.clear();
   for (std::uint32_t index = 0; index < job.tasks.size(); ++index)
     if (job.tasks[index].state == TaskState::Waiting) job.waiting.push_back(index);
   if (job.status == JobStatus::Open) resumeDelegations(job);
   if (job.status == JobStatus::Open) restoreGang(job);
-  endIfFinished(job);
+  queueJobEndIfFinished(job);
 }
 
-// Cancelled jobs of which nothing is on any machine.
+// Removes cancelled jobs without any task on a machine.
 void ShardScheduler::cleanUpCancelled() {
-  std::vector<JobId> over;
+  std::vector<JobId> finished;
   for (const auto& [id, job] : state_.jobs())
-    if (job.status == JobStatus::Cancelled && job.placed == 0) over.push_back(id);
-  for (const auto& id : over) cleanUp(*state_.job(id));
+    if (job.status == JobStatus::Cancelled && job.placed == 0) finished.push_back(id);
+  for (const auto& id : finished) removeJobIfEnded(*state_.job(id));
 }
 
-// A machine that is this shard's from now on. Its token is ours, and it gets no new work before it is heard.
-Machine& ShardScheduler::admit(const MachineId& id, const MachineEntry& known) {
+// Adds a machine that now belongs to this shard. It gets a token of this owner, and no new work before it
+// registers.
+Machine& ShardScheduler::addOwnedMachine(const MachineId& id, const MachineEntry& entry) {
   auto now = runtime_.now();
-  auto& machine = state_.addMachine(id, known, findType(view_.catalog, known.record.type), now);
-  machine.fence = CommandFence{tokenOf(std::max(known.record.token, takeover_.epoch))};
-  // The former owner may have answered it until the end of its grace.
-  machine.aliveUntil = now + takeover_.formerAnswers + leaseAfterAnswer();
+  auto& machine = state_.addMachine(id, entry, findType(view_.catalog, entry.record.type), now);
+  machine.fence = CommandFence{makeFencingToken(std::max(entry.record.token, takeover_.epoch))};
+  // The former owner may have answered its heartbeats until the end of the grace period.
+  machine.leaseExpiresAt = now + takeover_.formerOwnerAnswersFor + maxLeaseAfterAnswer();
   return machine;
 }
 
 // --- messages ---
 
-void ShardScheduler::leaseValidity(const LeaseValidity& s) {
-  bool back = !owns() && s.owns(runtime_.now());
-  leaseValidity_ = s;
-  if (back && loaded_) requestRound(true);
+void ShardScheduler::leaseValidity(const LeaseValidity& validity) {
+  bool regained = !owns() && validity.owns(runtime_.now());
+  leaseValidity_ = validity;
+  if (regained && loaded_) requestPlacementRound(true);
 }
 
 void ShardScheduler::jobChanged(const JobId& id) {
   if (!loaded_) return;
-  auto known = view_.jobs.find(id);
-  if (known == view_.jobs.end()) return;
-  if (known->second.shard != takeover_.shard) return delegatedJobChanged(id, known->second);
-  // Our own commit may show here before its answer comes, and keep-alive proxies must have seen it as well
+  auto found = view_.jobs.find(id);
+  if (found == view_.jobs.end()) return;
+  if (found->second.shard != takeover_.shard) return handleDelegatedJobChange(id, found->second);
+  // This may be our own commit, seen before its response; keep-alive proxies must have seen it, too
   // (invariant 15).
-  if (known->second.status == JobStatus::Cancelled)
-    lastCancelled_ = std::max(lastCancelled_, known->second.version);
-  if (Job* job = state_.job(id)) return ownedJobChanged(*job, known->second);
-  const auto& k = known->second;
-  if (k.status != JobStatus::Open || !k.spec) return;
-  auto& job = state_.addJob(id, k);
+  if (found->second.status == JobStatus::Cancelled)
+    lastCancellationVersion_ = std::max(lastCancellationVersion_, found->second.version);
+  if (Job* job = state_.job(id)) return handleOwnedJobChange(*job, found->second);
+  const auto& entry = found->second;
+  if (entry.status != JobStatus::Open || !entry.spec) return;
+  auto& job = state_.addJob(id, entry);
   auto now = runtime_.now();
   job.since = now;
   const Team* team = settings_.team(job.spec->team);
-  loadReporter_.workArrived(now, std::min(job.unfinished().cores, team ? team->coreQuota : 0),
-                            job.spec->spotAllowed);
-  log_->debug("job {} came: {} tasks of {} cores", id.value, job.tasks.size(), job.spec->each.cores);
-  requestRound(true);
+  loadReporter_.recordArrivedWork(now, std::min(job.unfinished().cores, team ? team->coreQuota : 0),
+                                  job.spec->spotAllowed);
+  log_->debug("new job {}: {} tasks of {} cores", id.value, job.tasks.size(), job.spec->each.cores);
+  requestPlacementRound(true);
 }
 
 void ShardScheduler::machineChanged(const MachineId& id) {
   if (!loaded_) return;
-  auto known = view_.machines.find(id);
-  bool ours = known != view_.machines.end() && known->second.record.shard == takeover_.shard;
-  Machine* h = state_.machine(id);
+  auto found = view_.machines.find(id);
+  bool ours = found != view_.machines.end() && found->second.record.shard == takeover_.shard;
+  Machine* machine = state_.machine(id);
   if (!ours) {
-    if (h) dropMachine(id);
+    if (machine) dropMachine(id);
     return;
   }
-  if (!h) {
-    sendCommands(admit(id, known->second));
+  if (!machine) {
+    sendCommands(addOwnedMachine(id, found->second));
     return;
   }
-  if (h->known.version >= known->second.version) return;
-  h->known = known->second;
-  h->fence.raiseLowestOwnToken(tokenOf(std::max(h->known.record.token, takeover_.epoch)));
-  state_.reindex(*h);
+  if (machine->known.version >= found->second.version) return;
+  machine->known = found->second;
+  machine->fence.raiseBaseToken(makeFencingToken(std::max(machine->known.record.token, takeover_.epoch)));
+  state_.reindex(*machine);
 }
 
-// The record is gone or another shard's: the machine was returned, or was empty when it was given.
+// Its record was deleted or moved to another shard: the machine was returned, or was given away empty.
 void ShardScheduler::dropMachine(const MachineId& id) {
-  Machine* h = state_.machine(id);
-  bool held = !h->placements.empty();
-  while (!h->placements.empty()) {
-    auto task = h->placements.begin()->first;
-    taskLost(*h, task);
+  Machine* machine = state_.machine(id);
+  bool hadTasks = !machine->placements.empty();
+  while (!machine->placements.empty()) {
+    auto task = machine->placements.begin()->first;
+    handleTaskLost(*machine, task);
   }
   roundScope_.machines.erase(id);
   failures_.forget(id);
   state_.removeMachine(id);
-  if (held) requestRound(true);
+  if (hadTasks) requestPlacementRound(true);
 }
 
-std::optional<wire::JobView> ShardScheduler::poll(const JobId& id) const {
+std::optional<wire::JobProgress> ShardScheduler::poll(const JobId& id) const {
   if (!loaded_ || !owns()) return std::nullopt;
-  auto it = state_.jobs().find(id);
-  if (it == state_.jobs().end() || it->second.status != JobStatus::Open || it->second.delegation)
+  auto found = state_.jobs().find(id);
+  if (found == state_.jobs().end() || found->second.status != JobStatus::Open || found->second.delegation)
     return std::nullopt;
-  // Its end is on its way or in doubt, or the shard is: a sibling may have seen it, and told the user, before
-  // us.
+  // The job's end, its migration or the transfer of the shard is in flight: a peer may have seen it, and told
+  // the user, before this scheduler.
   if (ownershipTransferSent_) return std::nullopt;
   if (commitInFlight_ && (commitInFlight_->ends(id) || commitInFlight_->migrates(id))) return std::nullopt;
-  const auto& j = it->second;
-  return wire::JobView{JobStatus::Open, static_cast<std::uint32_t>(j.tasks.size()), j.done, j.running};
+  const auto& job = found->second;
+  return wire::JobProgress{JobStatus::Open, static_cast<std::uint32_t>(job.tasks.size()), job.done,
+                           job.running};
 }
 
 bool ShardScheduler::cancel(const JobId& id, std::function<void(JobStatus)> done) {
-  Job* j = state_.job(id);
-  if (!loaded_ || !owns() || !j || j->delegation) return false;
-  if (j->status != JobStatus::Open) {
-    done(j->status);
+  Job* job = state_.job(id);
+  if (!loaded_ || !owns() || !job || job->delegation) return false;
+  if (job->status != JobStatus::Open) {
+    done(job->status);
     return true;
   }
-  j->cancelWaiters.push_back(std::move(done));
-  if (!j->finished()) j->cancelRequested = true;
-  ending_.insert(id);
-  requestRound(false);
+  job->cancelCallbacks.push_back(std::move(done));
+  if (!job->finished()) job->cancelRequested = true;
+  jobsToEnd_.insert(id);
+  requestPlacementRound(false);
   return true;
 }
 
 void ShardScheduler::returnToPreferredOwner(const ControllerId& to) {
   if (!loaded_ || transferringTo_) return;
   transferringTo_ = to;
-  requestRound(false);
+  requestPlacementRound(false);
 }
 
-// --- upkeep ---
+// --- periodic maintenance ---
 
 void ShardScheduler::tick() {
-  runtime_.after(kTick, guarded([this] { tick(); }));
+  runtime_.after(kTickInterval, guarded([this] { tick(); }));
   auto now = runtime_.now();
-  if (stoodStill(now)) return;
-  for (auto& [id, h] : state_.machines()) {
-    checkLiveness(h, now);
+  if (detectStall(now)) return;
+  for (auto& [id, machine] : state_.machines()) {
+    checkLiveness(machine, now);
     if (!owns()) continue;
-    if (h.size.cores <= 0)
-      if (const auto* type = findType(view_.catalog, h.known.record.type)) state_.learnType(h, *type);
-    progressDrain(h);
-    if (h.contactDue) sendCommands(h);
+    if (machine.size.cores <= 0)
+      if (const auto* type = findType(view_.catalog, machine.known.record.type))
+        state_.setMachineType(machine, *type);
+    advanceDrain(machine);
+    if (machine.directCommandDue) sendCommands(machine);
   }
   if (!owns()) return;
-  returnSuspected(now);
+  returnSuspectedMachines(now);
   reviewFailures(now);
   reviewMigrations(now);
   reviewDelegations(now);
   machineRecordWriter_.writeChanges(now);
   loadReporter_.reportIfDue(now);
-  bool due = std::any_of(state_.jobs().begin(), state_.jobs().end(), [&](const auto& j) {
-    return !j.second.waiting.empty() && j.second.notBefore > now - 2 * kTick && j.second.notBefore <= now;
+  bool backoffEnded = std::any_of(state_.jobs().begin(), state_.jobs().end(), [&](const auto& entry) {
+    const Job& job = entry.second;
+    return !job.waiting.empty() && job.notBefore > now - 2 * kTickInterval && job.notBefore <= now;
   });
-  if (due) requestRound(true);
-  bool toWrite = !unwrittenTasks_.empty() || !ending_.empty() || jobMigration_.cleanupsPlanned() ||
-                 taskDelegation_.anyPlanned();
-  if (toWrite || delegatedTasks_.anyReturnable(now)) requestRound(false);
-}
-
-// Whoever stood still hears first what has been waiting, and judges nobody before. What went unanswered
-// meanwhile is our own doing.
-bool ShardScheduler::stoodStill(Time now) {
-  bool still = ticked_ != Time{} && now - ticked_ > kStandstill;
-  if (still) {
-    log_->info("share {}: stood still for {} ms", takeover_.shard.value, (now - ticked_).count());
-    resumed_ = now;
-    for (auto& [_, h] : state_.machines()) h.unansweredProbes = 0;
+  if (backoffEnded) requestPlacementRound(true);
+  bool writesPending = !unwrittenTasks_.empty() || !jobsToEnd_.empty() ||
+                       jobMigration_.hasPlannedCleanups() || taskDelegation_.anyPlanned();
+  if (writesPending || delegatedTasks_.anyReturnable(now)) requestPlacementRound(false);
+}
+
+// After a stall of this process, received messages are handled before any machine is judged to be silent.
+// Probes that went unanswered meanwhile do not count, as the stall may have caused that.
+bool ShardScheduler::detectStall(Time now) {
+  bool stalled = lastTickAt_ != Time{} && now - lastTickAt_ > kStallThreshold;
+  if (stalled) {
+    log_->info("shard {}: stood still for {} ms", takeover_.shard.value, (now - lastTickAt_).count());
+    lastStallEnd_ = now;
+    for (auto& [_, machine] : state_.machines()) machine.unansweredProbes = 0;
   }
-  ticked_ = now;
-  return still;
+  lastTickAt_ = now;
+  return stalled;
 }
 
 }  // namespace cherryloft
--- a/src/scheduler/shard_state.cpp
+++ b/src/scheduler/shard_state.cpp
@@ -17,42 +17,42 @@
 }
 
 Resources Machine::capacityBeingFreed() const {
-  Resources r;
-  for (const auto& [_, p] : placements)
-    if (!p.wanted) r += p.job->spec->each;
-  return r;
+  Resources freed;
+  for (const auto& [_, placement] : placements)
+    if (!placement.desired) freed += placement.job->spec->each;
+  return freed;
 }
 
 // --- jobs ---
 
-Job& ShardState::addJob(const JobId& id, const JobEntry& known, const Delegation* delegation) {
+Job& ShardState::addJob(const JobId& id, const JobEntry& entry, const Delegation* delegation) {
   auto& job = jobs_[id];
   job.id = id;
-  job.spec = known.spec;
+  job.spec = entry.spec;
   job.team = settings_.team(job.spec->team);
-  job.holders = &holders_[job.spec->image];
-  job.version = known.version;
-  job.submitted = known.submitted;
-  job.status = known.status;
-  job.tasks.assign(known.tasks, Task{});
-  byTeam_[job.spec->team][{job.submitted, id}] = &job;
+  job.imageHolders = &imageHolders_[job.spec->image];
+  job.version = entry.version;
+  job.submitted = entry.submitted;
+  job.status = entry.status;
+  job.tasks.assign(entry.tasks, Task{});
+  jobsByTeam_[job.spec->team][{job.submitted, id}] = &job;
   if (delegation)
     addDelegatedTasks(job, *delegation);
   else
-    addOwnTasks(job, known);
+    addOwnTasks(job, entry);
   if (job.status != JobStatus::Open) return job;
-  for (std::uint32_t index = 0; index < known.tasks; ++index)
+  for (std::uint32_t index = 0; index < entry.tasks; ++index)
     if (job.tasks[index].state == TaskState::Waiting) job.waiting.push_back(index);
   return job;
 }
 
-void ShardState::addOwnTasks(Job& job, const JobEntry& known) {
-  job.maxConcurrent = known.maxConcurrent;
-  job.delegations = known.delegations;
-  for (const auto& delegation : known.delegations)
+void ShardState::addOwnTasks(Job& job, const JobEntry& entry) {
+  job.maxConcurrent = entry.maxConcurrent;
+  job.delegations = entry.delegations;
+  for (const auto& delegation : entry.delegations)
     for (auto index : delegation.tasks)
-      if (index < job.tasks.size()) makeRemote(job, index, delegation.zone);
-  for (auto index : known.doneRemotely) {
+      if (index < job.tasks.size()) markRemote(job, index, delegation.zone);
+  for (auto index : entry.doneRemotely) {
     if (index >= job.tasks.size() || job.tasks[index].state != TaskState::Waiting) continue;
     job.tasks[index].state = TaskState::Done;
     job.tasks[index].doneCommitted = true;
@@ -63,20 +63,20 @@
 void ShardState::addDelegatedTasks(Job& job, const Delegation& delegation) {
   job.delegation = delegation;
   for (std::uint32_t index = 0; index < job.tasks.size(); ++index) {
-    if (delegation.covers(index)) continue;
+    if (delegation.contains(index)) continue;
     job.tasks[index].state = TaskState::Remote;
     ++job.remote;
   }
 }
 
-void ShardState::makeRemote(Job& job, std::uint32_t index, const std::optional<Zone>& zone) {
+void ShardState::markRemote(Job& job, std::uint32_t index, const std::optional<Zone>& zone) {
   job.tasks[index].state = TaskState::Remote;
   ++job.remote;
   if (zone) ++job.zones[*zone];
   usageByTeam_[job.spec->team] += job.spec->each;
 }
 
-void ShardState::remoteBack(Job& job, std::uint32_t index, const std::optional<Zone>& zone, bool done) {
+void ShardState::takeBackRemote(Job& job, std::uint32_t index, const std::optional<Zone>& zone, bool done) {
   --job.remote;
   if (zone) {
     auto count = job.zones.find(*zone);
@@ -96,7 +96,7 @@
   if (found == jobs_.end()) return;
   auto& job = found->second;
   for (auto& task : job.tasks) detachFromPage(task);
-  byTeam_[job.spec->team].erase({job.submitted, id});
+  jobsByTeam_[job.spec->team].erase({job.submitted, id});
   jobs_.erase(found);
 }
 
@@ -107,13 +107,13 @@
 
 // --- machines ---
 
-Machine& ShardState::addMachine(const MachineId& id, const MachineEntry& known, const MachineType* type,
+Machine& ShardState::addMachine(const MachineId& id, const MachineEntry& entry, const MachineType* type,
                                 Time now) {
   auto& machine = machines_[id];
   machine.id = id;
-  machine.no = ++machineCount_;
-  machine.known = known;
-  machine.address = known.record.address;
+  machine.no = ++lastMachineNo_;
+  machine.known = entry;
+  machine.address = entry.record.address;
   if (type) {
     machine.size = type->size;
     machine.fetchGbPerS = type->fetchGbPerS;
@@ -121,18 +121,18 @@
   }
   machine.pool = &poolFor(machine);
   ++machine.pool->machines;
-  machine.lastHeard = now;
+  machine.lastHeartbeatAt = now;
   machine.idleSince = now;
   return machine;
 }
 
-Pool& ShardState::poolFor(const Machine& machine) {
+MachinePool& ShardState::poolFor(const Machine& machine) {
   const auto& record = machine.known.record;
-  auto found = std::find_if(pools_.begin(), pools_.end(), [&](const Pool& pool) {
+  auto found = std::find_if(pools_.begin(), pools_.end(), [&](const MachinePool& pool) {
     return pool.type == record.type && pool.zone == record.zone && pool.spot == record.spot;
   });
   if (found != pools_.end()) return *found;
-  Pool pool;
+  MachinePool pool;
   pool.type = record.type;
   pool.zone = record.zone;
   pool.spot = record.spot;
@@ -141,7 +141,7 @@
   return pools_.emplace_back(std::move(pool));
 }
 
-void ShardState::learnType(Machine& machine, const MachineType& type) {
+void ShardState::setMachineType(Machine& machine, const MachineType& type) {
   machine.size = type.size;
   machine.fetchGbPerS = type.fetchGbPerS;
   machine.images = ImageCache(type.cacheGb);
@@ -157,7 +157,7 @@
   machine.decommissioning = true;
   reindex(machine);
   --machine.pool->machines;
-  for (auto& [_, holders] : holders_) holders.erase(machine.no);
+  for (auto& [_, imageHolders] : imageHolders_) imageHolders.erase(machine.no);
   machines_.erase(found);
 }
 
@@ -167,27 +167,27 @@
 }
 
 void ShardState::reindex(Machine& machine) {
-  std::optional<double> freeCores;  // nothing: it is not to be in the index
+  std::optional<double> freeCores;  // nothing: the machine must not be in the index
   if (machine.open()) freeCores = machine.free().cores;
-  if (machine.indexedFree == freeCores) return;
+  if (machine.indexedFreeCores == freeCores) return;
   auto& index = machine.pool->byFreeCores;
-  if (machine.indexedFree) index.erase({*machine.indexedFree, machine.no});
+  if (machine.indexedFreeCores) index.erase({*machine.indexedFreeCores, machine.no});
   if (freeCores) index[{*freeCores, machine.no}] = &machine;
-  if (!machine.indexedFree) {
-    machine.openAt = open_.size();
-    open_.push_back(&machine);
+  if (!machine.indexedFreeCores) {
+    machine.openIndex = openMachines_.size();
+    openMachines_.push_back(&machine);
   } else if (!freeCores) {
-    // The last one takes its place.
-    open_[machine.openAt] = open_.back();
-    open_[machine.openAt]->openAt = machine.openAt;
-    open_.pop_back();
+    // Swap-and-pop removal.
+    openMachines_[machine.openIndex] = openMachines_.back();
+    openMachines_[machine.openIndex]->openIndex = machine.openIndex;
+    openMachines_.pop_back();
   }
-  machine.indexedFree = freeCores;
+  machine.indexedFreeCores = freeCores;
 }
 
-void ShardState::cached(Machine& machine, const ImageId& image, double sizeGb) {
-  for (const auto& evicted : machine.images.touch(image, sizeGb)) holders_[evicted].erase(machine.no);
-  holders_[image][machine.no] = &machine;
+void ShardState::recordImageUse(Machine& machine, const ImageId& image, double sizeGb) {
+  for (const auto& evicted : machine.images.touch(image, sizeGb)) imageHolders_[evicted].erase(machine.no);
+  imageHolders_[image][machine.no] = &machine;
 }
 
 // --- placements ---
@@ -207,8 +207,8 @@
   task.state = TaskState::Placed;
   task.machine = &machine;
   ++job.placed;
-  job.begun = true;
-  job.placedLast = now;
+  job.started = true;
+  job.lastPlacedAt = now;
   reindex(machine);
   return placement;
 }
@@ -225,11 +225,11 @@
   if (--zone->second == 0) job.zones.erase(zone);
   --job.placed;
   if (released.committed) --job.committed;
-  if (released.phase == wire::TaskPhase::Running && released.shown) --job.running;
+  if (released.phase == wire::TaskPhase::Running && released.observed) --job.running;
   job.tasks[id.index].machine = nullptr;
   machine.placements.erase(placement);
   if (machine.placements.empty()) {
-    // Sums of what was taken and given back differ from nothing by rounding.
+    // Resets the sums, which rounding errors may have left slightly off zero.
     machine.used = {};
     machine.replicaCores = 0;
     machine.idleSince = now;
@@ -237,20 +237,20 @@
   reindex(machine);
 }
 
-void ShardState::markGone(Machine& machine, const TaskId& task, Time now) {
+void ShardState::requeueLostTask(Machine& machine, const TaskId& task, Time now) {
   auto placement = machine.placements.find(task);
   if (placement == machine.placements.end()) return;
   Job& job = *placement->second.job;
-  if (placement->second.shown && machine.spot()) ++job.lost;
+  if (placement->second.observed && machine.spot()) ++job.lost;
   release(machine, placement, now);
-  auto& lost = job.tasks[task.index];
-  lost.state = TaskState::Waiting;
-  detachFromPage(lost);
-  // What was running before comes before what never ran.
+  auto& lostTask = job.tasks[task.index];
+  lostTask.state = TaskState::Waiting;
+  detachFromPage(lostTask);
+  // Tasks that ran before are placed ahead of those that never ran.
   job.waiting.push_front(task.index);
 }
 
-void ShardState::taskDone(Machine& machine, const TaskId& task, Time now) {
+void ShardState::markTaskDone(Machine& machine, const TaskId& task, Time now) {
   auto placement = machine.placements.find(task);
   if (placement == machine.placements.end()) return;
   Job& job = *placement->second.job;
@@ -265,7 +265,7 @@
   ++placement.job->committed;
 }
 
-void ShardState::doneWaiting(Job& job) {
+void ShardState::markWaitingDone(Job& job) {
   for (auto index : job.waiting) job.tasks[index].state = TaskState::Done;
   job.done += static_cast<std::uint32_t>(job.waiting.size());
   job.waiting.clear();
@@ -273,44 +273,45 @@
 
 void ShardState::setPhase(Placement& placement, wire::TaskPhase phase, Time now) {
   using wire::TaskPhase;
-  bool ranBefore = placement.shown && placement.phase == TaskPhase::Running;
-  bool runsNow = phase == TaskPhase::Running;
-  if (runsNow && !ranBefore) {
+  bool wasRunning = placement.observed && placement.phase == TaskPhase::Running;
+  bool isRunning = phase == TaskPhase::Running;
+  if (isRunning && !wasRunning) {
     ++placement.job->running;
     placement.runningSince = now;
   }
-  if (ranBefore && !runsNow) --placement.job->running;
-  placement.shown = true;
+  if (wasRunning && !isRunning) --placement.job->running;
+  placement.observed = true;
   placement.phase = phase;
 }
 
 // --- quotas ---
 
-Resources ShardState::teamUse(const TeamId& team) const {
+Resources ShardState::teamUsage(const TeamId& team) const {
   auto usage = usageByTeam_.find(team);
   return usage == usageByTeam_.end() ? Resources{} : usage->second;
 }
 
 bool ShardState::withinLimit(const Job& job) const {
   if (!job.team) return false;
-  if (job.delegation) return true;  // the owner's shard counts it (invariant 18)
+  if (job.delegation) return true;  // the owner's shard enforces the quota (invariant 18)
   if (job.maxConcurrent)
-    return job.placed + job.remote < *job.maxConcurrent;  // its team's own shard counts it (invariant 17)
-  auto sum = teamUse(job.spec->team) + job.spec->each;
+    return job.placed + job.remote <
+           *job.maxConcurrent;  // the team's own shard enforces the quota (invariant 17)
+  auto sum = teamUsage(job.spec->team) + job.spec->each;
   sum.ram = 0;
   return sum.fitsIn({job.team->coreQuota, job.team->gpuQuota, 0});
 }
 
 bool ShardState::aboveGuarantee(const Team& team) const {
-  return teamUse(team.name).cores > team.cores + kResourceSlack;
+  return teamUsage(team.name).cores > team.cores + kResourceTolerance;
 }
 
 bool ShardState::mayPreempt(PriorityClass claimant, bool guaranteed) const {
-  auto own = static_cast<std::size_t>(claimant);
-  for (std::size_t lower = 0; lower < own; ++lower)
-    if (usedByPriority_[lower] > kResourceSlack) return true;
-  if (!guaranteed || usedByPriority_[own] <= kResourceSlack) return false;
-  return std::any_of(byTeam_.begin(), byTeam_.end(), [&](const auto& jobsOfTeam) {
+  auto claimantLevel = static_cast<std::size_t>(claimant);
+  for (std::size_t lower = 0; lower < claimantLevel; ++lower)
+    if (usedByPriority_[lower] > kResourceTolerance) return true;
+  if (!guaranteed || usedByPriority_[claimantLevel] <= kResourceTolerance) return false;
+  return std::any_of(jobsByTeam_.begin(), jobsByTeam_.end(), [&](const auto& jobsOfTeam) {
     const Team* team = settings_.team(jobsOfTeam.first);
     return team && aboveGuarantee(*team);
   });
--- a/src/scheduler/task_delegation_owner.cpp
+++ b/src/scheduler/task_delegation_owner.cpp
@@ -1,10 +1,11 @@
-// Task delegation, as the shard that owns the job sees it (invariant 18): waiting tasks that another shard,
-// the delegate, places for it.
+// The owner's side of task delegation (invariant 18): another shard, the delegate, places waiting tasks for
+// the shard that owns the job.
 //
-// Used where a job can't be migrated whole: some of its tasks are placed or done, or it is a gang that no
-// shard has free capacity for alone. The owner keeps the job: it answers its users, writes its end, and
-// counts what it delegated toward the team's quota and the zones' rules. Each step is one write of the job's
-// record under its version (TaskDelegation). The delegate's part is in task_delegation_delegate.cpp.
+// Used for jobs that can't be migrated as a whole: some tasks are placed or done, or the job is a gang for
+// which no single shard has enough free capacity. The owner keeps the job: it answers its users, writes its
+// end, and counts the delegated tasks toward the team's quota and the job's zone rules. Each step is one
+// write of the job's record, conditional on its version (TaskDelegation). The delegate's side is in
+// task_delegation_delegate.cpp.
 #include <algorithm>
 #include <utility>
 
@@ -13,12 +14,12 @@
 namespace cherryloft {
 namespace {
 
-// Where its tasks may go depends on where its others are.
-bool boundToZones(const JobSpec& spec) { return spec.spread || spec.oneZone; }
+// Whether the zones allowed for a task depend on where the job's other tasks are.
+bool isZoneConstrained(const JobSpec& spec) { return spec.spread || spec.oneZone; }
 
 }  // namespace
 
-// Plans the delegation of tasks that offers came for, and asks for capacity for the others.
+// Plans the delegation of tasks for which offers arrived, and requests capacity for the others.
 void ShardScheduler::reviewDelegations(Time now) {
   if (now - delegationsReviewed_ < kCapacityReviewInterval) return;
   delegationsReviewed_ = now;
@@ -26,23 +27,25 @@
   if (transferringTo_ || ownershipTransferSent_) return;
   mesh::TaskCapacityRequest request;
   request.shard = takeover_.shard.value;
-  for (Job* job : oldestUnplaceable(RemotePlacement::Delegation, now)) {
-    if (migrationPlanned(job->id) || taskDelegation_.planned(job->id)) continue;
+  for (Job* job : oldestUnschedulableJobs(RemotePlacement::Delegation, now)) {
+    if (isMigrationPlanned(job->id) || taskDelegation_.planned(job->id)) continue;
     bool splitGang = job->isGang() && job->remote > 0;
-    if (splitGang) planRecall(*job);  // the members here found no capacity after all
+    if (splitGang) planRecall(*job);  // this shard's members found no capacity after all
     if (splitGang || planDelegations(*job, now))
-      requestRound(false);
+      requestPlacementRound(false);
     else
       request.jobs.push_back(taskCapacityNeed(*job));
   }
   if (!request.jobs.empty()) callbacks_.requestTaskCapacity(request);
 }
 
-// How many of its tasks are to go, and how many of them each zone may take where that matters.
+// Returns how many of the job's tasks need capacity and, if the job has zone rules, how many each zone may
+// take.
 mesh::TaskCapacityNeed ShardScheduler::taskCapacityNeed(const Job& job) const {
-  auto waiting = static_cast<std::uint32_t>(std::min<std::size_t>(job.waiting.size(), kMaxDelegatedTasks));
-  mesh::TaskCapacityNeed need{job.id.value, std::min(waiting, tasksWithinLimit(job)), {}};
-  if (!boundToZones(*job.spec)) {
+  auto waiting =
+      static_cast<std::uint32_t>(std::min<std::size_t>(job.waiting.size(), kMaxTasksPerDelegation));
+  mesh::TaskCapacityNeed need{job.id.value, std::min(waiting, tasksWithinQuota(job)), {}};
+  if (!isZoneConstrained(*job.spec)) {
     need.zones.push_back({"", need.tasks});
     return need;
   }
@@ -56,13 +59,14 @@
 
 void ShardScheduler::handleTaskCapacityOffer(const mesh::TaskCapacityOffer& offer) {
   JobId id{offer.job};
-  if (!loaded_ || !owns() || !state_.job(id) || offer.room.tasks == 0) return;
-  taskOffers_.add(id,
-                  {ShardId{offer.shard}, zoneFromMessage(offer.room.zone), offer.room.tasks, runtime_.now()});
+  if (!loaded_ || !owns() || !state_.job(id) || offer.zoneCapacity.tasks == 0) return;
+  taskOffers_.add(id, {ShardId{offer.shard}, zoneFromMessage(offer.zoneCapacity.zone),
+                       offer.zoneCapacity.tasks, runtime_.now()});
 }
 
-// Gives tasks to the shards that offered capacity, the largest offer first. A gang goes only if all of it
-// finds capacity, with what there is here. False if nothing is planned.
+// Plans to delegate tasks to the shards that offered capacity, largest offer first. Gang members are
+// delegated only if the offers and this shard's own capacity together suffice for the whole gang. Returns
+// false if nothing is planned.
 bool ShardScheduler::planDelegations(Job& job, Time now) {
   if (!taskOffers_.any(job.id)) return false;
   auto offers = taskOffers_.take(job.id, now);
@@ -70,11 +74,11 @@
     return findDelegation(job.delegations, offer.shard) != nullptr;
   });
   bool gang = job.isGang();
-  if (gang && tasksWithinLimit(job) < job.waiting.size()) return false;
-  auto here = gang ? capacityFor(job) : 0;
-  auto remaining = static_cast<std::uint32_t>(job.waiting.size()) - here;
-  if (!gang) remaining = std::min(remaining, tasksWithinLimit(job));
-  if (gang) job.gangAttempt = attemptOf(takeover_.epoch, ++attempts_);
+  if (gang && tasksWithinQuota(job) < job.waiting.size()) return false;
+  auto localCapacity = gang ? capacityForJob(job) : 0;
+  auto remaining = static_cast<std::uint32_t>(job.waiting.size()) - localCapacity;
+  if (!gang) remaining = std::min(remaining, tasksWithinQuota(job));
+  if (gang) job.gangAttempt = makeAttempt(takeover_.epoch, ++attempts_);
   for (const auto& offer : offers) {
     remaining -= taskDelegation_.plan(job, offer, remaining);
     if (remaining == 0) break;
@@ -82,18 +86,18 @@
   bool any = taskDelegation_.planned(job.id);
   bool gangIncomplete = gang && remaining > 0;
   if (any && !gangIncomplete) {
-    job.placedLast = now;  // the rest waits anew
+    job.lastPlacedAt = now;  // restarts the waiting time of the remaining tasks
     return true;
   }
-  job.gangAttempt.reset();  // the next try, wherever it is, has an attempt of its own
+  job.gangAttempt.reset();  // the next try, on any shard, uses a new attempt
   taskDelegation_.dropPlan(job);
   return false;
 }
 
-// After a takeover. Of a gang whose members here are not placed a former owner may have tried some: it starts
-// anew as a whole.
+// Resumes delegations after a takeover. If members of a gang that belong to this shard are not placed, a
+// former owner may have tried some of them, so the whole gang is restarted.
 void ShardScheduler::resumeDelegations(Job& job) {
-  if (job.delegation && job.delegation->recalled) recallDelegated(job);
+  if (job.delegation && job.delegation->recalled) handleDelegationRecall(job);
   if (job.delegation || job.remote == 0 || !job.isGang()) return;
   bool recalled = std::any_of(job.delegations.begin(), job.delegations.end(),
                               [](const Delegation& delegation) { return delegation.recalled; });
@@ -103,19 +107,19 @@
     handleGangMemberLost(job);
 }
 
-// --- what delegates gave back ---
+// --- tasks returned by delegates ---
 
-// The cluster view shows a record of our job that a delegate may have written: takes in the tasks that it
-// gave back, done or not.
-void ShardScheduler::ownedJobChanged(Job& job, const JobEntry& entry) {
-  auto returned = taskDelegation_.takeReturned(job, entry);
+// Handles a changed record of one of this shard's jobs in the cluster view. A delegate may have written it to
+// return tasks, done or not.
+void ShardScheduler::handleOwnedJobChange(Job& job, const JobEntry& entry) {
+  auto returned = taskDelegation_.applyReturns(job, entry);
   if (!returned) return;
-  // For a page, so that the record need not keep it.
+  // Queued for a placement page so that the job's record need not keep them.
   for (auto index : returned->done) unwrittenTasks_.push_back({job.id, index});
   completeGangIfDone(job);
   if (!returned->unfinished.empty()) handleGangMemberLost(job);
-  endIfFinished(job);
-  if (returned->any()) requestRound(true);
+  queueJobEndIfFinished(job);
+  if (returned->any()) requestPlacementRound(true);
 }
 
 }  // namespace cherryloft
--- a/src/wire/records.cpp
+++ b/src/wire/records.cpp
@@ -8,23 +8,24 @@
 namespace cherryloft::wire {
 namespace {
 
-// The layout of pages and groups. Layout 1 had a key for each part of a job and for each machine.
-constexpr std::uint64_t kLayout = 2;
+// Layout version of pages and groups. Layout 1 had one key for each part of a job and for each machine.
+constexpr std::uint64_t kLayoutVersion = 2;
 
-std::optional<Json> parseLayout(const std::string& value) {
+// Returns nullopt for another layout version.
+std::optional<Json> parseVersioned(const std::string& value) {
   auto document = parse(value);
-  if (!document || countAt(*document, "v") != kLayout) return std::nullopt;
+  if (!document || unsignedField(*document, "v") != kLayoutVersion) return std::nullopt;
   return document;
 }
 
-// The enumerator of that number, or nothing beyond the last one.
+// The enumerator with that value; nullopt if it is beyond the last one.
 template <class Enum>
-std::optional<Enum> enumeratorOf(std::optional<std::uint64_t> number, Enum last) {
+std::optional<Enum> toEnumerator(std::optional<std::uint64_t> number, Enum last) {
   if (!number || *number > static_cast<std::uint64_t>(last)) return std::nullopt;
   return static_cast<Enum>(*number);
 }
 
-// Ascending numbers as the first and the last of each run of them.
+// Encodes ascending numbers as [first, last] pairs of consecutive ones.
 Json encodeRanges(const std::vector<std::uint32_t>& numbers) {
   Json ranges = Json::array();
   for (std::size_t first = 0; first < numbers.size();) {
@@ -57,13 +58,13 @@
 }
 
 std::optional<Delegation> parseDelegation(const Json& json) {
-  auto shard = countAt(json, "sh");
-  auto tasks = parseRanges(listAt(json, "t"));
+  auto shard = unsignedField(json, "sh");
+  auto tasks = parseRanges(arrayField(json, "t"));
   if (!shard || !tasks) return std::nullopt;
   Delegation delegation{ShardId{static_cast<std::uint32_t>(*shard)}, std::nullopt, std::move(*tasks)};
-  if (auto zone = textAt(json, "zo")) delegation.zone = Zone{*zone};
-  if (auto attempt = countAt(json, "try")) delegation.attempt = Attempt{*attempt};
-  delegation.recalled = flagAt(json, "back").value_or(false);
+  if (auto zone = stringField(json, "zo")) delegation.zone = Zone{*zone};
+  if (auto attempt = unsignedField(json, "try")) delegation.attempt = Attempt{*attempt};
+  delegation.recalled = boolField(json, "back").value_or(false);
   return delegation;
 }
 
@@ -102,29 +103,29 @@
 }
 
 std::optional<JobSpec> parseSpec(const JobId& id, std::uint32_t tasks, const Json& json) {
-  auto each = parseResources(listAt(json, "each"));
-  auto priority = enumeratorOf(countAt(json, "rank"), PriorityClass::Production);
-  auto kind = enumeratorOf(countAt(json, "shape"), JobKind::Gang);
+  auto each = parseResources(arrayField(json, "each"));
+  auto priority = toEnumerator(unsignedField(json, "rank"), PriorityClass::Production);
+  auto kind = toEnumerator(unsignedField(json, "shape"), JobKind::Gang);
   if (!each || !priority || !kind) return std::nullopt;
   JobSpec spec;
   spec.id = id;
-  spec.jobClass = textAt(json, "class").value_or("");
-  spec.team = TeamId{textAt(json, "team").value_or("")};
+  spec.jobClass = stringField(json, "class").value_or("");
+  spec.team = TeamId{stringField(json, "team").value_or("")};
   spec.kind = *kind;
   spec.priority = *priority;
   spec.tasks = tasks;
   spec.each = *each;
-  spec.image = ImageId{textAt(json, "image").value_or("")};
-  spec.imageGb = numberAt(json, "gb").value_or(0);
-  spec.oneZone = flagAt(json, "onezone").value_or(false);
-  spec.spread = flagAt(json, "spread").value_or(false);
-  spec.spotAllowed = flagAt(json, "lend").value_or(false);
-  spec.expectedRunSeconds = numberAt(json, "expect").value_or(0);
-  spec.checkpointIntervalSeconds = numberAt(json, "every").value_or(0);
-  spec.checkpointSeconds = numberAt(json, "save").value_or(0);
-  if (json.contains("types")) spec.types = parseNames(listAt(json, "types"));
-  if (auto zone = textAt(json, "zone")) spec.zone = Zone{*zone};
-  spec.deadlineSeconds = numberAt(json, "due");
+  spec.image = ImageId{stringField(json, "image").value_or("")};
+  spec.imageGb = numberField(json, "gb").value_or(0);
+  spec.oneZone = boolField(json, "onezone").value_or(false);
+  spec.spread = boolField(json, "spread").value_or(false);
+  spec.spotAllowed = boolField(json, "lend").value_or(false);
+  spec.expectedRunSeconds = numberField(json, "expect").value_or(0);
+  spec.checkpointIntervalSeconds = numberField(json, "every").value_or(0);
+  spec.checkpointSeconds = numberField(json, "save").value_or(0);
+  if (json.contains("types")) spec.types = parseNames(arrayField(json, "types"));
+  if (auto zone = stringField(json, "zone")) spec.zone = Zone{*zone};
+  spec.deadlineSeconds = numberField(json, "due");
   return spec;
 }
 
@@ -144,15 +145,15 @@
   return dump(json);
 }
 
-std::string encodeCancelledJob(JobRecord record, std::size_t valueBytes) {
+std::string encodeCancelledJob(JobRecord record, std::size_t maxValueBytes) {
   auto value = encodeJobRecord(record);
-  if (value.size() <= valueBytes || !record.spec) return value;
-  // Nothing of it is placed any more: only the resources of its tasks are still asked for.
+  if (value.size() <= maxValueBytes || !record.spec) return value;
+  // No more tasks of the job will be placed; only their resources are still needed.
   record.spec->jobClass.clear();
   record.spec->image.value.clear();
   record.spec->types.reset();
   value = encodeJobRecord(record);
-  if (value.size() <= valueBytes) return value;
+  if (value.size() <= maxValueBytes) return value;
   for (auto& delegation : record.delegations) {
     auto& tasks = delegation.tasks;
     if (tasks.empty()) continue;
@@ -166,27 +167,28 @@
 std::optional<JobRecord> parseJobRecord(const JobId& id, const std::string& value) {
   auto document = parse(value);
   if (!document) return std::nullopt;
-  auto status = enumeratorOf(countAt(*document, "st"), JobStatus::Cancelled);
-  auto shard = countAt(*document, "sh");
-  auto tasks = countAt(*document, "n");
-  auto doneRemotely = parseRanges(listAt(*document, "done"));
+  auto status = toEnumerator(unsignedField(*document, "st"), JobStatus::Cancelled);
+  auto shard = unsignedField(*document, "sh");
+  auto tasks = unsignedField(*document, "n");
+  auto doneRemotely = parseRanges(arrayField(*document, "done"));
   if (!status || !shard || !tasks || !doneRemotely) return std::nullopt;
   JobRecord record;
   record.status = *status;
   record.shard = ShardId{static_cast<std::uint32_t>(*shard)};
   record.tasks = static_cast<std::uint32_t>(*tasks);
   record.doneRemotely = std::move(*doneRemotely);
-  if (auto most = countAt(*document, "most")) record.maxConcurrent = static_cast<std::uint32_t>(*most);
-  for (const auto& part : listAt(*document, "parts")) {
-    // One that can't be read must not be taken for none: its tasks would be placed twice.
+  if (auto maxConcurrent = unsignedField(*document, "most"))
+    record.maxConcurrent = static_cast<std::uint32_t>(*maxConcurrent);
+  for (const auto& part : arrayField(*document, "parts")) {
+    // Ignoring a malformed delegation would place its tasks twice.
     auto delegation = parseDelegation(part);
     if (!delegation) return std::nullopt;
     record.delegations.push_back(std::move(*delegation));
   }
-  // A cancelled job keeps its description: what it takes counts until its last task is known to be gone.
+  // A cancelled job keeps its description: its usage counts until its last task is known to have ended.
   bool hasSpec = document->contains("spec");
   if (record.status != JobStatus::Open && !hasSpec) return record;
-  auto submitted = countAt(*document, "at");
+  auto submitted = unsignedField(*document, "at");
   if (!submitted || !hasSpec) return std::nullopt;
   record.submitted = WallTime{static_cast<std::int64_t>(*submitted)};
   record.spec = parseSpec(id, record.tasks, document->at("spec"));
@@ -219,10 +221,10 @@
 }
 
 std::optional<JobPlacements> parsePlacements(const Json& json) {
-  auto done = parseRanges(listAt(json, "d"));
+  auto done = parseRanges(arrayField(json, "d"));
   if (!done) return std::nullopt;
   JobPlacements placements{std::move(*done), {}};
-  for (const auto& item : listAt(json, "p")) {
+  for (const auto& item : arrayField(json, "p")) {
     auto entry = parsePlacement(item);
     if (!entry) return std::nullopt;
     placements.placed.push_back(std::move(*entry));
@@ -232,23 +234,23 @@
 
 }  // namespace
 
-// The constants are the quotes, brackets, commas and member names around the variable parts, rounded up.
+// The constants cover quotes, brackets, commas and member names, rounded up.
 std::size_t maxBytesOfJob(const JobId& job) { return job.value.size() + 20; }
 std::size_t maxBytesOfDoneTask(std::uint32_t index) { return 2 * digits(index) + 4; }
 std::size_t maxBytesOf(const PlacementEntry& entry) {
   return digits(entry.index) + digits(entry.attempt.value) + entry.machine.value.size() + 7;
 }
 
-std::string encodePage(const PageRecord& record) {
+std::string encodePlacementPage(const PlacementPageRecord& record) {
   Json jobs = Json::object();
   for (const auto& [id, placements] : record.jobs) jobs[id.value] = encodePlacements(placements);
-  return dump(Json{{"v", kLayout}, {"j", std::move(jobs)}});
+  return dump(Json{{"v", kLayoutVersion}, {"j", std::move(jobs)}});
 }
 
-std::optional<PageRecord> parsePage(const std::string& value) {
-  auto document = parseLayout(value);
+std::optional<PlacementPageRecord> parsePlacementPage(const std::string& value) {
+  auto document = parseVersioned(value);
   if (!document || !document->contains("j") || !document->at("j").is_object()) return std::nullopt;
-  PageRecord record;
+  PlacementPageRecord record;
   for (const auto& [id, json] : document->at("j").items()) {
     auto placements = parsePlacements(json);
     if (!placements) return std::nullopt;
@@ -261,22 +263,22 @@
 
 namespace {
 
-std::optional<GroupMember> parseMember(const Json& json) {
+std::optional<MachineGroupMember> parseMember(const Json& json) {
   if (!json.is_array() || json.size() != 3 || !json[0].is_string() || !json[1].is_number_unsigned() ||
       !json[2].is_string())
     return std::nullopt;
-  auto phase = enumeratorOf<MachinePhase>(json[1].get<std::uint64_t>(), MachinePhase::Returning);
+  auto phase = toEnumerator<MachinePhase>(json[1].get<std::uint64_t>(), MachinePhase::Returning);
   if (!phase) return std::nullopt;
-  return GroupMember{MachineId{json[0].get<std::string>()}, *phase, json[2].get<std::string>()};
+  return MachineGroupMember{MachineId{json[0].get<std::string>()}, *phase, json[2].get<std::string>()};
 }
 
 }  // namespace
 
-std::string encodeGroup(const GroupRecord& record) {
+std::string encodeMachineGroup(const MachineGroupRecord& record) {
   Json members = Json::array();
   for (const auto& member : record.members)
     members.push_back({member.id.value, static_cast<int>(member.phase), member.address});
-  return dump(Json{{"v", kLayout},
+  return dump(Json{{"v", kLayoutVersion},
                    {"sh", record.shard.value},
                    {"tk", record.token.value},
                    {"ty", record.type},
@@ -286,20 +288,20 @@
                    {"m", std::move(members)}});
 }
 
-std::optional<GroupRecord> parseGroup(const std::string& value) {
-  auto document = parseLayout(value);
+std::optional<MachineGroupRecord> parseMachineGroup(const std::string& value) {
+  auto document = parseVersioned(value);
   if (!document) return std::nullopt;
-  auto shard = countAt(*document, "sh");
-  auto token = countAt(*document, "tk");
+  auto shard = unsignedField(*document, "sh");
+  auto token = unsignedField(*document, "tk");
   if (!shard || !token) return std::nullopt;
-  GroupRecord record{ShardId{static_cast<std::uint32_t>(*shard)},
-                     Epoch{*token},
-                     textAt(*document, "ty").value_or(""),
-                     Zone{textAt(*document, "zo").value_or("")},
-                     flagAt(*document, "sp").value_or(false),
-                     WallTime{static_cast<std::int64_t>(countAt(*document, "at").value_or(0))},
-                     {}};
-  for (const auto& item : listAt(*document, "m")) {
+  MachineGroupRecord record{ShardId{static_cast<std::uint32_t>(*shard)},
+                            Epoch{*token},
+                            stringField(*document, "ty").value_or(""),
+                            Zone{stringField(*document, "zo").value_or("")},
+                            boolField(*document, "sp").value_or(false),
+                            WallTime{static_cast<std::int64_t>(unsignedField(*document, "at").value_or(0))},
+                            {}};
+  for (const auto& item : arrayField(*document, "m")) {
     auto member = parseMember(item);
     if (!member) return std::nullopt;
     record.members.push_back(std::move(*member));
@@ -307,10 +309,10 @@
   return record;
 }
 
-std::size_t maxGroupMembers(std::size_t valueBytes) {
-  constexpr std::size_t kFrameBytes = 200;  // what is common to all members, with room to spare
-  constexpr std::size_t kMemberBytes = 48;  // of a name, a phase and an address
-  return std::max<std::size_t>(1, (valueBytes - std::min(valueBytes, kFrameBytes)) / kMemberBytes);
+std::size_t maxGroupMembers(std::size_t maxValueBytes) {
+  constexpr std::size_t kCommonBytes = 200;  // fields common to all members, with a reserve
+  constexpr std::size_t kMemberBytes = 48;   // name, phase and address of a member
+  return std::max<std::size_t>(1, (maxValueBytes - std::min(maxValueBytes, kCommonBytes)) / kMemberBytes);
 }
 
 // --- ownership ---
@@ -321,8 +323,8 @@
 
 std::optional<OwnerRecord> parseOwnerRecord(const std::string& value) {
   auto document = parse(value);
-  auto owner = document ? textAt(*document, "own") : std::nullopt;
-  auto epoch = document ? countAt(*document, "ep") : std::nullopt;
+  auto owner = document ? stringField(*document, "own") : std::nullopt;
+  auto epoch = document ? unsignedField(*document, "ep") : std::nullopt;
   if (!owner || !epoch) return std::nullopt;
   return OwnerRecord{ControllerId{*owner}, Epoch{*epoch}};
 }
@@ -331,7 +333,7 @@
 
 std::optional<Epoch> parseEpochCounter(const std::string& value) {
   auto document = parse(value);
-  auto number = document ? countAt(*document, "n") : std::nullopt;
+  auto number = document ? unsignedField(*document, "n") : std::nullopt;
   if (!number) return std::nullopt;
   return Epoch{*number};
 }
--- a/src/wire/workers.cpp
+++ b/src/wire/workers.cpp
@@ -7,10 +7,10 @@
 namespace cherryloft::wire {
 namespace {
 
-std::optional<ReportedTask> parseReported(const Json& entry) {
-  auto task = textAt(entry, "piece");
-  auto attempt = countAt(entry, "try");
-  auto phase = textAt(entry, "status");
+std::optional<ReportedTask> parseReportedTask(const Json& entry) {
+  auto task = stringField(entry, "piece");
+  auto attempt = unsignedField(entry, "try");
+  auto phase = stringField(entry, "status");
   auto id = task ? parseTask(*task) : std::nullopt;
   if (!id || !attempt || !phase) return std::nullopt;
   ReportedTask reported{*id, Attempt{*attempt}, TaskPhase::Fetching, ExitCause::Unknown};
@@ -22,7 +22,7 @@
     reported.phase = TaskPhase::Saving;
   } else if (*phase == "ended") {
     reported.phase = TaskPhase::Exited;
-    auto cause = textAt(entry, "exit_cause").value_or("");
+    auto cause = stringField(entry, "exit_cause").value_or("");
     reported.cause = cause == "done"                        ? ExitCause::Done
                      : cause == "halted"                    ? ExitCause::Stopped
                      : cause == "no_room"                   ? ExitCause::NoRoom
@@ -36,7 +36,7 @@
   return reported;
 }
 
-Json commandsJson(const std::vector<Command>& commands) {
+Json encodeCommandList(const std::vector<Command>& commands) {
   Json list = Json::array();
   for (const auto& command : commands) {
     Json object{{"piece", encodeTask(command.task)}, {"try", command.attempt.value}};
@@ -74,24 +74,24 @@
 std::optional<WorkerHeartbeat> parseHeartbeat(const std::string& body) {
   auto doc = parse(body);
   if (!doc) return std::nullopt;
-  auto machine = textAt(*doc, "host");
-  auto incarnation = countAt(*doc, "tenure");
-  auto sequence = countAt(*doc, "serial");
-  auto token = countAt(*doc, "epoch");
+  auto machine = stringField(*doc, "host");
+  auto incarnation = unsignedField(*doc, "tenure");
+  auto sequence = unsignedField(*doc, "serial");
+  auto token = unsignedField(*doc, "epoch");
   if (!machine || machine->empty() || !incarnation || !sequence || !token) return std::nullopt;
   WorkerHeartbeat heartbeat{MachineId{*machine},
-                            textAt(*doc, "addr").value_or(""),
-                            textAt(*doc, "flavour").value_or(""),
-                            Zone{textAt(*doc, "site").value_or("")},
-                            flagAt(*doc, "lendable").value_or(false),
+                            stringField(*doc, "addr").value_or(""),
+                            stringField(*doc, "flavour").value_or(""),
+                            Zone{stringField(*doc, "site").value_or("")},
+                            boolField(*doc, "lendable").value_or(false),
                             Incarnation{*incarnation},
                             SequenceNumber{*sequence},
                             FencingToken{*token},
-                            numberAt(*doc, "reclaim_in_s"),
+                            numberField(*doc, "reclaim_in_s"),
                             {}};
-  for (const auto& entry : listAt(*doc, "pieces")) {
-    auto task = parseReported(entry);
-    // A list that cannot be read in full proves nothing about what is absent from it.
+  for (const auto& entry : arrayField(*doc, "pieces")) {
+    auto task = parseReportedTask(entry);
+    // From a partly read list it would not follow that a task is absent.
     if (!task) return std::nullopt;
     heartbeat.tasks.push_back(std::move(*task));
   }
@@ -99,13 +99,13 @@
 }
 
 std::string encodeHeartbeatAnswer(FencingToken token, const std::vector<Command>& commands) {
-  return dump(Json{{"epoch", token.value}, {"orders", commandsJson(commands)}});
+  return dump(Json{{"epoch", token.value}, {"orders", encodeCommandList(commands)}});
 }
 
 std::string encodeCommands(FencingToken token, Incarnation incarnation,
                            const std::vector<Command>& commands) {
   return dump(
-      Json{{"epoch", token.value}, {"tenure", incarnation.value}, {"orders", commandsJson(commands)}});
+      Json{{"epoch", token.value}, {"tenure", incarnation.value}, {"orders", encodeCommandList(commands)}});
 }
 
 std::string encodeOwner(const ControllerId& owner) { return dump(Json{{"steward", owner.value}}); }
--- a/tests/run_scenario.cpp
+++ b/tests/run_scenario.cpp
@@ -1,4 +1,4 @@
-// Plays the scenario files named on the command line and prints what went against their expectations.
+// Runs the scenario files named on the command line and prints every expectation that was not met.
 #include <CLI/CLI.hpp>
 #include <filesystem>
 #include <fstream>
@@ -10,8 +10,8 @@
 
 namespace {
 
-constexpr int kComplaints = 1;
-constexpr int kUnreadable = 2;
+constexpr int kExitExpectationsFailed = 1;
+constexpr int kExitUnreadable = 2;
 constexpr int kDigestDigits = 16;
 
 struct Options {
@@ -20,45 +20,45 @@
   std::string traceFile;
 };
 
-// "seed 7: with 40: ", as far as the scenario names them.
-std::string labelOf(const world::Play& play) {
-  return (play.seed.empty() ? "" : "seed " + play.seed + ": ") +
-         (play.value.empty() ? "" : "with " + play.value + ": ");
+// "seed 7: with 40: ", leaving out what the scenario does not set.
+std::string runLabel(const world::ScenarioRun& run) {
+  return (run.seed.empty() ? "" : "seed " + run.seed + ": ") +
+         (run.value.empty() ? "" : "with " + run.value + ": ");
 }
 
 // "quiet_day seed=7 value=- events=1234 digest=0123456789abcdef"
-void printDigest(const std::string& file, const world::Play& play) {
+void printDigest(const std::string& file, const world::ScenarioRun& run) {
   std::ostringstream line;
-  line << std::filesystem::path(file).stem().string() << " seed=" << (play.seed.empty() ? "-" : play.seed)
-       << " value=" << (play.value.empty() ? "-" : play.value) << " events=" << play.traceEvents
-       << " digest=" << std::hex << std::setw(kDigestDigits) << std::setfill('0') << play.traceDigest;
+  line << std::filesystem::path(file).stem().string() << " seed=" << (run.seed.empty() ? "-" : run.seed)
+       << " value=" << (run.value.empty() ? "-" : run.value) << " events=" << run.traceEvents
+       << " digest=" << std::hex << std::setw(kDigestDigits) << std::setfill('0') << run.traceDigest;
   std::cout << line.str() << std::endl;
 }
 
-// Plays one file; whether all went as it expects.
-bool playFile(const std::string& file, const Options& options, const world::TraceOptions& trace) {
+// Runs one file; returns whether all expectations were met.
+bool runFile(const std::string& file, const Options& options, const world::TraceOptions& trace) {
   std::ifstream in(file);
-  if (!in) throw std::runtime_error("cannot be read");
-  bool good = true;
-  for (const auto& play : world::runScenario(in, trace)) {
-    for (const auto& complaint : play.complaints) {
-      std::cout << file << ": " << labelOf(play) << complaint << "\n";
-      good = false;
+  if (!in) throw std::runtime_error("cannot open scenario file");
+  bool passed = true;
+  for (const auto& run : world::runScenario(in, trace)) {
+    for (const auto& failure : run.failures) {
+      std::cout << file << ": " << runLabel(run) << failure << "\n";
+      passed = false;
     }
-    if (options.traceDigest) printDigest(file, play);
+    if (options.traceDigest) printDigest(file, run);
   }
-  return good;
+  return passed;
 }
 
 }  // namespace
 
 int main(int argc, char** argv) {
   Options options;
-  CLI::App app{"Plays scenarios: whole deployments in virtual time (tests/README.md)"};
+  CLI::App app{"Runs scenarios: whole deployments in virtual time (tests/README.md)"};
   app.add_option("files", options.files, "scenario files")->required();
   app.add_flag("--trace-digest", options.traceDigest,
-               "print for each play one line with a digest of all that passed between the parties");
-  app.add_option("--trace", options.traceFile, "write each event that the digest is made of to this file");
+               "print one line per run with a digest of all messages between the simulated processes");
+  app.add_option("--trace", options.traceFile, "write every event that enters the digest to this file");
   CLI11_PARSE(app, argc, argv);
 
   std::ofstream events;
@@ -68,14 +68,14 @@
     events.open(options.traceFile);
     trace.events = &events;
   }
-  bool good = true;
+  bool passed = true;
   for (const auto& file : options.files) {
     try {
-      good = playFile(file, options, trace) && good;
+      passed = runFile(file, options, trace) && passed;
     } catch (const std::exception& error) {
       std::cerr << file << ": " << error.what() << "\n";
-      return kUnreadable;
+      return kExitUnreadable;
     }
   }
-  return good ? 0 : kComplaints;
+  return passed ? 0 : kExitExpectationsFailed;
 }
--- a/tests/unit/delegated_tasks_test.cpp
+++ b/tests/unit/delegated_tasks_test.cpp
@@ -1,4 +1,4 @@
-// Tasks of another shard's job that a delegate places and gives back (invariant 18).
+// Tasks of another shard's job that a delegate places and returns (invariant 18).
 #include "scheduler/delegated_tasks.h"
 
 #include <gtest/gtest.h>
@@ -13,7 +13,7 @@
 const ShardId kOwner{0};
 const ShardId kDelegate{1};
 const JobId kJob{"wk-1"};
-constexpr Duration kReturnsAfter{30'000};
+constexpr Duration kReturnUnplacedAfter{30'000};
 const Time kNow{Duration{100'000}};
 using Tasks = std::vector<std::uint32_t>;
 
@@ -40,7 +40,7 @@
     return delegated_.addReturns(transaction, now);
   }
 
-  Settings settings_ = parseSettings(world::Deployment{}.settingsOf(1), {});
+  Settings settings_ = parseSettings(world::Deployment{}.settingsJson(1), {});
   ShardState state_{settings_};
   ClusterView view_;
   DelegatedTasks delegated_{
@@ -48,36 +48,36 @@
       std::make_shared<spdlog::logger>("test", std::make_shared<spdlog::sinks::null_sink_st>())};
 };
 
-TEST_F(DelegatedTasksTest, WaitingTasksAreKeptForAWhile) {
-  EXPECT_FALSE(delegated_.anyReturnable(kNow + kReturnsAfter - Duration{1}));
+TEST_F(DelegatedTasksTest, WaitingTasksAreKeptUntilTheTimeout) {
+  EXPECT_FALSE(delegated_.anyReturnable(kNow + kReturnUnplacedAfter - Duration{1}));
 }
 
-TEST_F(DelegatedTasksTest, WhatFoundNoCapacityGoesBack) {
-  EXPECT_TRUE(delegated_.anyReturnable(kNow + kReturnsAfter));
-  auto returns = addReturns(kNow + kReturnsAfter);
+TEST_F(DelegatedTasksTest, TasksWithoutCapacityAreReturnedAfterTheTimeout) {
+  EXPECT_TRUE(delegated_.anyReturnable(kNow + kReturnUnplacedAfter));
+  auto returns = addReturns(kNow + kReturnUnplacedAfter);
   ASSERT_EQ(returns.size(), 1U);
   EXPECT_EQ(returns.front().tasks, (Tasks{1, 2}));
-  EXPECT_TRUE(returns.front().kept.tasks.empty());
+  EXPECT_TRUE(returns.front().remaining.tasks.empty());
 }
 
-TEST_F(DelegatedTasksTest, WhatIsAskedBackGoesBackAtOnce) {
+TEST_F(DelegatedTasksTest, RecalledTasksAreReturnedAtOnce) {
   state_.job(kJob)->recalling = true;
   EXPECT_TRUE(delegated_.anyReturnable(kNow));
 }
 
-// A write from the outdated record would undo what others have written since.
-TEST_F(DelegatedTasksTest, NothingIsGivenBackWhileTheViewLags) {
+// A write based on the outdated record would undo later writes by others.
+TEST_F(DelegatedTasksTest, NothingIsReturnedWhileTheViewLags) {
   view_.jobs[kJob].version = Version{6};
-  EXPECT_TRUE(addReturns(kNow + kReturnsAfter).empty());
+  EXPECT_TRUE(addReturns(kNow + kReturnUnplacedAfter).empty());
 }
 
-// Were it taken in again, two shards would place its tasks.
-TEST_F(DelegatedTasksTest, AJobGivenBackInFullIsNotTakenInFromALaggingView) {
-  auto returns = addReturns(kNow + kReturnsAfter);
+// If the delegation were accepted again, two shards would place the job's tasks.
+TEST_F(DelegatedTasksTest, CompletelyReturnedJobIsNotAcceptedFromLaggingView) {
+  auto returns = addReturns(kNow + kReturnUnplacedAfter);
   EXPECT_TRUE(delegated_.committed(returns.front(), Version{9}));
   EXPECT_TRUE(delegated_.none());
-  EXPECT_TRUE(delegated_.returnedSince(kJob, Version{8}));
-  EXPECT_FALSE(delegated_.returnedSince(kJob, Version{9}));
+  EXPECT_TRUE(delegated_.wasReturnedAfter(kJob, Version{8}));
+  EXPECT_FALSE(delegated_.wasReturnedAfter(kJob, Version{9}));
 }
 
 }  // namespace
--- a/tests/unit/rate_limiter_test.cpp
+++ b/tests/unit/rate_limiter_test.cpp
@@ -1,4 +1,4 @@
-// How the buckets of requests and writes fill and empty.
+// Refilling and spending of the request and write buckets.
 #include "kvstore/rate_limiter.h"
 
 #include <gtest/gtest.h>
@@ -10,7 +10,7 @@
 namespace {
 
 struct RateLimiterTest : testing::Test {
-  Settings settings = parseSettings(world::Deployment{}.settingsOf(0), {});
+  Settings settings = parseSettings(world::Deployment{}.settingsJson(0), {});
   Time start{Duration{5'000}};
   RateLimiter limiter{settings, start};
 };
@@ -23,17 +23,17 @@
 }
 
 TEST_F(RateLimiterTest, RefillsUpToTheTokensOfOneSecond) {
-  while (limiter.affords(1)) limiter.spend(1);
+  while (limiter.hasTokensFor(1)) limiter.consumeTokens(1);
   limiter.refill(start + Duration{500});
-  EXPECT_TRUE(limiter.affords(1));
+  EXPECT_TRUE(limiter.hasTokensFor(1));
   limiter.refill(start + Duration{100'000});
-  EXPECT_NEAR(limiter.requests(), limiter.requestsPerSecond(), 1e-9);
+  EXPECT_NEAR(limiter.requestTokens(), limiter.requestsPerSecond(), 1e-9);
 }
 
-TEST_F(RateLimiterTest, AffordsTheLargestTransactionAtTheSmallestFraction) {
+TEST_F(RateLimiterTest, HasTokensForTheLargestTransactionAtASmallFraction) {
   limiter.setFractionOfLimits(1e-3);
   limiter.refill(start + Duration{3'600'000});
-  EXPECT_TRUE(limiter.affords(static_cast<unsigned>(settings.txnOps)));
+  EXPECT_TRUE(limiter.hasTokensFor(static_cast<unsigned>(settings.txnOps)));
 }
 
 TEST_F(RateLimiterTest, IsPausedUntilTheGivenTime) {
--- a/tests/unit/recorded_examples_test.cpp
+++ b/tests/unit/recorded_examples_test.cpp
@@ -1,6 +1,6 @@
-// Recorded examples of everything that is stored or passes between controllers. Guards against a rename or a
-// new field that changes a stored key, its order or a message, so that the versions before and after can't
-// read it.
+// Golden encodings of all stored records and messages between controllers. Guards against a rename or a new
+// field that changes a stored record or a message, so that older and newer versions could not read each
+// other's data.
 #include <gtest/gtest.h>
 
 #include <iomanip>
@@ -19,7 +19,7 @@
   return out.str();
 }
 
-// A frame from controller 1 to controller 2. The first twenty digits are the byte order, from and to.
+// A frame from controller 1 to controller 2. The first 18 digits are the byte order, `from` and `to`.
 std::string frameOf(mesh::Payload payload) { return hex(mesh::encode({1, 2, std::move(payload)})); }
 
 JobSpec spec() {
@@ -55,9 +55,9 @@
   migrated.maxConcurrent = 5;
   auto text = wire::encodeJobRecord(migrated);
   EXPECT_NE(text.find("\"most\":5"), std::string::npos) << text;
-  auto back = wire::parseJobRecord(JobId{"wk-000412"}, text);
-  ASSERT_TRUE(back);
-  EXPECT_EQ(back->maxConcurrent, 5U);
+  auto parsed = wire::parseJobRecord(JobId{"wk-000412"}, text);
+  ASSERT_TRUE(parsed);
+  EXPECT_EQ(parsed->maxConcurrent, 5U);
   EXPECT_FALSE(wire::parseJobRecord(JobId{"wk-000412"}, wire::encodeJobRecord(open))->maxConcurrent);
 }
 
@@ -72,16 +72,16 @@
                       "{\"sh\":0,\"t\":[[7,7]]}]"),
             std::string::npos)
       << text;
-  auto back = wire::parseJobRecord(JobId{"wk-000412"}, text);
-  ASSERT_TRUE(back);
-  EXPECT_EQ(wire::encodeJobRecord(*back), text);
-  EXPECT_EQ(back->delegations.front().tasks, (std::vector<std::uint32_t>{4, 5, 9}));
-  EXPECT_TRUE(back->delegations.front().recalled);
-  EXPECT_FALSE(back->delegations.back().zone);
+  auto parsed = wire::parseJobRecord(JobId{"wk-000412"}, text);
+  ASSERT_TRUE(parsed);
+  EXPECT_EQ(wire::encodeJobRecord(*parsed), text);
+  EXPECT_EQ(parsed->delegations.front().tasks, (std::vector<std::uint32_t>{4, 5, 9}));
+  EXPECT_TRUE(parsed->delegations.front().recalled);
+  EXPECT_FALSE(parsed->delegations.back().zone);
 }
 
-// A delegation that can't be read must not be taken for none: its tasks would be placed twice.
-TEST(Recorded, JobRecordWithUnreadableDelegationIsRefused) {
+// Ignoring a malformed delegation would place its tasks twice.
+TEST(Recorded, JobRecordWithMalformedDelegationIsRejected) {
   wire::JobRecord open{JobStatus::Open, ShardId{2}, 16, WallTime{1700}, spec(), {}};
   open.delegations.push_back({ShardId{1}, std::nullopt, {4}});
   auto text = wire::encodeJobRecord(open);
@@ -91,22 +91,22 @@
 }
 
 TEST(Recorded, PlacementPages) {
-  wire::PageRecord page;
+  wire::PlacementPageRecord page;
   page.jobs[JobId{"wk-000412"}] = {{0, 1, 2, 7}, {{4, Attempt{99}, MachineId{"host-000231"}}}};
-  EXPECT_EQ(wire::encodePage(page),
+  EXPECT_EQ(wire::encodePlacementPage(page),
             "{\"j\":{\"wk-000412\":{\"d\":[[0,2],[7,7]],\"p\":[[4,99,\"host-000231\"]]}},\"v\":2}");
 }
 
 TEST(Recorded, MachineGroups) {
-  wire::GroupRecord group{ShardId{1}, Epoch{12}, "g8", Zone{"a"}, true, WallTime{1700}, {}};
+  wire::MachineGroupRecord group{ShardId{1}, Epoch{12}, "g8", Zone{"a"}, true, WallTime{1700}, {}};
   group.members.push_back({MachineId{"host-000231"}, wire::MachinePhase::InUse, "10.1.0.232:9000"});
   group.members.push_back({MachineId{"host-000232"}, wire::MachinePhase::Returning, ""});
-  EXPECT_EQ(wire::encodeGroup(group),
+  EXPECT_EQ(wire::encodeMachineGroup(group),
             "{\"at\":1700,\"m\":[[\"host-000231\",0,\"10.1.0.232:9000\"],[\"host-000232\",2,\"\"]],\"sh\":1,"
             "\"sp\":true,\"tk\":12,\"ty\":\"g8\",\"v\":2,\"zo\":\"a\"}");
 }
 
-TEST(Recorded, OwnersAndCounters) {
+TEST(Recorded, OwnerRecordsAndCounters) {
   EXPECT_EQ(wire::encodeOwnerRecord({ControllerId{"loftnode-0"}, Epoch{12}}),
             "{\"ep\":12,\"own\":\"loftnode-0\"}");
   EXPECT_EQ(wire::encodeEpochCounter(Epoch{12}), "{\"n\":12}");
@@ -125,16 +125,16 @@
             "{\"when\":[{\"path\":\"share/0\",\"stamp\":7}]}");
 }
 
-TEST(Recorded, FramesOfControllersThatAnswerEachOther) {
+TEST(Recorded, FramesOfHeartbeatsRequestsAndAnswers) {
   mesh::PeerHeartbeat heartbeat{5, true, 2900, {{1, 12, 412}}, 7, 100, 90, true, -1};
   EXPECT_EQ(frameOf(heartbeat),
             "010100000002000000000000000500000001540b0000000000000100000000000000010000000c000000000000009c01"
             "000000000000070000000000000064000000000000005a0000000000000001ffffffffffffffff");
-  EXPECT_EQ(frameOf(mesh::JobAsk{3, true, "wk-000412"}),
+  EXPECT_EQ(frameOf(mesh::JobRequest{3, true, "wk-000412"}),
             "010100000002000000010000000300000000000000010900000000000000776b2d303030343132");
   EXPECT_EQ(frameOf(mesh::RelayedHeartbeat{3, "{}"}),
             "01010000000200000002000000030000000000000002000000000000007b7d");
-  EXPECT_EQ(frameOf(mesh::ProbeAsk{3, "10.1.0.232:9000"}),
+  EXPECT_EQ(frameOf(mesh::ProbeRequest{3, "10.1.0.232:9000"}),
             "0101000000020000000300000003000000000000000f0000000000000031302e312e302e3233323a39303030");
   EXPECT_EQ(frameOf(mesh::Answer{3, 200, "{}"}),
             "010100000002000000040000000300000000000000c800000002000000000000007b7d");
@@ -142,7 +142,7 @@
             "010100000002000000080000000900000000000000776b2d303030343132019c01000000000000");
 }
 
-TEST(Recorded, FramesAboutMachinesAndRoom) {
+TEST(Recorded, FramesAboutMachinesAndCapacity) {
   EXPECT_EQ(frameOf(mesh::UnrecordedMachineSeen{"{}"}), "0101000000020000000500000002000000000000007b7d");
   mesh::ShardLoad load{1, 12, {8, 4, 0.5, 0.25, 60, 2, 16, 4, {"g8"}, {"a"}}, {}, {}};
   load.machines.push_back({"host-000231", "g8", "a", true, 4, 1.5, true, false, true, false, 61.5});
--- a/tests/unit/shard_recovery_test.cpp
+++ b/tests/unit/shard_recovery_test.cpp
@@ -1,9 +1,9 @@
-// What a new owner takes from the pages that former owners of its shard wrote.
+// Tests how a new owner restores its shard from the placement pages of former owners.
 #include "scheduler/shard_recovery.h"
 
 #include <gtest/gtest.h>
 
-#include "unit/held_calls_runtime.h"
+#include "unit/pending_calls_runtime.h"
 #include "world/world.h"
 
 namespace cherryloft {
@@ -36,14 +36,14 @@
     state_.addMachine(id, entry, &type, runtime_.now());
   }
   void addPage(const std::string& number, const wire::JobPlacements& placements) {
-    wire::PageRecord page;
+    wire::PlacementPageRecord page;
     page.jobs[kJob] = placements;
-    pages_.entries.push_back({"run/2/" + number, wire::encodePage(page), Version{40}});
+    pages_.entries.push_back({"run/2/" + number, wire::encodePlacementPage(page), Version{40}});
   }
 
   static constexpr ShardId kShard{2};
-  Settings settings_ = parseSettings(world::Deployment{}.settingsOf(0), {});
-  HeldCallsRuntime runtime_;
+  Settings settings_ = parseSettings(world::Deployment{}.settingsJson(0), {});
+  PendingCallsRuntime runtime_;
   KeyValueStore store_{settings_, runtime_, silentLog(), 1};
   ClusterView view_;
   ShardState state_{settings_};
@@ -51,7 +51,7 @@
   ListResult pages_{ListResult::Outcome::Complete, {}, {}};
 };
 
-TEST_F(ShardRecoveryTest, TasksThatWereDoneStayDone) {
+TEST_F(ShardRecoveryTest, DoneTasksStayDone) {
   auto& job = state_.addJob(kJob, jobEntry(JobStatus::Open));
   addPage("0", {{1, 3}, {}});
   recovery_.restorePlacements(pages_);
@@ -68,12 +68,12 @@
   const auto& placement = state_.machine(kMachine)->placements.at({kJob, 2});
   EXPECT_TRUE(placement.committed);
   EXPECT_TRUE(placement.restored);
-  EXPECT_TRUE(placement.wanted);
+  EXPECT_TRUE(placement.desired);
   EXPECT_EQ(placement.attempt, Attempt{5});
   EXPECT_EQ(job.placed, 1U);
 }
 
-TEST_F(ShardRecoveryTest, OfSeveralAttemptsTheLatestCounts) {
+TEST_F(ShardRecoveryTest, TheLatestOfSeveralAttemptsIsRestored) {
   auto& job = state_.addJob(kJob, jobEntry(JobStatus::Open));
   addMachine(kMachine);
   addMachine(kOtherMachine);
@@ -85,23 +85,23 @@
   EXPECT_TRUE(state_.machine(kMachine)->placements.empty());
 }
 
-TEST_F(ShardRecoveryTest, ATaskOnAMachineWithoutRecordWaitsAgain) {
+TEST_F(ShardRecoveryTest, ATaskOnAMachineWithoutARecordWaitsAgain) {
   auto& job = state_.addJob(kJob, jobEntry(JobStatus::Open));
   addPage("0", {{}, {{2, Attempt{5}, kMachine}}});
   recovery_.restorePlacements(pages_);
   EXPECT_EQ(job.tasks[2].state, TaskState::Waiting);
 }
 
-TEST_F(ShardRecoveryTest, ACancelledJobsTasksCountAndAreToBeStopped) {
+TEST_F(ShardRecoveryTest, TasksOfACancelledJobAreRestoredAndStopped) {
   view_.jobs[kJob] = jobEntry(JobStatus::Cancelled);
   addMachine(kMachine);
   addPage("0", {{}, {{2, Attempt{5}, kMachine}}});
   recovery_.restorePlacements(pages_);
   ASSERT_NE(state_.job(kJob), nullptr);
-  EXPECT_FALSE(state_.machine(kMachine)->placements.at({kJob, 2}).wanted);
+  EXPECT_FALSE(state_.machine(kMachine)->placements.at({kJob, 2}).desired);
 }
 
-TEST_F(ShardRecoveryTest, APageOfAnotherLayoutIsLeftAlone) {
+TEST_F(ShardRecoveryTest, AKeyOfAnotherLayoutIsSkipped) {
   auto& job = state_.addJob(kJob, jobEntry(JobStatus::Open));
   pages_.entries.push_back({"run/2/first", "{}", Version{40}});
   addPage("0", {{1}, {}});
--- a/tests/world/checker.h
+++ b/tests/world/checker.h
@@ -1,4 +1,4 @@
-// Checks the protocol's rules on what truly happens in the world, without a look into the controllers.
+// Checks the protocol's rules against the true state of the simulation, without looking into the controllers.
 #pragma once
 
 #include <functional>
@@ -14,7 +14,7 @@
 
 namespace world {
 
-struct Broken {
+struct Violation {
   Ms at;
   std::string rule, what;
 };
@@ -24,19 +24,19 @@
   bool spot = false;
 };
 
-// A machine that is up, by the true state of the world: what is free on it and what it holds, tasks whose
-// image is still on its way included.
-struct Room {
+// The true state of a machine that is up: its free resources and its tasks, including those whose image is
+// still being fetched.
+struct MachineState {
   Machine machine;
   cherryloft::Resources free;
-  bool takesWork = true;  // it neither hangs nor has a notice
-  std::vector<std::pair<std::string, std::uint32_t>> held;
+  bool schedulable = true;  // false while it hangs or has a reclaim notice
+  std::vector<std::pair<std::string, std::uint32_t>> tasks;
 };
 
-// When a user's question was asked, and when and by which controller it was answered.
-struct Said {
-  Ms askedAt = 0, givenAt = 0;
-  unsigned by = 0;
+// When a user's request was sent, and when and by which controller its response was sent.
+struct AnswerSource {
+  Ms requestedAt = 0, sentAt = 0;
+  unsigned controller = 0;
 };
 
 struct TypeSize {
@@ -49,99 +49,100 @@
   Checker(Clock& clock, const cherryloft::Settings& settings, Trace& trace)
       : clock_(clock), settings_(settings), trace_(trace) {}
 
-  // The true state of the world, for what can be judged by it only.
-  void watch(std::vector<TypeSize> types, std::function<std::vector<Room>()> rooms) {
-    types_ = std::move(types), rooms_ = std::move(rooms);
+  // Sources of the true state, for rules that cannot be checked without it.
+  void observeMachines(std::vector<TypeSize> types, std::function<std::vector<MachineState>()> states) {
+    types_ = std::move(types), machineStates_ = std::move(states);
   }
-  // To be called when the last task of a job is done.
-  void whenAllDone(std::function<void(const std::string&)> f) { whenAllDone_ = std::move(f); }
+  // `f` is called when the last task of a job is done.
+  void onAllTasksDone(std::function<void(const std::string&)> f) { onAllTasksDone_ = std::move(f); }
 
-  // What users did and were told. A job that fails everywhere may wait.
+  // User requests and the answers to them. Jobs with `fails` fail on every machine and may be backed off.
   void submitted(const cherryloft::JobSpec& spec, bool fails = false);
-  // Its submission is none that may be accepted.
-  void submittedWrong(const std::string& job, const std::string& why) { jobs_[job].wrong = why; }
+  // The submission of this job must not be accepted.
+  void submittedInvalid(const std::string& job, const std::string& why) { jobs_[job].invalidReason = why; }
   void accepted(const std::string& job);
-  void asked404(const std::string& job);
-  void refusedRetry(const std::string& job, int status);
-  // An older answer than the job's end is broken if its question was asked after the user had heard of the
-  // end, or if the controller that gives it had given the end itself. Questions to two controllers at once
-  // may cross.
-  void told(const std::string& job, const std::string& status, const Said& said);
-  void cancelAsked(const std::string& job) { jobs_[job].cancelAsked = true; }
-  // A question about it was answered, whatever the answer.
-  void answered(const std::string& job) { jobs_[job].answeredAt = clock_.now(); }
-  // A worker's lease ran out with tasks on it; a report of one was not taken.
-  void leaseEnded() { ++leasesEnded_; }
+  void answeredNotFound(const std::string& job);
+  void retryRejected(const std::string& job, int status);
+  // Reports a status that a user received. An answer older than the job's end is a violation if it was
+  // requested after the user had learned of the end, or if the controller that sent it had already reported
+  // the end itself. Requests to two controllers at the same time may overtake each other.
+  void statusReported(const std::string& job, const std::string& status, const AnswerSource& source);
+  void cancelRequested(const std::string& job) { jobs_[job].cancelRequested = true; }
+  // A query about the job was answered, with any status.
+  void queryAnswered(const std::string& job) { jobs_[job].lastAnswerAt = clock_.now(); }
+  // The lease of a worker with tasks expired; a report of a worker was not accepted.
+  void leaseExpired() { ++leasesExpired_; }
   void reportLost() { ++reportsLost_; }
-  // A worker refused a command to start or stop a task, as it had heard a later owner before.
-  void commandOutdated() { ++commandsOutdated_; }
-  unsigned commandsOutdated() const { return commandsOutdated_; }
-  void countReportsLost() { reportsLost_ = 0; }
-  unsigned leasesEnded() const { return leasesEnded_; }
+  // A worker refused a command to start or stop a task because it knew a later owner.
+  void commandFenced() { ++fencedCommands_; }
+  unsigned fencedCommands() const { return fencedCommands_; }
+  void resetReportsLost() { reportsLost_ = 0; }
+  unsigned leasesExpired() const { return leasesExpired_; }
   unsigned reportsLost() const { return reportsLost_; }
-  // All troubles are over from then on.
-  void troublesEnd(Ms at) { troublesEnd_ = std::max(troublesEnd_, at); }
-  // To be called at the end: who was not served.
-  void judgeService();
-  // What machines did. A task is on its machine from the moment its image is there.
-  // The command to start it was given at `givenAt`.
-  void started(const Machine& m, const std::string& job, std::uint32_t index, Ms givenAt);
-  void left(const std::string& machine, const std::string& job, std::uint32_t index, bool done);
-  // To be called often: what must have ended by now.
-  void review();
+  // No injected fault lasts beyond `at`.
+  void faultsEnd(Ms at) { faultsEnd_ = std::max(faultsEnd_, at); }
+  // Checks at the end of the run which groups of jobs were not started in time.
+  void checkStartDelays();
+  // Events on machines. A task is on its machine once its image has been fetched. The command to start it was
+  // sent at `commandSentAt`.
+  void taskStarted(const Machine& m, const std::string& job, std::uint32_t index, Ms commandSentAt);
+  void handleTaskExit(const std::string& machine, const std::string& job, std::uint32_t index, bool done);
+  // Called periodically: checks everything that must have happened by now.
+  void runPeriodicChecks();
 
-  const std::vector<Broken>& broken() const { return broken_; }
+  const std::vector<Violation>& violations() const { return violations_; }
   unsigned startsOf(const std::string& job) const;
-  // Of tasks of a job that was confirmed as cancelled, whenever the command was given.
+  // Starts of tasks after their job's cancellation was confirmed, whenever the command was sent.
   unsigned startsAfterCancel() const { return startsAfterCancel_; }
-  Ms begunAt(const std::string& job) const;  // -1: it has not
+  Ms firstStartAt(const std::string& job) const;  // -1: not started
   bool allDone(const std::string& job) const;
-  double tasksOn(const std::string& job) const;
-  std::set<std::string> machinesOf(const std::string& job) const;
+  double runningTasks(const std::string& job) const;
+  std::set<std::string> machinesRunning(const std::string& job) const;
 
  private:
   struct Job {
     std::optional<cherryloft::JobSpec> spec;
-    bool accepted = false, cancelAsked = false;
-    Ms submittedAt = 0, acceptedAt = -1, answeredAt = -1, begunAt = -1;
-    bool silent = false;  // was found to be forgotten
-    std::string final;    // done or cancelled, as told
+    bool accepted = false, cancelRequested = false;
+    Ms submittedAt = 0, acceptedAt = -1, lastAnswerAt = -1, firstStartAt = -1;
+    bool lostReported = false;  // a forgotten violation was reported
+    std::string final;          // "done" or "aborted", as reported to the user
     Ms finalAt = -1;
-    std::map<unsigned, Ms> endGiven,
-        lastOpenGiven;  // by controller: its first word of the end, its last before
+    std::map<unsigned, Ms> finalSentAt,
+        lastNonFinalSentAt;  // by controller: when it first sent a final status, and last a non-final one
     std::set<std::uint32_t> done;
-    std::map<std::uint32_t, Machine> on;
+    std::map<std::uint32_t, Machine> running;
     unsigned starts = 0;
-    std::string wrong;  // why it can't be accepted
+    std::string invalidReason;  // why it must not be accepted
     bool fails = false;
-    std::uint32_t waited = 0;  // tasks that waited when last looked at
-    Ms roomSince = -1;         // since when there is room for what waits
-    bool left = false;         // was found to be left waiting
+    std::uint32_t previouslyWaiting = 0;  // waiting tasks at the previous check
+    Ms placeableSince = -1;               // since when a waiting task could have been placed
+    bool starvationReported = false;      // a starved violation was reported
   };
-  struct Held {
+  struct PlacedTasks {
     std::uint32_t tasks = 0;
     std::map<std::string, std::uint32_t> zones;
   };
-  using HeldOf = std::map<std::string, Held>;
-  std::string whyWrong(const cherryloft::JobSpec& s) const;
-  void reviewWaiting();
-  bool hasRoom(const Job& j, const Held& held, double teamUses, const std::vector<Room>& rooms) const;
-  void judge(const std::string& whom, const std::vector<const Job*>& jobs);
-  void breaks(const std::string& rule, const std::string& what) {
-    broken_.push_back({clock_.now(), rule, what});
+  using PlacedTasksByJob = std::map<std::string, PlacedTasks>;
+  std::string rejectionReason(const cherryloft::JobSpec& s) const;
+  void checkStarvation();
+  bool isPlaceable(const Job& j, const PlacedTasks& placed, double coresOfTeam,
+                   const std::vector<MachineState>& states) const;
+  void checkStartShare(const std::string& group, const std::vector<const Job*>& jobs);
+  void reportViolation(const std::string& rule, const std::string& what) {
+    violations_.push_back({clock_.now(), rule, what});
   }
 
   Clock& clock_;
   const cherryloft::Settings& settings_;
   Trace& trace_;
   std::map<std::string, Job> jobs_;
-  Ms troublesEnd_ = 0;
-  unsigned leasesEnded_ = 0, reportsLost_ = 0, startsAfterCancel_ = 0, commandsOutdated_ = 0;
+  Ms faultsEnd_ = 0;
+  unsigned leasesExpired_ = 0, reportsLost_ = 0, startsAfterCancel_ = 0, fencedCommands_ = 0;
   std::vector<TypeSize> types_;
-  std::function<std::vector<Room>()> rooms_;
-  std::function<void(const std::string&)> whenAllDone_;
-  Ms waitingReviewedAt_ = 0;
-  std::vector<Broken> broken_;
+  std::function<std::vector<MachineState>()> machineStates_;
+  std::function<void(const std::string&)> onAllTasksDone_;
+  Ms starvationCheckedAt_ = 0;
+  std::vector<Violation> violations_;
 };
 
 }  // namespace world
--- a/tests/world/clock.h
+++ b/tests/world/clock.h
@@ -1,4 +1,4 @@
-// The world's time: one queue of events, in order, with no real time in it.
+// Virtual time: a single queue of events ordered by time, independent of real time.
 #pragma once
 
 #include <algorithm>
@@ -16,13 +16,15 @@
  public:
   explicit Clock(std::uint64_t seed) : rng(seed) {}
   Ms now() const { return now_; }
-  void at(Ms t, std::function<void()> f) { queue_.emplace(std::max(t, now_), std::move(f)); }
-  void after(Ms d, std::function<void()> f) { at(now_ + d, std::move(f)); }
+  void at(Ms when, std::function<void()> callback) {
+    queue_.emplace(std::max(when, now_), std::move(callback));
+  }
+  void after(Ms delay, std::function<void()> callback) { at(now_ + delay, std::move(callback)); }
   void run(Ms until) {
     while (!queue_.empty() && queue_.begin()->first <= until) {
-      auto e = queue_.extract(queue_.begin());
-      now_ = e.key();
-      e.mapped()();
+      auto event = queue_.extract(queue_.begin());
+      now_ = event.key();
+      event.mapped()();
     }
     now_ = until;
   }
@@ -35,37 +37,36 @@
   std::multimap<Ms, std::function<void()>> queue_;
 };
 
-// So much a second, in bursts of one second's worth.
-class Allowance {
+// Token bucket: refills at a constant rate and holds one second's worth.
+class TokenBucket {
  public:
-  explicit Allowance(double perSecond) : perSecond_(perSecond), migrationCleanups_(perSecond) {}
-  bool take(Ms now, double n) {
-    migrationCleanups_ =
-        std::min(migrationCleanups_ + static_cast<double>(now - at_) * perSecond_ / 1000, perSecond_);
+  explicit TokenBucket(double perSecond) : perSecond_(perSecond), tokens_(perSecond) {}
+  bool tryTake(Ms now, double n) {
+    tokens_ = std::min(tokens_ + static_cast<double>(now - at_) * perSecond_ / 1000, perSecond_);
     at_ = now;
-    if (migrationCleanups_ < n) return false;
-    migrationCleanups_ -= n;
+    if (tokens_ < n) return false;
+    tokens_ -= n;
     return true;
   }
 
  private:
-  double perSecond_, migrationCleanups_;
+  double perSecond_, tokens_;
   Ms at_ = 0;
 };
 
-// Counts what happens in any one second.
-class Busiest {
+// Tracks the largest number of events within any one second.
+class PeakRate {
  public:
   void add(Ms at) {
-    last_.push_back(at);
-    while (at - last_.front() >= 1000) last_.pop_front();
-    busiest_ = std::max(busiest_, last_.size());
+    recent_.push_back(at);
+    while (at - recent_.front() >= 1000) recent_.pop_front();
+    peak_ = std::max(peak_, recent_.size());
   }
-  std::size_t busiest() const { return busiest_; }
+  std::size_t peak() const { return peak_; }
 
  private:
-  std::deque<Ms> last_;
-  std::size_t busiest_ = 0;
+  std::deque<Ms> recent_;
+  std::size_t peak_ = 0;
 };
 
 }  // namespace world
--- a/tests/world/scenario_checker_actions.cpp
+++ b/tests/world/scenario_checker_actions.cpp
@@ -1,6 +1,6 @@
-// Events of a scenario that plant a violation for the checker to find, or ask it something.
+// Events that inject a violation for the checker to detect, or assert on its state.
 #include "world/scenario_actions.h"
-#include "world/scenario_parties.h"
+#include "world/scenario_endpoints.h"
 #include "world/scenario_setup.h"
 
 namespace world {
@@ -8,53 +8,53 @@
 
 using Context = const ActionContext&;
 
-constexpr unsigned kOtherTask = 99;  // one that the job does not have
+constexpr unsigned kNonexistentTask = 99;  // an index beyond the tasks of the job
 
-// plant-start JOB MACHINE [other]
-void plantStart(Context context) {
+// inject-start JOB MACHINE [other]
+void injectStart(Context context) {
   auto* worker = context.world.cloud.worker(machineNamed(context.world, context.line.word(4)));
   bool other = context.line.size() > 5;
-  if (worker) worker->plant(context.line.jobId(3), other ? kOtherTask : 0);
+  if (worker) worker->injectTask(context.line.jobId(3), other ? kNonexistentTask : 0);
 }
 
-// plant-told JOB STATUS
-void plantTold(Context context) {
-  Said said{context.now(), context.now(), 0};
-  context.world.checker.told(context.line.jobId(3), context.line.word(4), said);
+// inject-status JOB STATUS
+void injectStatus(Context context) {
+  AnswerSource source{context.now(), context.now(), 0};
+  context.world.checker.statusReported(context.line.jobId(3), context.line.word(4), source);
 }
 
-// plant-stubborn MACHINE
-void plantStubborn(Context context) {
+// inject-ignored-kills MACHINE
+void injectIgnoredKills(Context context) {
   auto* worker = context.world.cloud.worker(machineNamed(context.world, context.line.word(3)));
-  if (worker) worker->plantStubborn();
+  if (worker) worker->ignoreKills();
 }
 
-// plant-unsent JOB options...
-void plantUnsent(Context context) {
-  context.world.plantUnsent(parseJob(context.line.jobId(3), context.line.optionsFrom(4)));
+// inject-unsent-job JOB options...
+void injectUnsentJob(Context context) {
+  context.world.injectUnsentJob(parseJob(context.line.jobId(3), context.line.optionsFrom(4)));
 }
 
-// require-on JOB COUNT: so many of its tasks at least are on machines now
-void requireOnMachines(Context context) {
+// require-tasks JOB COUNT: at least so many of its tasks are on machines now
+void requireTasks(Context context) {
   const auto& line = context.line;
-  auto tasks = context.world.checker.tasksOn(line.jobId(3));
+  auto tasks = context.world.checker.runningTasks(line.jobId(3));
   if (tasks >= line.number(4)) return;
-  context.complaints.push_back("job " + line.word(3) + " has " + std::to_string(tasks) +
-                               " tasks on machines at " + line.word(1));
+  context.failures.push_back("job " + line.word(3) + " has " + std::to_string(tasks) +
+                             " tasks on machines at " + line.word(1));
 }
 
 }  // namespace
 
 const ActionTable& checkerActions() {
   static const ActionTable table{
-      {"plant-silence", {[](Context c) { c.world.trace(c.line.jobId(3)).plantedSilence = true; }}},
-      {"plant-start", {plantStart}},
-      {"plant-told", {plantTold}},
-      {"plant-stubborn", {plantStubborn}},
-      {"plant-unsent", {plantUnsent}},
-      {"plant-accepted", {[](Context c) { c.world.checker.accepted(c.line.jobId(3)); }}},
-      {"count-reports-lost", {[](Context c) { c.world.checker.countReportsLost(); }}},
-      {"require-on", {requireOnMachines}}};
+      {"inject-silence", {[](Context c) { c.world.observation(c.line.jobId(3)).hiddenFromChecker = true; }}},
+      {"inject-start", {injectStart}},
+      {"inject-status", {injectStatus}},
+      {"inject-ignored-kills", {injectIgnoredKills}},
+      {"inject-unsent-job", {injectUnsentJob}},
+      {"inject-acceptance", {[](Context c) { c.world.checker.accepted(c.line.jobId(3)); }}},
+      {"reset-reports-lost", {[](Context c) { c.world.checker.resetReportsLost(); }}},
+      {"require-tasks", {requireTasks}}};
   return table;
 }
 
--- a/tests/world/scenario_parties.cpp
+++ b/tests/world/scenario_endpoints.cpp
@@ -1,4 +1,4 @@
-#include "world/scenario_parties.h"
+#include "world/scenario_endpoints.h"
 
 #include <algorithm>
 #include <cctype>
@@ -17,22 +17,22 @@
 
 std::string machineNamed(World& world, const std::string& word) {
   if (word.starts_with(kJobPrefix)) {
-    auto machines = world.checker.machinesOf(jobIdOf(word.substr(kJobPrefix.size())));
+    auto machines = world.checker.machinesRunning(jobIdOf(word.substr(kJobPrefix.size())));
     return machines.empty() ? "" : *machines.begin();
   }
   if (word.starts_with(kMachinePrefix)) return word;
-  auto* worker = world.cloud.nth(static_cast<unsigned>(parseNumber(word)));
+  auto* worker = world.cloud.nthUp(static_cast<unsigned>(parseNumber(word)));
   return worker ? worker->machine().id : "";
 }
 
-std::string partyNamed(World& world, const std::string& word) {
+std::string endpointNamed(World& world, const std::string& word) {
   bool machine = word.starts_with(kJobPrefix) || std::isdigit(static_cast<unsigned char>(word[0]));
   return machine ? machineNamed(world, word) : word;
 }
 
-std::vector<std::string> partiesNamed(World& world, const std::string& word) {
+std::vector<std::string> endpointsNamed(World& world, const std::string& word) {
   if (word.starts_with(kZonePrefix)) return world.cloud.inZone(word.substr(kZonePrefix.size()));
-  return {partyNamed(world, word)};
+  return {endpointNamed(world, word)};
 }
 
 std::vector<ControllerProcess*> controllersNamed(World& world, const std::string& word) {
--- a/tests/world/scenario_fault_actions.cpp
+++ b/tests/world/scenario_fault_actions.cpp
@@ -1,16 +1,16 @@
-// Events of a scenario that trouble controllers, connections, the state service and the cloud.
+// Fault events of controllers, connections, the state service and the cloud.
 #include "world/scenario_actions.h"
-#include "world/scenario_parties.h"
+#include "world/scenario_endpoints.h"
 
 namespace world {
 namespace {
 
 using Context = const ActionContext&;
 
-constexpr Ms kLateWritesSettle = 12'000;
+constexpr Ms kDelayedWritesSettleTime = 12'000;
 constexpr double kBytesPerKb = 1024;
-const std::string kHold = "hold";      // what is sent meanwhile is held back and comes later, not lost
-const std::string kAnswer = "answer";  // it concerns answers, not requests
+const std::string kHold = "hold";      // messages sent meanwhile are delivered afterwards instead of lost
+const std::string kAnswer = "answer";  // applies to responses, not requests
 
 // crash CONTROLLER FOR
 void crash(Context context) {
@@ -29,8 +29,9 @@
   const auto& deployment = context.world.deployment;
   auto valueKb = deployment.nextValueKb.value_or(deployment.valueKb);
   auto txnOps = deployment.nextTxnOps.value_or(deployment.txnOps);
-  context.world.store.limit(static_cast<unsigned>(txnOps), static_cast<std::size_t>(valueKb * kBytesPerKb),
-                            deployment.nextWriteRps.value_or(deployment.writeRps));
+  context.world.stateService.setLimits(static_cast<unsigned>(txnOps),
+                                       static_cast<std::size_t>(valueKb * kBytesPerKb),
+                                       deployment.nextWriteRps.value_or(deployment.writeRps));
 }
 
 // freeze CONTROLLER FOR
@@ -39,75 +40,78 @@
     controller->freeze(context.until(4));
 }
 
-// leader crash|refuse|freeze FOR
-void troubleLeader(Context context) {
+// leader crash|refuse|freeze FOR: the fault hits the current leader
+void disruptLeader(Context context) {
   auto& world = context.world;
   world.withLeader([&world, what = context.line.word(3), last = context.line.duration(4)](unsigned number) {
     Ms until = world.clock.now() + last;
     if (what == "crash")
       world.controllers[number]->crash(last);
     else if (what == "refuse")
-      world.store.refuse("node" + std::to_string(number), until);
+      world.stateService.refuseRequests("node" + std::to_string(number), until);
     else if (what == "freeze")
       world.controllers[number]->freeze(until);
   });
 }
 
-// cut FROM TO FOR hold|lose
-void cut(Context context) {
-  auto from = partyNamed(context.world, context.line.word(3));
-  auto to = partyNamed(context.world, context.line.word(4));
-  context.world.net.cut(from, to, context.until(5), context.line.word(6) == kHold);
+// partition FROM TO FOR hold|drop
+void partition(Context context) {
+  auto from = endpointNamed(context.world, context.line.word(3));
+  auto to = endpointNamed(context.world, context.line.word(4));
+  context.world.net.partition(from, to, context.until(5), context.line.word(6) == kHold);
 }
 
-// cut-zone ZONE FOR hold|lose
-void cutZone(Context context) {
+// partition-zone ZONE FOR hold|drop
+void partitionZone(Context context) {
   auto& world = context.world;
-  auto inZone = [&world, zone = context.line.word(3)](const std::string& party) {
-    return world.zoneOf(party) == zone;
+  auto inZone = [&world, zone = context.line.word(3)](const std::string& endpoint) {
+    return world.zoneOf(endpoint) == zone;
   };
-  world.net.cutOff(inZone, context.until(4), context.line.word(5) == kHold);
+  world.net.partitionGroup(inZone, context.until(4), context.line.word(5) == kHold);
 }
 
-// mute FROM TO FOR hold|lose
-void mute(Context context) {
-  for (const auto& to : partiesNamed(context.world, context.line.word(4)))
-    context.world.net.mute(context.line.word(3), to, context.until(5), context.line.word(6) == kHold);
+// partition-one-way FROM TO FOR hold|drop
+void partitionOneWay(Context context) {
+  for (const auto& to : endpointsNamed(context.world, context.line.word(4)))
+    context.world.net.partitionOneWay(context.line.word(3), to, context.until(5),
+                                      context.line.word(6) == kHold);
 }
 
-// no-open FROM TO FOR
+// refuse-connections FROM TO FOR
 void refuseConnections(Context context) {
-  for (const auto& from : partiesNamed(context.world, context.line.word(3)))
-    context.world.net.noOpen(from, partyNamed(context.world, context.line.word(4)), context.until(5));
+  for (const auto& from : endpointsNamed(context.world, context.line.word(3)))
+    context.world.net.refuseConnections(from, endpointNamed(context.world, context.line.word(4)),
+                                        context.until(5));
 }
 
 // delay A B PATH FOR FROM TO request|answer
 void delay(Context context) {
   const auto& line = context.line;
-  auto from = partyNamed(context.world, line.word(3));
-  auto to = partyNamed(context.world, line.word(4));
+  auto from = endpointNamed(context.world, line.word(3));
+  auto to = endpointNamed(context.world, line.word(4));
   context.world.net.delay(from, to, line.word(5), line.word(9) == kAnswer, context.until(6), line.duration(7),
                           line.duration(8));
 }
 
-// copies MACHINE FOR FROM TO
-void copyReports(Context context) {
+// duplicate-reports MACHINE FOR FROM TO
+void duplicateReports(Context context) {
   std::vector<std::string> nodes;
   for (unsigned number = 0; number < context.world.controllers.size(); ++number)
     nodes.push_back("node" + std::to_string(number));
-  context.world.net.copies(partyNamed(context.world, context.line.word(3)), "/checkin", nodes,
-                           context.until(4), context.line.duration(5), context.line.duration(6));
+  context.world.net.duplicateRequests(endpointNamed(context.world, context.line.word(3)), "/checkin", nodes,
+                                      context.until(4), context.line.duration(5), context.line.duration(6));
 }
 
-// lose PATH MACHINE
-void loseAnswer(Context context) {
-  context.world.net.loseAnswer(context.line.word(3), partyNamed(context.world, context.line.word(4)));
+// drop-response PATH MACHINE
+void dropResponse(Context context) {
+  context.world.net.dropNextResponse(context.line.word(3),
+                                     endpointNamed(context.world, context.line.word(4)));
 }
 
 // outage store|cloud FOR
 void outage(Context context) {
   if (context.line.word(3) == "store")
-    context.world.store.outage(context.until(4));
+    context.world.stateService.outage(context.until(4));
   else
     context.world.cloud.outage(context.until(4));
 }
@@ -120,24 +124,27 @@
       {"upgrade", {upgrade, 4}},
       {"state-limits", {changeStateLimits}},
       {"freeze", {freeze, 4}},
-      {"leader", {troubleLeader, 4}},
-      {"cut", {cut, 5}},
-      {"cut-zone", {cutZone, 4}},
-      {"mute", {mute, 5}},
-      {"no-open", {refuseConnections, 5}},
+      {"leader", {disruptLeader, 4}},
+      {"partition", {partition, 5}},
+      {"partition-zone", {partitionZone, 4}},
+      {"partition-one-way", {partitionOneWay, 5}},
+      {"refuse-connections", {refuseConnections, 5}},
       {"delay", {delay, 6, 8}},
-      {"copies", {copyReports, 4, 6}},
-      {"lose", {loseAnswer}},
+      {"duplicate-reports", {duplicateReports, 4, 6}},
+      {"drop-response", {dropResponse}},
       {"outage", {outage, 4}},
-      {"refuse", {[](Context c) { c.world.store.refuse(c.line.word(3), c.until(4)); }, 4}},
-      {"late-writes",
-       {[](Context c) { c.world.store.lateWrites(c.line.number(3), c.until(4)); }, 4, 0, kLateWritesSettle}},
-      {"lost-answers", {[](Context c) { c.world.store.loseAnswers(c.line.number(3), c.until(4)); }, 4}},
-      {"keep-reports",
-       {[](Context c) { c.world.keepReports(partyNamed(c.world, c.line.word(3)), c.until(4)); }, 4}},
-      {"slow-store", {[](Context c) { c.world.store.slow(c.line.duration(3), c.until(4)); }, 4, 3}},
-      {"noboot", {[](Context c) { c.world.cloud.noBoot(c.until(3)); }, 3}},
-      {"nocapacity", {[](Context c) { c.world.cloud.noCapacity(c.until(3)); }, 3}}};
+      {"refuse", {[](Context c) { c.world.stateService.refuseRequests(c.line.word(3), c.until(4)); }, 4}},
+      {"delayed-writes",
+       {[](Context c) { c.world.stateService.delayWrites(c.line.number(3), c.until(4)); }, 4, 0,
+        kDelayedWritesSettleTime}},
+      {"lost-responses",
+       {[](Context c) { c.world.stateService.dropResponses(c.line.number(3), c.until(4)); }, 4}},
+      {"replay-reports",
+       {[](Context c) { c.world.recordReports(endpointNamed(c.world, c.line.word(3)), c.until(4)); }, 4}},
+      {"store-latency",
+       {[](Context c) { c.world.stateService.addLatency(c.line.duration(3), c.until(4)); }, 4, 3}},
+      {"boot-failure", {[](Context c) { c.world.cloud.failBoots(c.until(3)); }, 3}},
+      {"no-capacity", {[](Context c) { c.world.cloud.denyCapacity(c.until(3)); }, 3}}};
   return table;
 }
 
--- a/tests/world/scenario_setup.cpp
+++ b/tests/world/scenario_setup.cpp
@@ -25,11 +25,11 @@
 
 void applyWorkers(const Line& line, ScenarioSetup& setup) {
   auto options = line.optionsFrom(1);
-  setIfGiven(options, "report", setup.deployment.reportS);
-  setIfGiven(options, "lease", setup.deployment.leaseS);
-  setIfGiven(options, "cancel", setup.deployment.cancelS);
-  setIfGiven(options, "gang_wait", setup.deployment.gangWaitS);
-  setIfGiven(options, "gang_peer", setup.deployment.gangPeerS);
+  setIfGiven(options, "report", setup.deployment.heartbeatIntervalS);
+  setIfGiven(options, "lease", setup.deployment.workerLeaseS);
+  setIfGiven(options, "cancel", setup.deployment.cancelDeadlineS);
+  setIfGiven(options, "gang_wait", setup.deployment.gangStartTimeoutS);
+  setIfGiven(options, "gang_peer", setup.deployment.gangPeerTimeoutS);
 }
 
 void applyStore(const Line& line, ScenarioSetup& setup) {
@@ -51,19 +51,19 @@
   type.price = options.number("price", 1);
   type.spotPrice = options.number("spot", 0.45);
   type.boot = static_cast<Ms>(kMsPerSecond * options.number("boot", 5));
-  type.capacity = static_cast<unsigned>(options.number("cap", 4));
-  type.spotCapacity = static_cast<unsigned>(options.number("spotcap", 2));
+  type.capacity = static_cast<unsigned>(options.number("capacity", 4));
+  type.spotCapacity = static_cast<unsigned>(options.number("spot_capacity", 2));
   type.cacheGb = options.number("cache", 50);
   type.fetchGbPerS = options.number("fetch", 1);
   setup.deployment.types.push_back(type);
 }
 
-void applyNothing(const Line&, ScenarioSetup&) {}
+void ignore(const Line&, ScenarioSetup&) {}
 
-const std::map<std::string, Apply>& setupWords() {
+const std::map<std::string, Apply>& setupDirectives() {
   static const std::map<std::string, Apply> words{
-      {"seeds", applyNothing},  // read by runScenario
-      {"vary", applyNothing},   // the same
+      {"seeds", ignore},  // read by runScenario
+      {"vary", ignore},   // likewise
       {"seed",
        [](const Line& line, ScenarioSetup& setup) {
          setup.deployment.seed = static_cast<std::uint64_t>(line.number(1));
@@ -72,7 +72,8 @@
        [](const Line& line, ScenarioSetup& setup) { setup.deployment.controllers = line.count(1); }},
       {"zones", [](const Line& line, ScenarioSetup& setup) { setup.deployment.zones = line.wordsFrom(1); }},
       {"teams", applyTeams},
-      {"former-version", [](const Line&, ScenarioSetup& setup) { setup.deployment.beginsFormer = true; }},
+      {"previous-version",
+       [](const Line&, ScenarioSetup& setup) { setup.deployment.startsOnPreviousVersion = true; }},
       {"guest", [](const Line&, ScenarioSetup& setup) { setup.deployment.guest = true; }},
       {"workers", applyWorkers},
       {"store", applyStore},
@@ -81,13 +82,13 @@
   return words;
 }
 
-cherryloft::JobKind parseShape(const std::string& word) {
+cherryloft::JobKind parseKind(const std::string& word) {
   if (word == "service") return cherryloft::JobKind::Service;
   if (word == "gang") return cherryloft::JobKind::Gang;
   return cherryloft::JobKind::Array;
 }
 
-cherryloft::PriorityClass parseRank(const std::string& word) {
+cherryloft::PriorityClass parsePriority(const std::string& word) {
   if (word == "prod") return cherryloft::PriorityClass::Production;
   if (word == "high") return cherryloft::PriorityClass::High;
   if (word == "normal") return cherryloft::PriorityClass::Normal;
@@ -97,37 +98,37 @@
 }  // namespace
 
 void applySetup(const Line& line, ScenarioSetup& setup) {
-  auto it = setupWords().find(line.word(0));
-  if (it == setupWords().end()) throw std::runtime_error("unknown word '" + line.word(0) + "'");
+  auto it = setupDirectives().find(line.word(0));
+  if (it == setupDirectives().end()) throw std::runtime_error("unknown directive '" + line.word(0) + "'");
   it->second(line, setup);
 }
 
-TaskNature parseJob(const std::string& id, const Options& options) {
-  TaskNature nature;
-  auto& spec = nature.spec;
+JobBehavior parseJob(const std::string& id, const Options& options) {
+  JobBehavior behavior;
+  auto& spec = behavior.spec;
   double runS = options.number("run", 10);
   spec.id = cherryloft::JobId{id};
   spec.team = cherryloft::TeamId{"team-" + options.text("team", "0")};
   spec.jobClass = options.text("class", "plain");
-  spec.kind = parseShape(options.text("shape", "array"));
-  spec.priority = parseRank(options.text("rank", "normal"));
+  spec.kind = parseKind(options.text("kind", "array"));
+  spec.priority = parsePriority(options.text("priority", "normal"));
   spec.tasks = static_cast<std::uint32_t>(options.number("tasks", 1));
   spec.each = {options.number("cores", 4), 0, options.number("ram", 4)};
   spec.image = cherryloft::ImageId{options.text("image", "img-1")};
   spec.imageGb = options.number("gb", 0.5);
   spec.expectedRunSeconds = options.number("expect", runS);
-  spec.checkpointIntervalSeconds = options.number("every", 0);
-  spec.checkpointSeconds = options.number("save", 0);
-  spec.spotAllowed = options.has("lendable");
+  spec.checkpointIntervalSeconds = options.number("checkpoint_every", 0);
+  spec.checkpointSeconds = options.number("checkpoint_time", 0);
+  spec.spotAllowed = options.has("spot_allowed");
   spec.spread = options.has("spread");
   spec.oneZone = options.has("one_zone");
-  if (options.has("site")) spec.zone = cherryloft::Zone{options.text("site")};
+  if (options.has("zone")) spec.zone = cherryloft::Zone{options.text("zone")};
   if (options.has("type")) spec.types = std::vector<std::string>{options.text("type")};
   for (int n = 0; n < options.number("more_types", 0); ++n)
     spec.types->push_back("a-type-that-does-not-exist-" + std::to_string(n));
-  nature.run = static_cast<Ms>(runS * kMsPerSecond);
-  nature.fails = options.has("fails");
-  return nature;
+  behavior.runTime = static_cast<Ms>(runS * kMsPerSecond);
+  behavior.fails = options.has("fails");
+  return behavior;
 }
 
 }  // namespace world
--- a/tests/world/scenario_user_actions.cpp
+++ b/tests/world/scenario_user_actions.cpp
@@ -1,4 +1,4 @@
-// Events of a scenario that come from users.
+// User events.
 #include "world/scenario_actions.h"
 #include "world/scenario_setup.h"
 
@@ -9,42 +9,42 @@
 
 // submit JOB options...
 void submit(Context context) {
-  auto nature = parseJob(context.line.jobId(3), context.line.optionsFrom(4));
-  context.world.submit(nature.spec.id.value, nature);
+  auto behavior = parseJob(context.line.jobId(3), context.line.optionsFrom(4));
+  context.world.submit(behavior.spec.id.value, behavior);
 }
 
-// burst FIRST COUNT options...
+// submit-many FIRST COUNT options...
 void submitMany(Context context) {
   auto first = context.line.count(3);
   auto options = context.line.optionsFrom(5);
   for (unsigned i = 0; i < context.line.number(4); ++i) {
-    auto nature = parseJob(jobIdOf(first + i), options);
-    context.world.submit(nature.spec.id.value, nature);
+    auto behavior = parseJob(jobIdOf(first + i), options);
+    context.world.submit(behavior.spec.id.value, behavior);
   }
 }
 
-// submit-wrong JOB kind=KIND field=FIELD
-void submitWrong(Context context) {
+// submit-invalid JOB kind=KIND field=FIELD
+void submitInvalid(Context context) {
   auto options = context.line.optionsFrom(4);
-  context.world.submitWrong(context.line.jobId(3), options.text("kind"), options.text("field"));
+  context.world.submitInvalid(context.line.jobId(3), options.text("kind"), options.text("field"));
 }
 
-// ask-many FIRST COUNT
-void askMany(Context context) {
+// query-many FIRST COUNT
+void queryMany(Context context) {
   auto first = context.line.count(3);
-  for (unsigned i = 0; i < context.line.number(4); ++i) context.world.askUnknown(jobIdOf(first + i));
+  for (unsigned i = 0; i < context.line.number(4); ++i) context.world.queryOnce(jobIdOf(first + i));
 }
 
-// at-end FIRST COUNT cancel|resubmit|poll WITHIN
-void actAtEnd(Context context) {
+// on-completion FIRST COUNT cancel|resubmit|poll WITHIN
+void onCompletion(Context context) {
   auto first = context.line.count(3);
   for (unsigned i = 0; i < context.line.number(4); ++i)
-    context.world.atEnd(jobIdOf(first + i), context.line.word(5), context.line.duration(6));
+    context.world.onCompletion(jobIdOf(first + i), context.line.word(5), context.line.duration(6));
 }
 
-// stream FIRST COUNT PER_SECOND options... cancel=SHARE: one after the other, and that share is called off
-// while it waits or runs
-void submitOneAfterTheOther(Context context) {
+// submit-stream FIRST COUNT PER_SECOND options... cancel=SHARE: submits at a constant rate and cancels that
+// share of the jobs while they wait or run
+void submitStream(Context context) {
   constexpr double kEarliestCancelMs = 50;
   constexpr double kLatestCancelMs = 1000;  // after the run time
   auto& world = context.world;
@@ -52,17 +52,17 @@
   auto options = line.optionsFrom(6);
   double cancelled = options.number("cancel", 0);
   for (unsigned i = 0; i < line.number(4); ++i) {
-    auto nature = parseJob(jobIdOf(line.count(3) + i), options);
+    auto behavior = parseJob(jobIdOf(line.count(3) + i), options);
     auto at = static_cast<Ms>(1000 * i / line.number(5));
-    world.clock.after(at, [&world, nature] { world.submit(nature.spec.id.value, nature); });
+    world.clock.after(at, [&world, behavior] { world.submit(behavior.spec.id.value, behavior); });
     if (!world.clock.chance(cancelled)) continue;
-    auto latest = static_cast<double>(nature.run) + kLatestCancelMs;
+    auto latest = static_cast<double>(behavior.runTime) + kLatestCancelMs;
     auto later = static_cast<Ms>(world.clock.uniform(kEarliestCancelMs, latest));
-    world.clock.after(at + later, [&world, id = nature.spec.id.value] { world.cancelAccepted(id); });
+    world.clock.after(at + later, [&world, id = behavior.spec.id.value] { world.cancelOnceAccepted(id); });
   }
 }
 
-// cancel-many FIRST COUNT EACH WITHIN: every EACH-th, at a moment of its own
+// cancel-many FIRST COUNT EACH WITHIN: cancels every EACH-th job, each at a random time
 void cancelMany(Context context) {
   auto& world = context.world;
   const auto& line = context.line;
@@ -78,18 +78,19 @@
 const ActionTable& userActions() {
   static const ActionTable table{
       {"submit", {submit}},
-      {"burst", {submitMany}},
-      {"submit-wrong", {submitWrong}},
+      {"submit-many", {submitMany}},
+      {"submit-invalid", {submitInvalid}},
       {"resubmit", {[](Context c) { c.world.resubmit(c.line.jobId(3)); }}},
-      {"resubmit-broken", {[](Context c) { c.world.resubmitBroken(c.line.jobId(3)); }}},
+      {"resubmit-invalid", {[](Context c) { c.world.resubmitInvalid(c.line.jobId(3)); }}},
       {"cancel", {[](Context c) { c.world.cancel(c.line.jobId(3)); }}},
-      {"ask", {[](Context c) { c.world.askUnknown(c.line.jobId(3)); }}},
-      {"ask-many", {askMany}},
-      {"ask-up", {[](Context c) { c.world.askUp(c.line.count(3)); }}},
-      {"at-end", {actAtEnd}},
-      {"stream", {submitOneAfterTheOther}},
+      {"query", {[](Context c) { c.world.queryOnce(c.line.jobId(3)); }}},
+      {"query-many", {queryMany}},
+      {"check-health", {[](Context c) { c.world.checkHealth(c.line.count(3)); }}},
+      {"on-completion", {onCompletion}},
+      {"submit-stream", {submitStream}},
       {"cancel-many", {cancelMany}},
-      {"close-looks", {[](Context c) { c.world.closeLooks(c.line.number(3), c.until(4)); }, 4}}};
+      {"intensive-polling",
+       {[](Context c) { c.world.startIntensivePolling(c.line.number(3), c.until(4)); }, 4}}};
   return table;
 }
 
--- a/tests/world/trace.cpp
+++ b/tests/world/trace.cpp
@@ -7,7 +7,7 @@
 namespace world {
 namespace {
 
-// In quotes on one line, as frames are binary.
+// Quotes and escapes the text, because frames are binary.
 void writeQuoted(std::ostream& out, std::string_view text) {
   out << '"';
   for (unsigned char c : text) {
@@ -43,12 +43,12 @@
   record(at, {"started", machine, job, std::to_string(index)});
 }
 
-void Trace::taskLeft(Ms at, const std::string& machine, const std::string& job, std::uint32_t index,
-                     bool done) {
+void Trace::handleTaskExit(Ms at, const std::string& machine, const std::string& job, std::uint32_t index,
+                           bool done) {
   record(at, {"left", machine, job, std::to_string(index), done ? "done" : ""});
 }
 
-// The length of each part goes before it, so that no two lists of parts make the same bytes.
+// Each part is preceded by its length, so that different lists of parts never give the same bytes.
 void Trace::record(Ms at, std::initializer_list<std::string_view> parts) {
   if (!enabled_) return;
   ++events_;
@@ -58,13 +58,13 @@
     add(part.size());
     digest_.process_bytes(part.data(), part.size());
   }
-  if (!callbacks_) return;
-  *callbacks_ << at;
+  if (!eventOutput_) return;
+  *eventOutput_ << at;
   for (auto part : parts) {
-    *callbacks_ << ' ';
-    writeQuoted(*callbacks_, part);
+    *eventOutput_ << ' ';
+    writeQuoted(*eventOutput_, part);
   }
-  *callbacks_ << '\n';
+  *eventOutput_ << '\n';
 }
 
 }  // namespace world
--- a/tests/world/odd_users.cpp
+++ b/tests/world/user_edge_cases.cpp
@@ -1,4 +1,4 @@
-// What users do that is odd, or at the oddest moment.
+// User requests that are unusual or arrive at critical moments.
 #include "world/world.h"
 
 namespace world {
@@ -15,52 +15,53 @@
 }
 }  // namespace
 
-void World::submitWrong(const std::string& id, const std::string& kind, std::string field) {
-  TaskNature n;
+void World::submitInvalid(const std::string& id, const std::string& kind, std::string field) {
+  JobBehavior n;
   n.spec.id = cherryloft::JobId{id};
   n.spec.team = cherryloft::TeamId{"team-0"};
   n.spec.each = {1, 0, 1};
   n.spec.image = cherryloft::ImageId{"img-1"};
-  auto doc = Json::parse(bodyOf(n));
+  auto doc = Json::parse(submissionJson(n));
   doc["jobclass"] = "plain";
   if (field.empty()) field = kFields[clock.rng() % kFields.size()];
-  if (kind == "nofit")
+  if (kind == "too-large")
     doc["cores"] = 100'000.0;
-  else if (kind == "noteam")
+  else if (kind == "unknown-team")
     doc["owner"] = "nobody";
-  else if (kind == "nozone")
+  else if (kind == "unknown-zone")
     doc["site"] = "nowhere";
-  else if (kind == "overlimit")
+  else if (kind == "over-limit")
     doc["shape"] = "service", doc["pieces"] = 50'000;
-  else if (kind == "apart")
+  else if (kind == "unspreadable")
     doc["pieces"] = 4, doc["spread"] = true, doc["one_zone"] = true;
-  else if (kind == "nofield")
+  else if (kind == "missing-field")
     doc.erase(field);
-  else if (kind == "badfield")
+  else if (kind == "invalid-field")
     doc[field] = Json::array({1});
-  else if (kind != "notjson")
+  else if (kind != "not-json")
     throw std::runtime_error("unknown kind '" + kind + "'");
-  auto body = kind == "notjson" ? doc.dump().substr(1) : doc.dump();
-  traces[id].id = id;
-  checker.submittedWrong(id, kind + (kind == "nofield" || kind == "badfield" ? " " + field : ""));
+  auto body = kind == "not-json" ? doc.dump().substr(1) : doc.dump();
+  observations[id].id = id;
+  checker.submittedInvalid(id,
+                           kind + (kind == "missing-field" || kind == "invalid-field" ? " " + field : ""));
   trySubmit(id, body);
 }
 
 void World::resubmit(const std::string& id, Node node) {
-  auto nature = natures.find(id);
-  if (nature == natures.end()) return;
-  auto heard = [this, id](HttpResult h) {
-    if (h.answered(200) || h.answered(201)) return checker.told(id, statusIn(h), said_);
-    if (h.answered(400) || h.answered(422)) return checker.refusedRetry(id, h.response.status);
+  auto behavior = behaviors.find(id);
+  if (behavior == behaviors.end()) return;
+  auto onResponse = [this, id](HttpResult h) {
+    if (h.answered(200) || h.answered(201)) return checker.statusReported(id, statusIn(h), answerSource_);
+    if (h.answered(400) || h.answered(422)) return checker.retryRejected(id, h.response.status);
     clock.after(1000, [this, id] { resubmit(id); });
   };
-  request({"POST", "/v1/jobs", bodyOf(nature->second), false}, 5000, heard, node);
+  request({"POST", "/v1/jobs", submissionJson(behavior->second), false}, 5000, onResponse, node);
 }
 
-void World::ended(const std::string& id) {
-  lookClosely(id);
-  auto it = atEnd_.find(id);
-  if (it == atEnd_.end()) return;
+void World::jobCompleted(const std::string& id) {
+  pollIntensively(id);
+  auto it = completionActions_.find(id);
+  if (it == completionActions_.end()) return;
   for (const auto& a : it->second)
     clock.after(static_cast<Ms>(clock.uniform(0, static_cast<double>(a.within))), [this, id, what = a.what] {
       if (what == "cancel")
@@ -72,9 +73,9 @@
     });
 }
 
-void World::plantUnsent(const TaskNature& nature) {
-  checker.submitted(nature.spec, nature.fails);
-  checker.accepted(nature.spec.id.value);
+void World::injectUnsentJob(const JobBehavior& behavior) {
+  checker.submitted(behavior.spec, behavior.fails);
+  checker.accepted(behavior.spec.id.value);
 }
 
 }  // namespace world
