--- a/src/scheduler/shard_scheduler.h
+++ b/src/scheduler/shard_scheduler.h
@@ -225,7 +225,7 @@
   void returnSuspectedMachines(Time now);
   SuspicionCounts countSuspects(Time now);
   void recordMassSuspicion(const SuspicionCounts& survey, Time now);
-  bool isRecent(std::optional<Time> noted, Time now) const;
+  bool isRecent(std::optional<Time> time, Time now) const;
 
   // Periodic maintenance.
   void tick();
@@ -249,8 +249,8 @@
   void placePendingJobs();
   // Returns the jobs that found no capacity; jobs that were not tried stay in the list.
   std::vector<PendingJob> runTurns(std::vector<PendingJob>& pending);
-  // Places at most `most` tasks and returns how many were placed.
-  unsigned placeTasks(Job& job, unsigned most);
+  // Places at most `maxTasks` tasks and returns how many were placed.
+  unsigned placeTasks(Job& job, unsigned maxTasks);
   void placeNextTask(Job& job, Machine& machine, Attempt attempt);
   // A job that failed on every machine tried gets one task at a time, and no preemption.
   void placeProbeTask(Job& job);
@@ -320,7 +320,7 @@
   // Commits.
   void commit();
   std::optional<Time> commitDelayedUntil() const;
-  void scheduleCommit(Time due);
+  void scheduleCommit(Time time);
   void buildCommit();
   void transferOwnershipIfRequested();
   void handleOwnershipTransferResult(bool transferred);
@@ -332,8 +332,8 @@
   void applyCommit(Version revision);
   void migrationCommitted(const JobId& id);
   void completionCommitted(const TaskId& id);
-  void placementCommitted(const PlacementWrite& written, std::set<MachineId>& machines);
-  void jobEndCommitted(const JobEndWrite& end, Version revision, std::set<MachineId>& machines);
+  void placementCommitted(const PlacementWrite& write, std::set<MachineId>& machinesToCommand);
+  void jobEndCommitted(const JobEndWrite& write, Version revision, std::set<MachineId>& machinesToCommand);
   std::size_t maxRecordsPerCommit() const;
   void stopTasks(const Job& job, std::set<MachineId>& machines);
   void removeJobIfEnded(Job& job);
