--- a/tests/world/world.cpp
+++ b/tests/world/world.cpp
@@ -232,8 +232,8 @@
   checker.runPeriodicChecks();
 }
 
-std::string World::submissionJson(const JobBehavior& n) {
-  const auto& s = n.spec;
+std::string World::submissionJson(const JobBehavior& behavior) {
+  const auto& s = behavior.spec;
   const char* ranks[] = {"best_effort", "normal", "high", "prod"};
   const char* shapes[] = {"sweep", "service", "ensemble"};
   Json j{{"name_id", s.id.value},
