--- a/src/scheduler/heartbeats.cpp
+++ b/src/scheduler/heartbeats.cpp
@@ -87,9 +87,9 @@
   return {kHttpOk, wire::encodeHeartbeatAnswer(machine->token(), commands)};
 }
 
-// Keeps the worker's lease alive while the shard is loading; build() computes the lease from its own, later
-// time. Cancellations by the former owner may be unknown here, so this is allowed for a limited time only
-// (invariant 16).
+// Keeps the worker's lease alive while the shard is loading; finishLoading() computes the lease from its own,
+// later time. Cancellations by the former owner may be unknown here, so this is allowed for a limited time
+// only (invariant 16).
 ShardScheduler::HeartbeatAnswer ShardScheduler::answerWhileLoading(
     const wire::WorkerHeartbeat& heartbeat) const {
   if (runtime_.now() >= store_.currentAsOf(keys::kJobs) + settings_.maxCancellationStaleness())
--- a/tests/world/scenario_endpoints.h
+++ b/tests/world/scenario_endpoints.h
@@ -15,7 +15,7 @@
 // A connection endpoint: a machine as above; any other name is returned unchanged.
 std::string endpointNamed(World& world, const std::string& word);
 
-// Like partyNamed(); "zone:a" stands for all machines that are up in that zone now.
+// Like endpointNamed(); "zone:a" stands for all machines that are up in that zone now.
 std::vector<std::string> endpointsNamed(World& world, const std::string& word);
 
 // "2", or "*" for all controllers.
